--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,8 +1,10 @@
-// Package broker is the core of the mixer. It deals in queries, attempts and
-// outcomes and knows no wire: fronts hand it queries, nodes carry its attempts,
-// a directory tells it of nodes, and the decision module says what is done. One
-// goroutine owns the module, its clock, all timers and all state; everything
-// else posts functions to it.
+// Package broker is the core of the mixer. It keeps the open queries, their parts and
+// attempts, and carries out what the decision module says. It knows no wire protocol:
+// front ends submit queries, a Nodes transport sends the attempts, and a Directory
+// reports the list of nodes.
+//
+// One goroutine owns the decision module, its clock, all timers and all state. Any other
+// goroutine hands its work over as a function by Core.Post.
 package broker
 
 import (
@@ -19,70 +21,79 @@
 	"kiteloft/internal/tracing"
 )
 
-// Query is what a front hands to the core.
+// Query is a client's request as a front end submits it to the core.
 type Query struct {
-	WireID   string // the id that nodes see; unique among what is open
-	Class    int
-	Tenant   int
-	Key      string // idempotency key; set in keyed classes
-	Left     time.Duration
-	Repeat   bool
-	Text     []byte // what each part has to carry
+	WireID   string        // id that nodes see; unique among the open queries
+	Class    int           // index into the classes of the settings
+	Tenant   int           // index into the tenants of the settings
+	Key      string        // idempotency key; set in keyed classes
+	Left     time.Duration // until the client's deadline
+	Repeat   bool          // the client says that this is a retry
+	Text     []byte        // request text that every part carries
 	Parts    []QueryPart
 	Answerer Answerer
-	Front    string           // the front's name, for traces
-	Context  *tracing.Context // what the client says of its trace; nil: nothing
+	Front    string           // name of the front end, for traces
+	Context  *tracing.Context // trace context of the client; nil if it sent none
 }
 
 // QueryPart is one part of a query.
 type QueryPart struct {
 	Shard  int
-	Weight float64
-	Work   time.Duration // 0: unknown
+	Weight float64       // share of the query's answer, from 0 to 1
+	Work   time.Duration // expected processing time; 0: unknown
 }
 
-// Value is a part's answer as its node gave it.
+// Value is the answer of a node to one part.
 type Value struct {
 	Shard int
 	Body  []byte
 }
 
-// Answerer takes the one final answer of a query. Exactly one of its methods is
-// called, once, unless the client has gone. They must not block.
+// Answerer receives the final answer of a query. Exactly one of its methods is called,
+// once, unless the client has left before. The methods must not block.
 type Answerer interface {
+	// Served delivers the values of the parts that were answered. Whole says that the
+	// answer is complete for its class.
 	Served(whole bool, values []Value)
-	Refused(after time.Duration) // trying again is harmless, after that long
-	Failed(expired bool)         // expired: its time is up
+	// Refused says that the query may be retried without risk, after that long.
+	Refused(after time.Duration)
+	// Failed makes no promise: the query may have run. Expired says that its time is up.
+	Failed(expired bool)
 }
 
-// Node is a stock node, as the directory names it.
+// Node identifies a stock node and where to reach it.
 type Node struct {
 	ID   string
 	Addr string
 }
 
-// Nodes carries attempts to stock nodes. Its methods must not block, and must
-// not call back into the core before they return.
+// Nodes sends attempts to stock nodes. Its methods must not block, and must not call
+// back into the core before they return.
 type Nodes interface {
-	// Send carries one call. Each attempt ends through Core.Ended, once.
+	// Send sends one call with one or more attempts. Each attempt is ended once, through
+	// Core.Ended.
 	Send(n Node, call []*Attempt)
-	// GiveUp stops an attempt that the core has ended.
+	// GiveUp cancels an attempt that the core has already ended.
 	GiveUp(a *Attempt)
 	Prober
+	// CloseIdle closes the idle connections to a node.
 	CloseIdle(n Node)
-	// Known tells which nodes are listed now.
+	// Known gives all nodes that are listed now.
 	Known(list []Node)
 }
 
-// Prober checks nodes: the Nodes themselves, or whoever divides that work.
+// Prober checks whether a node answers. It is implemented by Nodes, and by what divides
+// the checks among the mixers of the fleet.
 type Prober interface {
+	// Probe checks a node and calls done once with the outcome, on the core's goroutine.
 	Probe(n Node, done func(decide.Outcome))
 }
 
-// Directory follows the list of nodes and tells it by Core.Listed and
-// Core.ListLost.
+// Directory follows the list of nodes and reports it by Core.Listed and Core.ListLost.
 type Directory interface {
+	// Watch starts or stops the subscription to changes of the list.
 	Watch(on bool)
+	// Read reads the list once.
 	Read()
 }
 
@@ -90,44 +101,52 @@
 type Member struct {
 	decide.Server
 	Addr string
-	Told time.Duration // when it was told that it drains or is gone; 0: with this list
+	Told time.Duration // when the notice came that it drains or is gone; 0: with this list
 }
 
-// List is news of the list of nodes.
+// List is an update of the list of nodes.
 type List struct {
-	Full    bool // it names every node
+	Full    bool // it names every node, not only those that changed
 	Version int64
-	Told    time.Duration // since when what it says counts as told; 0: since now
+	Told    time.Duration // when its content counts as received; 0: now
 	Members []Member
 }
 
 // Stepper is the decision module.
 type Stepper interface {
+	// Step takes the events since the last step and returns what to do, in order.
 	Step(now time.Duration, events []decide.Event) []decide.Action
 }
 
-// Log takes the core's log lines.
+// Log writes the core's log lines.
 type Log interface {
-	Module(line string)                  // a line of the module's
-	Guard(rule, id, trace, about string) // a guard of the core's stepped in; id and trace are a query's, or ""
-	Storm(state, about string)           // the service stands otherwise
-}
-
-// lastGuard is how long before a query's time is up the core ends it itself, or a
-// tick where that is less: the module does so two ticks before.
+	// Module logs a line of the decision module.
+	Module(line string)
+	// Guard logs that the core overruled the decision module. Id and trace are those of
+	// the query concerned, or "".
+	Guard(rule, id, trace, about string)
+	// Storm logs a change of the retry-storm state.
+	Storm(state, about string)
+}
+
+// lastGuard is how long before a query's deadline the core itself fails the query, if the
+// decision module has not ended it. Where a tick is shorter, it is one tick. The module
+// ends queries two ticks before their deadline.
 const lastGuard = 3 * time.Millisecond
 
-// judgePace is how often the core looks whether clients storm it.
+// judgePace is the interval between checks for a retry storm.
 const judgePace = 100 * time.Millisecond
 
-// forgetGone is how long after its window a node that is gone is remembered.
+// forgetGone is how long a node that has left the list is remembered after its drain
+// grace has ended.
 const forgetGone = 30 * time.Second
 
-// lateTicks is how close to its end a query that fails counts as expired.
+// lateTicks is the number of ticks before its deadline within which a query that fails
+// counts as expired.
 const lateTicks = 4
 
-// Core is the broker's core. Its methods are called on its own goroutine, by
-// posted functions, except Post, Run and New.
+// Core keeps all state of the broker. Its methods must be called on its own goroutine,
+// from posted functions, except New, Post and Run.
 type Core struct {
 	set    settings.Settings
 	mod    Stepper
@@ -136,10 +155,10 @@
 	dir    Directory
 	prober Prober
 	log    Log
-	traces *tracing.Recorder // nil: none are recorded
+	traces *tracing.Recorder // nil: no traces are recorded
 	counts *counts.Set       // nil: nothing is counted
-	recent *counts.Recent    // what happened of late, for the lines of guards
-	listed time.Duration     // when we last heard of the list
+	recent *counts.Recent    // latest events by query, for the log lines of guards
+	listed time.Duration     // time of the last list update
 	watch  *storm.Watch
 	judged time.Duration
 	mail   mailbox
@@ -150,38 +169,40 @@
 	stepped  time.Duration
 	queries  map[string]*query // by the module's id
 	wireIDs  map[string]*query
-	parts    map[string]*part // of open queries, and those with an attempt out
+	parts    map[string]*part // parts of open queries, and parts that still have an attempt out
 	members  map[string]Member
-	told     map[string]time.Duration // by node, when we were told that it drains or is gone
+	told     map[string]time.Duration // by node id: when the notice came that it drains or is gone
 	limits   Limits
 	barred   map[string]bool // nodes to which nothing is sent, whatever the list says
-	before   func()          // nil: nothing
-	observer Observer        // nil: nobody
-	lag      time.Duration   // the longest that a timer was late of late
-	number   int64
-	held     int // open queries and their parts
+	before   func()          // may be nil
+	observer Observer        // may be nil
+	lag      time.Duration   // longest delay of a timer since Lag was last called
+	number   int64           // number of the latest query
+	held     int             // open queries and their parts
 	audit    Audit
-	ended    bool // EndAll was called: nothing new begins
-	shards   []int
-	stopping bool
-	idle     func() // called once nothing is open, after Stop
+	ended    bool   // EndAll was called: no new query is taken
+	shards   []int  // buffer of sum
+	stopping bool   // Stop was called
+	idle     func() // called once when no query is open, after Stop
 }
 
+// query is an open query.
 type query struct {
 	Query
 	id      string
 	number  int64
 	class   *decide.Class
-	end     time.Duration
-	parts   []*part // of the present step
-	second  bool
-	from    []int // shards that were in after the first step
-	whole   bool  // the first step's answer was whole
-	over    bool
-	counted int // what it adds to held
+	end     time.Duration // its deadline
+	parts   []*part       // of the current step
+	second  bool          // the second step has begun
+	from    []int         // shards that were answered in the first step
+	whole   bool          // the first step's answer was whole
+	over    bool          // it has its final answer, or its client has left
+	counted int           // its share of Core.held
 	trace   *tracing.Query
 }
 
+// part is a part of one step of a query.
 type part struct {
 	q        *query
 	id       string
@@ -189,59 +210,58 @@
 	weight   float64
 	second   bool
 	attempts []*Attempt
-	out      int
-	in       bool
+	out      int  // attempts that have not ended
+	in       bool // it has its answer: score and value
 	score    int64
 	value    []byte
-	trace    int32 // its index in the trace
+	trace    int32 // index in the query's trace
 }
 
 // Attempt is one send of a part to a node.
 type Attempt struct {
-	WireID string // the query's
+	WireID string // id of the query that nodes see
 	Shard  int
-	Key    string
-	Class  string
-	Second bool
-	From   []int // second step: the shards that were in
-	Whole  bool  // second step: whether the first was whole
-	Text   []byte
+	Key    string // idempotency key; "": none
+	Class  string // name of the query's class
+	Second bool   // it belongs to the second step
+	From   []int  // second step: the shards that were answered in the first
+	Whole  bool   // second step: the answer of the first was whole
+	Text   []byte // request text
 	Node   Node
-	Link   any // the node side's own
+	Link   any // state of the Nodes implementation
 
 	p    *part
-	n    int
-	sent time.Duration
-	stop time.Duration // when it is given up
-	over bool
+	n    int           // index among the part's attempts
+	sent time.Duration // when the module asked for it
+	stop time.Duration // when it times out
+	over bool          // it has ended
 
-	begun bool // the gate has let it through
+	begun bool // the gate has allowed it once
 
-	neverRan bool // its outcome proves it
-	trace    int32
+	neverRan bool  // its outcome proves that the node did not run it
+	trace    int32 // index in the query's trace; -1: not recorded
 }
 
-// Left is how long the attempt will still be waited for.
+// Left returns how long the attempt will still be waited for.
 func (a *Attempt) Left(now time.Duration) time.Duration { return a.stop - now }
 
 // Over reports whether the attempt has ended.
 func (a *Attempt) Over() bool { return a.over }
 
-// Connected notes when a connection was there for the attempt.
+// Connected records in the trace when a connection was available for the attempt.
 func (a *Attempt) Connected(now time.Duration) { a.p.q.trace.Connected(a.trace, now) }
 
-// Written notes when its last byte was written.
+// Written records in the trace when the last byte of the attempt was written.
 func (a *Attempt) Written(now time.Duration) { a.p.q.trace.Written(a.trace, now) }
 
-// Heard notes when the first byte of its answer came.
+// Heard records in the trace when the first byte of the answer was received.
 func (a *Attempt) Heard(at time.Duration) { a.p.q.trace.Heard(a.trace, at) }
 
-// Traced reports whether anybody wants to know of the attempt's times.
+// Traced reports whether the attempt's times are recorded.
 func (a *Attempt) Traced() bool { return a.p.q.trace != nil }
 
-// Parentage is what the attempt's node is told of its trace, as W3C's traceparent
-// and tracestate; both are empty where nothing is recorded and the client said
-// nothing.
+// Parentage returns the W3C trace context to send to the attempt's node. Both values are
+// empty if no trace is recorded and the client sent no context.
 func (a *Attempt) Parentage() (parent, state string) {
 	q := a.p.q
 	if parent, state = q.trace.Parentage(a.trace); parent == "" && q.Context != nil {
@@ -250,62 +270,67 @@
 	return parent, state
 }
 
-// New returns a Core. Use sets its surroundings before Run.
+// New returns a Core. Use has to be called before Run.
 func New(set settings.Settings, mod Stepper, clock func() time.Duration, log Log) *Core {
 	return &Core{limits: Limits{MaxOpen: set.Module.MaxOpen, MaxAttempts: set.Module.MaxAttempts}, set: set, mod: mod, clock: clock, log: log, mail: newMailbox(), watch: storm.New(),
 		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, members: map[string]Member{},
 		told: map[string]time.Duration{}}
 }
 
-// Use gives the core its nodes and its directory.
+// Use sets the transport to the nodes and the source of the node list. Nodes are also
+// probed through n, unless Divide sets another prober.
 func (c *Core) Use(n Nodes, d Directory) { c.nodes, c.dir, c.prober = n, d, n }
 
-// Divide has nodes checked by p.
+// Divide sets the prober in place of the Nodes given to Use.
 func (c *Core) Divide(p Prober) { c.prober = p }
 
-// Sharers tells how many mixers live, and what this one may use of what all share.
+// Sharers tells the decision module how many mixers of the fleet are alive, and this
+// mixer's share, from 0 to 1, of the budgets that they have in common.
 func (c *Core) Sharers(live int, share float64) {
 	c.events = append(c.events, decide.Sharers{Live: live, Share: share})
 }
 
-// Node is a listed node; false: it is not listed.
+// Node returns a listed node; false if the node is not listed.
 func (c *Core) Node(id string) (Node, bool) {
 	m, ok := c.members[id]
 	return Node{ID: id, Addr: m.Addr}, ok
 }
 
-// Member is a listed node as the list has it; the zero Member: it is not listed.
+// Member returns a node's entry in the list, or the zero Member if it is not listed.
 func (c *Core) Member(id string) Member { return c.members[id] }
 
-// Record has the core hand what it does to r.
+// Record sets the recorder of traces.
 func (c *Core) Record(r *tracing.Recorder) { c.traces = r }
 
-// Count has the core count what it does in s, and keep what happened of late.
+// Count has the core add up its counters in s, and remember the latest events for the log
+// lines of guards.
 func (c *Core) Count(s *counts.Set) { c.counts, c.recent = s, new(counts.Recent) }
 
-// ListAge is how long ago the list was last heard of.
+// ListAge returns the time since the last update of the node list.
 func (c *Core) ListAge() time.Duration { return c.now - c.listed }
 
-// Post runs fn on the core's goroutine, in order. It never blocks.
+// Post queues fn to run on the core's goroutine, in order of the calls. It may be called
+// from any goroutine and never blocks.
 func (c *Core) Post(fn func()) { c.mail.put(fn) }
 
-// Now is the module's clock, as of the present turn.
+// Now returns the module's clock as of the start of the current turn of the event loop.
 func (c *Core) Now() time.Duration { return c.now }
 
-// After runs fn on the core's goroutine once the time has passed.
+// After runs fn on the core's goroutine once d has passed.
 func (c *Core) After(d time.Duration, fn func()) { c.timers.add(c.now+d, fn) }
 
-// Audit counts over the life of the mixer: each query that was taken ends once, and no
-// attempt leaves when it may not.
+// Audit counts over the life of the mixer: the queries that were taken, those of them
+// that have ended, and the attempts that were written later than the rules allow. In the
+// end Ended equals Taken, and Violations is 0.
 type Audit struct{ Taken, Ended, Violations int64 }
 
-// Audit tells what was taken, and what of it has ended.
+// Audit returns the counts so far.
 func (c *Core) Audit() Audit { return c.audit }
 
-// Held is the number of open queries and parts.
+// Held returns the number of open queries and their parts.
 func (c *Core) Held() int { return c.held }
 
-// Run serves until stop is closed.
+// Run runs the event loop until stop is closed. The calling goroutine becomes the core's.
 func (c *Core) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -323,8 +348,9 @@
 	}
 }
 
-// pause is how long the loop may sleep. Steps are a tick apart, as the module
-// expects; what comes while it rests shares the next one.
+// pause returns how long the event loop may sleep, and whether anything is due at all.
+// Steps of the module are at least a tick apart; events that come in between share the
+// next one.
 func (c *Core) pause() (time.Duration, bool) {
 	due, ok := c.timers.next()
 	if len(c.events) > 0 {
@@ -335,8 +361,9 @@
 	return max(0, due-c.clock()), ok
 }
 
-// Turn runs what was posted and what is due, then gives the module a step. Run
-// calls it; whoever holds the clock itself, as a benchmark does, calls it instead.
+// Turn runs one iteration of the event loop: the posted functions, the timers that are
+// due, and then a step of the module. It is called by Run, or in its place by a caller
+// that controls the clock, as a benchmark does.
 func (c *Core) Turn() {
 	c.now = c.clock()
 	if c.before != nil {
@@ -363,15 +390,15 @@
 	}
 }
 
-// Stop calls idle, once, when no query is open any more.
+// Stop has idle called once, as soon as no query is open.
 func (c *Core) Stop(idle func()) { c.stopping, c.idle = true, idle }
 
-// Instant is the module's clock at this very moment, for what must not go by the beginning
-// of a turn, which may be long.
+// Instant reads the module's clock. Unlike Now, it counts what the current turn of the
+// event loop has taken so far, which may be long.
 func (c *Core) Instant() time.Duration { return max(c.now, c.clock()) }
 
-// EndAll fails every query that is open, and has no other begin: the program is about to
-// be killed.
+// EndAll fails every open query and has all new ones turned away. It is called when the
+// process is about to be killed.
 func (c *Core) EndAll() {
 	c.ended = true
 	open := slices.Collect(maps.Values(c.queries))
@@ -383,19 +410,20 @@
 
 // ---- queries ----
 
-// Verdict is what Take says of a query.
+// Verdict is the result of Take.
 type Verdict int
 
-// The verdicts.
+// The results of Take.
 const (
 	Taken     Verdict = iota
-	Crowded           // as much is open as the settings allow
-	Duplicate         // a query of that id is open
-	Misplaced         // a class, shard or weight that can't be
-	Ending            // nothing begins any more
+	Crowded           // as many queries and parts are open as the settings allow
+	Duplicate         // a query with the same WireID is open
+	Misplaced         // class, shards, weights or time left are not valid
+	Ending            // the process is shutting down
 )
 
-// Take hands a query to the module. Unless it is taken, the caller answers.
+// Take submits a query to the module. If the result is not Taken, the Handle is nil and
+// the caller has to answer the client itself.
 func (c *Core) Take(in Query) (Verdict, *Handle) {
 	if in.Class < 0 || in.Class >= len(c.set.Module.Classes) || !c.sound(in.Parts) || in.Left <= 0 {
 		return Misplaced, nil
@@ -408,7 +436,8 @@
 	}
 	sum := c.sum(in)
 	c.watch.Asked(c.now, in.Repeat, sum)
-	// Guards memory, and the module against more than its settings promise.
+	// Bounds memory, and keeps to the number of open queries and parts that the module's
+	// settings promise it.
 	if most := c.limits.MaxOpen; most > 0 && c.held+1+len(in.Parts) > most {
 		c.watch.Ended(c.now, false)
 		c.saw(counts.Crowded, in.WireID, "")
@@ -435,6 +464,8 @@
 	return Taken, &Handle{c, q}
 }
 
+// sound reports whether the parts are valid: at least one, each with a shard of its own
+// that exists and a weight from 0 to 1, with a tolerance for rounding.
 func (c *Core) sound(parts []QueryPart) bool {
 	seen := map[int]bool{}
 	for _, p := range parts {
@@ -446,7 +477,7 @@
 	return len(parts) > 0
 }
 
-// open adds the parts of a step.
+// open creates the parts of a step and reports them to the module.
 func (c *Core) open(q *query, list []QueryPart) {
 	q.parts = nil
 	for _, in := range list {
@@ -464,15 +495,16 @@
 	c.hold(q, len(list))
 }
 
+// hold adds n to the open queries and parts, on account of q.
 func (c *Core) hold(q *query, n int) { c.held, q.counted = c.held+n, q.counted+n }
 
-// Handle is a front's hold on a query that was taken.
+// Handle lets a front end act on a query that was taken.
 type Handle struct {
 	c *Core
 	q *query
 }
 
-// ClientGone says that nobody waits for the answer any more.
+// ClientGone ends the query without an answer: its client has left.
 func (h *Handle) ClientGone() {
 	if h.q.over {
 		return
@@ -481,7 +513,8 @@
 	h.c.events = append(h.c.events, decide.ClientGone{Query: h.q.id})
 }
 
-// EndBy has the query fail by then, if that is before its time is up: others wait for its answer.
+// EndBy has the query fail at the given time if that is before its deadline. It is used
+// when answers to later requests of the same client have to wait for this one.
 func (h *Handle) EndBy(at time.Duration) {
 	if h.q.over || at >= h.q.end {
 		return
@@ -493,8 +526,8 @@
 	})
 }
 
-// lastMoment guards against a query left without an answer, whatever the module
-// does: one final answer, before the client's time is up.
+// lastMoment fails a query that the module has not ended shortly before the client's
+// deadline, so that each query gets its one final answer whatever the module does.
 func (c *Core) lastMoment(q *query) {
 	if q.over {
 		return
@@ -503,14 +536,14 @@
 	c.abandon(q)
 }
 
-// abandon fails a query without the module's word.
+// abandon fails a query as expired without a decision of the module, and tells the module.
 func (c *Core) abandon(q *query) {
 	c.close(q, tracing.Expired, decide.TimeUp)
 	q.Answerer.Failed(true)
 	c.events = append(c.events, decide.ClientGone{Query: q.id})
 }
 
-// close forgets a query; what is still out for it is given up.
+// close removes a query, cancels its open attempts and records how it ended.
 func (c *Core) close(q *query, how tracing.How, why decide.Cause) {
 	q.over = true
 	c.audit.Ended++
@@ -525,11 +558,11 @@
 	}
 	if q.trace != nil {
 		c.traces.End(c.now, q.trace, how, uint8(why))
-		q.trace = nil // the record is not ours any more
+		q.trace = nil // it belongs to the recorder now
 	}
 }
 
-// shed ends the parts of a step.
+// shed cancels the open attempts of a query's current step.
 func (c *Core) shed(q *query) {
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
@@ -546,11 +579,11 @@
 
 // ---- attempts ----
 
-// Ended tells how an attempt ended; the value counts only if it was served.
-// What comes for an attempt that has ended is dropped.
+// Ended reports the outcome of an attempt. Score and value are used only if the outcome
+// is decide.OK. A report on an attempt that has already ended is ignored.
 func (c *Core) Ended(a *Attempt, o decide.Outcome, score int64, value []byte) {
 	if a.over {
-		return // a late frame
+		return // a late answer
 	}
 	won := o == decide.OK && !a.p.q.over && a.p.second == a.p.q.second && !a.p.in
 	if won {
@@ -559,8 +592,8 @@
 	c.finish(a, o, won)
 }
 
-// finish reports the one outcome of an attempt to the module. Won tells that it gave
-// its part's answer.
+// finish ends an attempt and reports its outcome to the module. Won says that the attempt
+// gave the answer of its part.
 func (c *Core) finish(a *Attempt, o decide.Outcome, won bool) {
 	a.p.q.trace.AttemptOver(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
 	a.over, a.neverRan = true, o.NeverRan()
@@ -575,13 +608,15 @@
 	}
 }
 
+// report queues the outcome of an attempt for the module.
 func (c *Core) report(a *Attempt, o decide.Outcome) {
 	c.events = append(c.events, decide.AttemptDone{Part: a.p.id, Attempt: a.n, Server: a.Node.ID, Outcome: o,
 		Latency: c.now - a.sent})
 }
 
-// MaySend tells whether an attempt may be written at this very moment: it may have waited for
-// a connection, and the windows of the rules on drains and on repeats go on meanwhile.
+// MaySend reports whether an attempt may be written now. It has to be asked just before
+// the write: while an attempt waits for a connection, the windows of the rules on
+// draining nodes and on repeats run on.
 func (c *Core) MaySend(a *Attempt) bool {
 	if a.over {
 		return false
@@ -593,7 +628,8 @@
 	return verdict == gate.Allowed
 }
 
-// Wrote checks an attempt that has just been written, and that told its node to count on told.
+// Wrote checks an attempt that has just been written against the rules, and counts and
+// logs a violation. Told is the time left that the node was sent.
 func (c *Core) Wrote(a *Attempt, told time.Duration) {
 	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.Instant()), Told: told})
 	if verdict != gate.Allowed {
@@ -602,22 +638,22 @@
 	}
 }
 
-// rules are the limits that the gate goes by.
+// rules returns the limits that the gate applies.
 func (c *Core) rules() gate.Limits {
 	return gate.Limits{DrainGrace: c.set.Module.DrainGrace, MaxAttempts: c.limits.MaxAttempts}
 }
 
-// facts is what the gate has to know of an attempt at an instant.
+// facts describes an attempt at an instant for the gate.
 func (c *Core) facts(a *Attempt, now time.Duration) gate.Attempt {
 	q := a.p.q
-	// What has begun stays with its node, whatever the list says of that since; a node that has
-	// left the list counts as one that drains.
+	// An attempt that was allowed once stays with its node, even if the list has changed
+	// since. A node that has left the list is treated as one that drains.
 	m, listed := c.members[a.Node.ID]
 	f := gate.Attempt{Now: now, RequestOver: q.over, StepOver: a.p.second != q.second, Stop: a.stop, Number: a.n,
 		Listed: a.begun || listed, Withheld: c.barred[a.Node.ID], HoldsShard: a.begun || c.holds(m, a.p.shard),
 		Effect: q.class.Semantics, RepeatWindow: q.class.MemorySpan}
 	f.DrainedAt, f.IsDraining = c.told[a.Node.ID]
-	// In the order in which they were sent: the first counts.
+	// Attempts are in the order in which they were sent: the first that may have run counts.
 	for _, other := range a.p.attempts {
 		if other != a && (!other.over || !other.neverRan) {
 			f.MayHaveRun, f.FirstRun = true, other.sent
@@ -629,7 +665,7 @@
 
 // ---- the list of nodes ----
 
-// Listed brings news of the list of nodes.
+// Listed applies an update of the list of nodes and reports it to the module.
 func (c *Core) Listed(l List) {
 	old, list := maps.Clone(c.members), l.Members
 	if l.Full {
@@ -640,7 +676,8 @@
 	}
 	ev := decide.ListChange{Full: l.Full, Version: l.Version, Told: l.Told}
 	for _, m := range list {
-		// The strictest reading counts: the first that anybody was told.
+		// Several mixers may have had the notice at different times: the earliest counts,
+		// as it ends the drain grace first.
 		if at, told := c.told[m.ID]; m.Told > 0 && m.State != decide.Running && (!told || m.Told < at) {
 			c.told[m.ID] = m.Told
 		}
@@ -669,7 +706,7 @@
 			c.told[id] = l.Told
 		}
 	}
-	// What is gone for so long is asked for by nobody any more.
+	// Nodes that left the list this long ago have no attempts any more.
 	maps.DeleteFunc(c.told, func(id string, at time.Duration) bool {
 		_, listed := c.members[id]
 		return !listed && c.now > at+c.set.Module.DrainGrace+forgetGone
@@ -679,5 +716,5 @@
 	c.events = append(c.events, ev)
 }
 
-// ListLost says that following the list has failed.
+// ListLost reports to the module that a read of the list failed or its subscription broke.
 func (c *Core) ListLost() { c.events = append(c.events, decide.ListLost{}) }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -13,8 +13,8 @@
 	"kiteloft/internal/settings"
 )
 
-// TestCoreKnowsNoWire keeps wires and sockets out of the core, also by way of
-// what it imports.
+// TestCoreKnowsNoWire checks that the core depends on no wire protocol or socket, directly
+// or through its imports.
 func TestCoreKnowsNoWire(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -32,7 +32,8 @@
 	}
 }
 
-// script is a module that does as it is told, step by step.
+// script is a decision module that returns prepared actions, step by step, and keeps the
+// events that it is given.
 type script struct {
 	steps  [][]decide.Action
 	events []decide.Event
@@ -48,7 +49,7 @@
 	return next
 }
 
-// done are the outcomes that the module was told of.
+// done returns the outcomes of attempts that the module was told of.
 func (s *script) done() (list []decide.Outcome) {
 	for _, e := range s.events {
 		if d, ok := e.(decide.AttemptDone); ok {
@@ -58,7 +59,7 @@
 	return list
 }
 
-// stage is a core with everything round it.
+// stage is a core with test doubles of everything that it uses.
 type stage struct {
 	*Core
 	script
@@ -99,7 +100,7 @@
 	}
 }
 
-// at moves the clock and gives the core a turn.
+// at moves the clock and runs the event loop once.
 func (s *stage) at(d time.Duration) {
 	s.now = time.Hour + d
 	s.Turn()
@@ -107,7 +108,7 @@
 
 const tick = 5 * time.Millisecond
 
-// play is a core with one query of two parts taken, whose module acts out steps.
+// play returns a core with two listed nodes, whose module returns the actions of steps.
 func play(t *testing.T, steps ...[]decide.Action) *stage {
 	t.Helper()
 	s := &stage{script: script{steps: steps}}
@@ -205,7 +206,7 @@
 	}
 }
 
-// TestAModuleThatPanics costs the mixer the step, not its life.
+// TestAModuleThatPanics checks that a panic in the module costs the mixer one step only.
 func TestAModuleThatPanics(t *testing.T) {
 	s := play(t, []decide.Action{send("q1.0")})
 	s.ask(t, 0)
@@ -233,8 +234,8 @@
 		s.at(d)
 		s.Post(func() { s.Ended(late, decide.OK, 0, []byte("late")) })
 	}
-	// Two sends too many for the part, one of an unknown part, one cancelled; then
-	// the query's end cancels the rest, and one send comes after it.
+	// One send beyond the part's limit, one of an unknown part, one cancelled; then the end
+	// of the query cancels the two that are left, and one send comes after it.
 	want := []decide.Outcome{decide.Moot, decide.Moot, decide.Cancelled, decide.Cancelled, decide.Cancelled, decide.Moot}
 	if diff := cmp.Diff(want, s.done()); diff != "" || s.givenUp != 3 {
 		t.Errorf("%s; %d given up", diff, s.givenUp)
@@ -270,7 +271,7 @@
 	s.Post(func() { s.Ended(a, decide.OK, 0, []byte("second")) })
 	s.at(3 * tick)
 	if diff := cmp.Diff([]string{"served second"}, s.answers); diff != "" {
-		t.Error(diff) // the first step was not whole, so the answer may not be
+		t.Error(diff) // the first step was not whole, so the answer must not be either
 	}
 }
 
@@ -313,8 +314,8 @@
 	}
 }
 
-// TestTimeLeftCountsFromTheStep has a query wait for its step: the module is
-// told what is left by then.
+// TestTimeLeftCountsFromTheStep checks that the module is given the time that a query has
+// left when the step runs, after the query has waited for it.
 func TestTimeLeftCountsFromTheStep(t *testing.T) {
 	s := play(t)
 	s.at(0)
@@ -330,11 +331,12 @@
 	}
 }
 
-// TestNothingNewToANodeThatDrains has the module send to a node after its window,
-// and an attempt wait for its connection until then.
+// TestNothingNewToANodeThatDrains checks that nothing is sent to a draining node after its
+// grace: neither a new attempt of the module nor one that has waited for a connection. It
+// also checks how long notices of drains are remembered.
 func TestNothingNewToANodeThatDrains(t *testing.T) {
 	s := play(t, []decide.Action{send("q1.0")}, nil, []decide.Action{send("q1.2")})
-	s.set.Module.DrainGrace = 500 * time.Millisecond // twice what is kept of it
+	s.set.Module.DrainGrace = 500 * time.Millisecond // twice the drain margin
 	s.ask(t, 0)
 	s.at(tick)
 	leaving := Member{Server: decide.Server{ID: "n0", State: decide.Stopping}}
@@ -343,7 +345,7 @@
 	if len(s.calls) != 1 || !s.MaySend(s.calls[0][0]) {
 		t.Fatalf("%d calls; within the window one may be sent", len(s.calls))
 	}
-	s.Post(func() { s.Listed(List{Version: 3, Members: []Member{leaving}}) }) // told again: the window is the first one
+	s.Post(func() { s.Listed(List{Version: 3, Members: []Member{leaving}}) }) // a second notice does not extend the grace
 	s.at(2*tick + s.set.Module.DrainGrace + time.Millisecond)
 	if s.MaySend(s.calls[0][0]) {
 		t.Error("an attempt may be written after the window")
--- a/internal/broker/count.go
+++ b/internal/broker/count.go
@@ -6,7 +6,7 @@
 	"kiteloft/internal/tracing"
 )
 
-// outcomes, choices and refusals are what the module's words are counted as.
+// outcomes, choices and refusals map values of the decision module to counters.
 var (
 	outcomes = [...]counts.Kind{decide.Failed: counts.Error, decide.OK: counts.OK, decide.Full: counts.Full,
 		decide.TimedOut: counts.TimedOut, decide.ConnectFailed: counts.ConnectFailed, decide.Reset: counts.Reset,
@@ -18,13 +18,13 @@
 		decide.NoClass: counts.RefusedNoHope}
 )
 
-// saw counts something that happened to a request, and keeps it for the lines of guards.
+// saw counts an event of a request, and remembers it for the log lines of guards.
 func (c *Core) saw(what counts.Kind, request, server string) {
 	c.counts.Add(what, 1)
 	c.recent.Note(counts.Event{At: c.now, Request: request, Server: server, What: what})
 }
 
-// ended is what the end of a query is counted as.
+// ended returns the counter for the end of a query.
 func ended(how tracing.How, why decide.Cause) counts.Kind {
 	switch how {
 	case tracing.Served:
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -8,26 +8,30 @@
 	"kiteloft/internal/storm"
 )
 
-// Limits are what may change while the mixer serves.
+// Limits are the settings that may change while the mixer serves.
 type Limits struct {
-	Version      uint64 // of the settings, for traces
-	MaxAttempts  int    // of a part; 0: no limit
-	Copies       bool
-	FurtherRatio float64
-	FurtherSpare float64
-	ColdShare    float64 // of the budget for cold nodes
-	MaxOpen      int     // 0: no limit
-	Allowances   []float64
-	Storm        storm.Shares
+	Version      uint64          // version of the settings, for traces
+	MaxAttempts  int             // attempts per part; 0: no limit
+	Copies       bool            // a part may have two attempts out at once
+	FurtherRatio float64         // further attempts allowed per query or part
+	FurtherSpare float64         // further attempts allowed on top of that
+	ColdShare    float64         // share of the configured budget for cold nodes that is allowed
+	MaxOpen      int             // open queries and parts; 0: no limit
+	Allowances   []float64       // by tenant, queries a second
+	Storm        storm.Shares    // at which a retry storm is reported
 	Barred       map[string]bool // nodes to which nothing new is sent
-	Shares       []float64       // by zone, of the parts that its nodes would get; none: the whole
-	Left         map[int]bool    // zones that are left, as far as others hold what their nodes hold
+	// Shares holds, by zone, the share that its nodes get of the parts that they would get
+	// without it; empty: all of them.
+	Shares []float64
+	// Left are the zones to which nothing new is sent, except to nodes that hold shards
+	// that no running node of another zone holds.
+	Left map[int]bool
 }
 
-// Before has fn called at the start of each turn, before anything is sent in it.
+// Before has fn called at the start of each turn of the event loop, before anything is sent.
 func (c *Core) Before(fn func()) { c.before = fn }
 
-// Limit has other limits hold from now on. What is out goes on.
+// Limit sets the limits that hold from now on. Attempts that are out go on.
 func (c *Core) Limit(l Limits) {
 	c.limits = l
 	c.watch.Set(l.Storm)
@@ -40,10 +44,11 @@
 	}
 }
 
-// changed are the nodes that are barred now and were not, or the reverse, but for some.
+// changed returns the nodes whose place in the barred set differs from was, except those
+// in but.
 func (c *Core) changed(was map[string]bool, but []Member) (list []decide.Server) {
 	if len(was) == 0 && len(c.barred) == 0 {
-		return nil // as with every list on the platform
+		return nil // always so on the platform, where no node is barred
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.members)) {
 		if c.barred[id] != was[id] && !slices.ContainsFunc(but, func(m Member) bool { return m.ID == id }) {
@@ -53,7 +58,7 @@
 	return list
 }
 
-// seen is a node as the module is to see it.
+// seen returns a list entry as the module is to see it: a barred node is reported as deleted.
 func (c *Core) seen(s decide.Server) decide.Server {
 	if c.barred[s.ID] {
 		s.State = decide.Deleted
@@ -61,8 +66,8 @@
 	return s
 }
 
-// bar works out to which nodes nothing is sent. A node of a zone that is left goes on
-// where it holds something that no running node outside those zones holds.
+// bar computes the set of nodes to which nothing is sent. A node of a zone that is left
+// stays in use if it holds a shard that no running node outside those zones holds.
 func (c *Core) bar() {
 	if len(c.limits.Barred) == 0 && len(c.limits.Left) == 0 {
 		c.barred = nil
@@ -90,7 +95,7 @@
 	}
 }
 
-// heldBy is which shards running nodes hold, of those that count.
+// heldBy returns, by shard, whether a running node for which counts returns true holds it.
 func (c *Core) heldBy(counts func(m Member) bool) []bool {
 	held := make([]bool, max(c.set.Module.Cells, 1))
 	for _, m := range c.members {
@@ -104,8 +109,8 @@
 	return held
 }
 
-// Only is the share of the shards held by a zone's running nodes that no running node of
-// another zone holds.
+// Only returns, of the shards that the running nodes of a zone hold, the share that no
+// running node of another zone holds.
 func (c *Core) Only(zone int) float64 {
 	here := c.heldBy(func(m Member) bool { return m.Zone == zone })
 	elsewhere := c.heldBy(func(m Member) bool { return m.Zone != zone })
--- a/internal/broker/loop.go
+++ b/internal/broker/loop.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// mailbox holds functions for the core's goroutine. What posts to it is bounded
-// by its own limits: connections by number and by bytes, dials by their queue.
+// mailbox queues functions for the core's goroutine. It has no limit of its own: those who
+// post are limited, connections in their number and bytes, dials by their queue.
 type mailbox struct {
 	mu    *sync.Mutex
 	list  *[]func()
-	ready chan struct{}
+	ready chan struct{} // holds a token while functions wait
 }
 
 func newMailbox() mailbox {
 	return mailbox{mu: new(sync.Mutex), list: new([]func()), ready: make(chan struct{}, 1)}
 }
 
+// put appends a function and wakes the event loop. It never blocks.
 func (m mailbox) put(fn func()) {
 	m.mu.Lock()
 	*m.list = append(*m.list, fn)
@@ -28,6 +29,7 @@
 	}
 }
 
+// take removes and returns all functions that wait.
 func (m mailbox) take() []func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -36,15 +38,17 @@
 	return list
 }
 
-// timers is a heap of moments. All share the loop's one timer object.
+// timers is a heap of functions by due time. All share the one time.Timer of the event loop.
 type timers struct{ heap timerHeap }
 
+// timer is a function and when it is due.
 type timer struct {
 	at  time.Duration
-	seq int64
+	seq int64 // order of creation, for timers that are due at the same time
 	fn  func()
 }
 
+// timerHeap implements heap.Interface.
 type timerHeap struct {
 	list []timer
 	seq  int64
@@ -70,6 +74,7 @@
 	heap.Push(&t.heap, timer{at, t.heap.seq, fn})
 }
 
+// next returns when the first timer is due; false if there is none.
 func (t *timers) next() (time.Duration, bool) {
 	if len(t.heap.list) == 0 {
 		return 0, false
@@ -77,7 +82,7 @@
 	return t.heap.list[0].at, true
 }
 
-// run runs what is due.
+// run runs the functions that are due, also those that they add.
 func (t *timers) run(now time.Duration) {
 	for len(t.heap.list) > 0 && t.heap.list[0].at <= now {
 		heap.Pop(&t.heap).(timer).fn()
--- a/internal/broker/observe.go
+++ b/internal/broker/observe.go
@@ -6,24 +6,24 @@
 	"kiteloft/decide"
 )
 
-// Observer sees how attempts and checks of nodes end, beside the module.
+// Observer is told how attempts and checks of nodes end, in addition to the module.
 type Observer interface {
-	// Seen is told of an end, how long after its send it came, and the aim of the query's
-	// class, or the shortest of all for a check.
+	// Seen reports the outcome of an attempt or check, the time that it took, and the aim of
+	// the query's class. For a check, aim is the shortest of all classes.
 	Seen(m Member, o decide.Outcome, took, aim time.Duration)
 }
 
-// Observe has an observer see what comes of all that is sent.
+// Observe sets the observer of all attempts.
 func (c *Core) Observe(o Observer) { c.observer = o }
 
-// Members goes over the nodes listed, in no order.
+// Members calls do for each listed node, in no particular order.
 func (c *Core) Members(do func(m Member)) {
 	for _, m := range c.members {
 		do(m)
 	}
 }
 
-// Lag is the longest for which a timer was late since it was last asked.
+// Lag returns the longest delay of a timer since the last call, and starts anew.
 func (c *Core) Lag() time.Duration {
 	lag := c.lag
 	c.lag = 0
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	weightSlack = 1e-4 // by how much sums of weights may fall short
-	maxWake     = 71 * time.Minute
+	weightSlack = 1e-4             // rounding tolerance of sums of weights
+	maxWake     = 71 * time.Minute // longest delay of a Wake action
 )
 
+// number formats a number for an id.
 func number(n int64) string { return strconv.FormatInt(n, 10) }
 
-// step gives the module all that has happened since the last one and carries
-// out what it says, in order. Sends to one node share calls.
+// step gives the module the events since the last step and carries out its actions, in
+// order. Sends to the same node share calls.
 func (c *Core) step() {
 	events := c.events
 	c.events, c.stepped = nil, c.now
 	for i, e := range events {
-		// What has waited for this step has less time left: the module would end it too
-		// late otherwise.
+		// A query has lost time while it waited for this step. Without the correction the
+		// module would end it too late.
 		if a, ok := e.(decide.QueryArrived); ok {
 			if q := c.queries[a.ID]; q != nil {
 				a.Left = q.end - c.now
@@ -77,7 +78,7 @@
 			}
 		case decide.Log:
 			c.log.Module(a.Line)
-		case decide.Tell: // mixers have no way to talk to each other here
+		case decide.Tell: // not supported: the core has no channel between mixers
 		}
 	}
 	for _, call := range calls {
@@ -85,8 +86,8 @@
 	}
 }
 
-// ask gives the module its step. It guards the mixer against a panic in it: what
-// is open is then ended by the last moment's guard, and the mixer lives on.
+// ask calls the module. If the module panics, the mixer goes on: the panic is logged, and
+// lastMoment fails the open queries that the module does not end.
 func (c *Core) ask(events []decide.Event) (actions []decide.Action) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -96,9 +97,11 @@
 	return c.mod.Step(c.now, events)
 }
 
-// callList gathers a step's sends by node, in the order of each node's first.
+// callList groups the sends of a step into calls, in the order of each call's first send.
 type callList [][]*Attempt
 
+// add appends an attempt to a call to its node with fewer than most attempts, or to a new
+// call. There is no limit if most is 0.
 func (l *callList) add(a *Attempt, most int) {
 	for i, call := range *l {
 		if call[0].Node.ID == a.Node.ID && (most <= 0 || len(call) < most) {
@@ -109,8 +112,9 @@
 	*l = append(*l, []*Attempt{a})
 }
 
-// attempt starts an attempt, or reports it as never sent where it can't be one:
-// its query is over, its node unknown or without the shard, its time up.
+// attempt creates the attempt of a Send action. It returns nil, and reports the attempt as
+// never sent, if its part is unknown or the gate forbids it: the query has ended, the node
+// is not listed or does not hold the shard, no time is left, and so on.
 func (c *Core) attempt(s decide.Send) *Attempt {
 	p := c.parts[s.Part]
 	if p == nil {
@@ -128,7 +132,7 @@
 	switch verdict := c.rules().Attempt(c.facts(a, c.now)); {
 	case verdict == gate.Allowed:
 	case verdict.Unexpected():
-		// Guards the rules against the module's own book-keeping.
+		// The module should not have asked for it: its state differs from the core's.
 		c.guard(q, verdict.String(), "part "+number(int64(p.shard))+" at node "+s.Server)
 		return c.moot(a)
 	default:
@@ -156,7 +160,7 @@
 	return a
 }
 
-// moot reports an attempt as never sent.
+// moot reports an attempt as never sent. It always returns nil.
 func (c *Core) moot(a *Attempt) *Attempt {
 	a.over, a.neverRan = true, true
 	c.saw(counts.Moot, a.WireID, a.Node.ID)
@@ -164,11 +168,13 @@
 	return nil
 }
 
+// holds reports whether the cell of a node holds a shard.
 func (c *Core) holds(m Member, shard int) bool {
 	n := c.set.Module.Cells
 	return n <= 0 || ((m.Cell-shard)%n+n)%n < c.set.Module.Span
 }
 
+// cancel carries out a Cancel action. It does nothing if the attempt has ended.
 func (c *Core) cancel(a decide.Cancel) {
 	p := c.parts[a.Part]
 	if p == nil || a.Attempt < 0 || a.Attempt >= len(p.attempts) || p.attempts[a.Attempt].over {
@@ -179,7 +185,7 @@
 	c.nodes.GiveUp(at)
 }
 
-// answer ends a query, or its first step, from the parts that are in.
+// answer ends a query, or its first step, with the parts that have been answered.
 func (c *Core) answer(q *query, whole bool) {
 	weight, all := 0.0, true
 	for _, p := range q.parts {
@@ -202,7 +208,8 @@
 		}
 		need = 1
 	}
-	// Guards the rule on honest answers against the module's own book-keeping.
+	// An answer must hold at least the floor of its class, and may be called whole only if
+	// it is, even if the module's state says otherwise.
 	if weight < floor-weightSlack {
 		c.guard(q, "honest", "answer from too few parts")
 		c.fail(q, decide.NoCause)
@@ -231,8 +238,8 @@
 	q.Answerer.Served(whole, values)
 }
 
-// follow opens the second step at the shards with the highest scores among
-// those that are in.
+// follow opens the second step: a part for each of the FollowParts shards with the highest
+// scores among those that were answered. Shards of equal score are taken in order.
 func (c *Core) follow(q *query, whole bool) {
 	var in []*part
 	for _, p := range q.parts {
@@ -257,10 +264,10 @@
 	c.open(q, next)
 }
 
-// refuse ends a query with the word that asking again is harmless.
+// refuse ends a query and tells the client that a retry is safe.
 func (c *Core) refuse(q *query, after time.Duration, why decide.Cause) {
 	if q.class.Semantics != decide.Repeatable && slices.ContainsFunc(q.parts, (*part).mayHaveRun) {
-		// Guards the rule on refusals: what may have run may not run twice.
+		// A refusal invites a retry, and what may have run must not run twice.
 		c.guard(q, "refusal", "a part may have run")
 		c.fail(q, why)
 		return
@@ -269,7 +276,7 @@
 	q.Answerer.Refused(after)
 }
 
-// fail ends a query without any promise.
+// fail ends a query without a promise that a retry is safe.
 func (c *Core) fail(q *query, why decide.Cause) {
 	expired, how := c.now >= q.end-lateTicks*c.set.Module.Tick, tracing.Failed
 	if expired {
@@ -279,11 +286,14 @@
 	q.Answerer.Failed(expired)
 }
 
+// mayHaveRun reports whether a node may have run an attempt of the part, or may yet.
 func (p *part) mayHaveRun() bool {
 	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.over || !a.neverRan })
 }
 
-func (c *Core) probe(id string) {
+// probe checks a node for the module. A node that is not listed counts as unreachable.
+func (c *Core) probe(
+	id string) {
 	m, ok := c.members[id]
 	at := c.now
 	c.counts.Add(counts.Probes, 1)
--- a/internal/broker/storm_test.go
+++ b/internal/broker/storm_test.go
@@ -10,7 +10,8 @@
 	"kiteloft/decide"
 )
 
-// refuser is a module that refuses everything for a while, and then serves it.
+// refuser is a decision module that refuses every query until a given time, and serves
+// every query afterwards.
 type refuser struct{ until time.Duration }
 
 func (r *refuser) Step(now time.Duration, events []decide.Event) (out []decide.Action) {
@@ -33,8 +34,8 @@
 	return out
 }
 
-// TestStormsAreSeen has clients ask again at once, without a mark, while all is
-// refused.
+// TestStormsAreSeen checks the sequence of storm states while clients whose queries are all
+// refused retry at once, without declaring the retries.
 func TestStormsAreSeen(t *testing.T) {
 	s := play(t)
 	s.mod = &refuser{until: time.Hour + 20*time.Second}
@@ -49,7 +50,7 @@
 	}
 	answered := 0
 	for at := time.Duration(0); at < 40*time.Second; at += 25 * time.Millisecond {
-		n := int(at / (100 * time.Millisecond)) // a query each 100 ms, asked four times while it is refused
+		n := int(at / (100 * time.Millisecond)) // a query each 100 ms, sent four times while it is refused
 		if try := int(at/(25*time.Millisecond)) % 4; try == 0 || at < 20*time.Second && at > 5*time.Second {
 			ask(n, try)
 		}
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -7,13 +7,14 @@
 	"kiteloft/internal/tracing"
 )
 
-// What the core hands to those that watch it: its recorder of traces, where there is
-// one, and its watch for storms.
+// This file holds what the core reports to its observers: the trace recorder, if there is
+// one, and the detector of retry storms.
 
+// shortages maps the module's remarks on missing budgets to trace events.
 var shortages = map[decide.Shortage]tracing.EventKind{decide.TokenShort: tracing.NoToken,
 	decide.BudgetShort: tracing.NoBudget, decide.ColdShort: tracing.ColdFull}
 
-// begin opens a query's record.
+// begin starts the trace of a query.
 func (c *Core) begin(in Query, work time.Duration, sum uint64) *tracing.Query {
 	s := tracing.Start{Front: in.Front, Class: in.Class, WireID: in.WireID, Key: in.Key, Repeat: in.Repeat, Left: in.Left, Work: work, Version: c.limits.Version}
 	if in.Context != nil {
@@ -25,7 +26,8 @@
 	return c.traces.Begin(c.now, s)
 }
 
-// sum stands for what a query asks for: its key, or its content where it has none.
+// sum returns a hash by which retries of a query are recognized: of its key, or of its
+// content if it has none.
 func (c *Core) sum(in Query) uint64 {
 	if in.Key != "" {
 		return tracing.KeySum(in.Class, in.Key)
@@ -38,7 +40,7 @@
 	return tracing.Content(in.Class, in.Text, shards)
 }
 
-// judge looks whether clients storm the service.
+// judge evaluates the retry-storm state and logs a change.
 func (c *Core) judge() {
 	c.judged = c.now
 	if change, ok := c.watch.Judge(c.now); ok {
@@ -46,12 +48,13 @@
 	}
 }
 
-// traceAttempt records an attempt that is about to be sent.
+// traceAttempt records an attempt that is about to be sent: whether it is the part's first,
+// a copy of one that is still open, or a further one.
 func (c *Core) traceAttempt(a *Attempt, m Member, why decide.Choice) {
 	reason := tracing.First
 	for _, other := range a.p.attempts {
 		if other == a || other.neverRan && other.over && other.trace < 0 {
-			continue // one that was never sent is none
+			continue // attempts that were never sent don't count
 		}
 		if reason = tracing.Further; !other.over {
 			reason = tracing.Copy
@@ -62,7 +65,7 @@
 		Zone: int16(m.Zone), Cell: int32(m.Cell), Node: m.ID, Address: m.Addr, Begin: c.now})
 }
 
-// guard logs that a guard stepped in, on a query's trace as well.
+// guard records in the log and in the query's trace that the core overruled the module.
 func (c *Core) guard(q *query, rule, about string) {
 	q.trace.Event(c.now, -1, tracing.GuardEvent, rule+": "+about)
 	c.log.Guard(rule, q.WireID, q.trace.ID(), about+"; so far: "+c.recent.Of(q.WireID))
--- a/internal/broker/windows_test.go
+++ b/internal/broker/windows_test.go
@@ -7,13 +7,13 @@
 	"kiteloft/decide"
 )
 
-// TestWhatMayRunAgain: a part's first attempt ends in some way, or not at all, and the module
-// sends it once more. That attempt waits for its connection; its class says until when it may
-// be written.
+// TestWhatMayRunAgain checks until when a second attempt of a part may be written while it
+// waits for a connection. That depends on how the first attempt ended, if at all, and on the
+// query's class.
 func TestWhatMayRunAgain(t *testing.T) {
 	const span = 200 * time.Millisecond
 	const never = -1
-	always := 700 * time.Millisecond // what is left of the query's time bounds it, too
+	always := 700 * time.Millisecond // no limit but the query's deadline
 	classes := []decide.Class{
 		{Name: "repeatable", Need: 1, Floor: 1},
 		{Name: "keyed", Need: 1, Floor: 1, Semantics: decide.Keyed, MemorySpan: span},
@@ -21,7 +21,7 @@
 	tests := []struct {
 		name  string
 		first decide.Outcome
-		out   bool             // it has not ended
+		out   bool             // the first attempt has not ended
 		until [3]time.Duration // by class
 	}{
 		{"it ran", decide.Failed, false, [3]time.Duration{always, span, never}},
@@ -65,8 +65,9 @@
 	}
 }
 
-// TestAWindowBeginsWhenItWasTold, which may be long before the list that tells it comes: the
-// module hears of it, and an attempt that waits is not written.
+// TestAWindowBeginsWhenItWasTold checks that the drain grace counts from the time of the
+// notice, which may be long before the list update arrives: the module is given that time,
+// and an attempt that waits is not written after the grace.
 func TestAWindowBeginsWhenItWasTold(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -80,7 +81,7 @@
 				s.ask(t, 0)
 				s.at(tick)
 				l := List{Version: 2, Members: []Member{{Server: decide.Server{ID: "n0", State: decide.Stopping}}}}
-				if left { // or a whole list that leaves it out
+				if left { // a full list without the node
 					l = List{Full: true, Version: 2}
 				}
 				s.Post(func() {
