--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,8 +1,9 @@
-// Package gate is the one place that says whether something may happen now: an attempt be
-// written or repeated, a request be taken, a client's connection be closed, the process end.
-// It is pure: the caller states what holds at an instant of its monotonic clock and gets a
-// Verdict. Every rule that the operators' pages bind a mixer to in these cases is here, so
-// that each can be read, tested and counted by itself.
+// Package gate checks the rules of operation: whether an attempt may be written or
+// repeated, a request admitted, a client's connection closed, the process ended. The caller
+// describes the situation at an instant of its monotonic clock and gets a Verdict.
+//
+// The package is pure and is the only place where these rules are written down, so that
+// each can be read, tested and counted by itself.
 package gate
 
 import (
@@ -12,36 +13,38 @@
 )
 
 const (
-	// HeldUp is how long a mixer may be held up between reading its clock and writing (the
-	// operators' acceptance terms). What is written may leave so much later than the clock says.
+	// HeldUp is how long the process may be stalled between reading its clock and writing,
+	// by the operators' acceptance terms. A write may be that much later than the clock said.
 	HeldUp = decide.HeldUp
-	// DrainMargin is kept of the grace of a server that drains.
+	// DrainMargin is the last part of the drain grace, in which nothing is sent any more. It
+	// allows for a stalled write and for a notice of the drain that was under way for a while.
 	DrainMargin = decide.DrainMargin
-	// deadlineSlack is by how much the time that a server is told of may exceed what is left.
+	// deadlineSlack is by how much the time left that a server was sent may exceed the time
+	// that is left when the attempt has been written.
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// Verdict is what the gate says, with its reason.
+// Verdict is the result of a check: Allowed, or the reason why not.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Allowed         Verdict = iota
-	RequestOver             // the request has its final answer, or its client has gone
+	RequestOver             // the request has its final answer, or its client has left
 	StepOver                // a later step of the request has begun
-	OutOfTime               // nothing is left of the attempt's time
-	TooManyAttempts         // the part has had as many as the settings allow
+	OutOfTime               // the attempt's deadline has passed
+	TooManyAttempts         // the part has had as many attempts as the settings allow
 	NotListed               // the server is not on the list
-	Withheld                // operators, or a plan that they agreed to, keep the server unused
-	Draining                // the server was told to drain, or left the list, too long ago
+	Withheld                // operators, or a plan that they agreed to, keep the server out of use
+	Draining                // the server has been draining, or off the list, for too long
 	WrongShard              // the server does not hold the part's shard
-	UnsafeRepeat            // an earlier attempt may have run, and its effect may not happen twice
-	ServiceEnded            // the process is about to end: nothing new begins
-	RequestOpen             // a request on the connection is still to be answered
-	RequestPartial          // a request on the connection has begun to arrive
-	BytesUnread             // bytes of the client's wait to be looked at
-	LateDeadline            // a server was told of more time than its client had left
-	verdicts
+	UnsafeRepeat            // an earlier attempt may have run, and its effect must not happen twice
+	ServiceEnded            // the process is about to end and admits no new requests
+	RequestOpen             // a request on the connection has not been answered
+	RequestPartial          // a request on the connection has been received in part
+	BytesUnread             // bytes from the client have not been parsed
+	LateDeadline            // a server was sent more time than its client had left
+	verdicts                // number of verdicts
 )
 
 var names = [verdicts]string{"allowed", "request-over", "step-over", "out-of-time", "too-many-attempts", "not-listed",
@@ -56,35 +59,35 @@
 	return names[v]
 }
 
-// Unexpected tells whether the decision module should have known better: the verdict is
-// worth a log line.
+// Unexpected reports whether the verdict shows a fault in the decision module's state: it
+// should not have asked for such an attempt. These verdicts are logged.
 func (v Verdict) Unexpected() bool { return v == Draining || v == WrongShard || v == UnsafeRepeat }
 
-// Limits are the settings that the verdicts go by.
+// Limits are the settings that the checks use.
 type Limits struct {
-	DrainGrace  time.Duration // in which a server that drains may still be sent something
-	MaxAttempts int           // of a part; 0: no limit
+	DrainGrace  time.Duration // how long a draining server may still be sent attempts
+	MaxAttempts int           // attempts per part; 0: no limit
 }
 
-// Attempt is an attempt at the instant in which its first byte would be written.
+// Attempt describes an attempt at the instant in which its first byte would be written.
 type Attempt struct {
 	Now          time.Duration
-	RequestOver  bool
-	StepOver     bool
-	Stop         time.Duration // when it is given up
-	Number       int           // attempts of the part before it
-	Listed       bool
-	Withheld     bool
-	HoldsShard   bool
-	IsDraining   bool
-	DrainedAt    time.Duration // IsDraining: when the server was told to drain, or left the list
-	Effect       decide.Semantics
-	MayHaveRun   bool          // an earlier attempt of the part may have run, or may yet
-	FirstRun     time.Duration // MayHaveRun: when the first such attempt was sent
-	RepeatWindow time.Duration // for which servers drop a repeat of the same key
+	RequestOver  bool             // the request has its final answer, or its client has left
+	StepOver     bool             // a later step of the request has begun
+	Stop         time.Duration    // when it times out
+	Number       int              // earlier attempts of the part
+	Listed       bool             // the server is on the list
+	Withheld     bool             // the server is kept out of use
+	HoldsShard   bool             // the server holds the part's shard
+	IsDraining   bool             // the server drains, or has left the list
+	DrainedAt    time.Duration    // if IsDraining: when the notice of that came
+	Effect       decide.Semantics // whether the request may run more than once
+	MayHaveRun   bool             // an earlier attempt of the part may have run, or may yet
+	FirstRun     time.Duration    // if MayHaveRun: when the first such attempt was sent
+	RepeatWindow time.Duration    // how long servers drop a repeat of the same key
 }
 
-// Attempt says whether the attempt may be written.
+// Attempt checks whether an attempt may be written.
 func (l Limits) Attempt(a Attempt) Verdict {
 	switch {
 	case a.RequestOver:
@@ -107,7 +110,7 @@
 	return repeat(a)
 }
 
-// repeat says whether an attempt may follow earlier ones.
+// repeat checks whether an attempt may be made, given that earlier ones may have run.
 func repeat(a Attempt) Verdict {
 	switch {
 	case !a.MayHaveRun || a.Effect == decide.Repeatable:
@@ -118,14 +121,14 @@
 	return UnsafeRepeat
 }
 
-// Written is an attempt just after its bytes were handed over.
+// Written describes an attempt just after its bytes were handed to the kernel.
 type Written struct {
 	Attempt
-	Told time.Duration // how long the server was told that it is waited for
+	Told time.Duration // time left that the server was sent
 }
 
-// Written says which rule, if any, the attempt has broken because it left later than it was
-// allowed to: Allowed means none. It is a check, not a guard.
+// Written checks after the fact whether an attempt was written later than the rules allow.
+// It returns the rule that was broken, or Allowed. It prevents nothing.
 func (l Limits) Written(w Written) Verdict {
 	switch {
 	case w.IsDraining && w.Now > w.DrainedAt+l.DrainGrace:
@@ -136,7 +139,7 @@
 	return Allowed
 }
 
-// Take says whether a request that has been read may be begun.
+// Take checks whether a request that has been read may be admitted.
 func Take(serviceEnded bool) Verdict {
 	if serviceEnded {
 		return ServiceEnded
@@ -144,15 +147,15 @@
 	return Allowed
 }
 
-// Connection is a client's connection at the instant in which we would end it.
+// Connection describes a client's connection at the instant in which it would be closed.
 type Connection struct {
-	Open    bool // a request on it is to be answered
-	Partial bool // a request has begun to arrive
-	Unread  bool // bytes wait to be looked at, or to be read
+	Open    bool // a request on it has not been answered
+	Partial bool // a request has been received in part
+	Unread  bool // received bytes have not been parsed, or not been read from the socket
 }
 
-// Close says whether a connection may be ended without a further answer: what has been read
-// is owed one.
+// Close checks whether a connection may be closed without a further answer. Every request
+// that has been read must get one.
 func Close(c Connection) Verdict {
 	switch {
 	case c.Open:
@@ -165,15 +168,15 @@
 	return Allowed
 }
 
-// Process is the process once it was told to end and listens no more.
+// Process describes the process after it was told to end and has closed its listeners.
 type Process struct {
-	Open    int // requests and parts that are to be answered
+	Open    int // requests and parts that have not been answered
 	Clients int // connections on which a request may have been read
 	Now     time.Duration
-	Last    time.Duration // from when on nothing is waited for
+	Last    time.Duration // when to stop waiting for clients to close their connections
 }
 
-// End says whether the process may end.
+// End checks whether the process may end.
 func End(p Process) Verdict {
 	switch {
 	case p.Open > 0:
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -13,7 +13,7 @@
 	window = time.Second
 )
 
-// sound is an attempt that nothing speaks against.
+// sound returns an attempt that breaks no rule.
 func sound() Attempt {
 	return Attempt{Now: now, Stop: now + time.Second, Listed: true, HoldsShard: true, RepeatWindow: window}
 }
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestAShortGraceIsNoGrace: where the grace is shorter than we may be held up, nothing is sent.
+// TestAShortGraceIsNoGrace checks that nothing is sent to a draining server if the grace is
+// no longer than the margin for a stalled process.
 func TestAShortGraceIsNoGrace(t *testing.T) {
 	a := sound()
 	a.IsDraining, a.DrainedAt = true, now-1
