--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -1,6 +1,8 @@
-// Package storm sees retry storms: clients that ask again faster than they are
-// answered, until asking again is what keeps the service down. It is pure: no I/O, no
-// clock, no goroutine; each event costs the same, and its memory is bounded.
+// Package storm detects retry storms: clients retry faster than they are answered, until
+// the retries themselves keep the service from recovering.
+//
+// The package is pure: no I/O, no clock, no goroutine. Each event takes constant time, and
+// memory is bounded.
 package storm
 
 import (
@@ -9,15 +11,15 @@
 	"time"
 )
 
-// State is how the service stands.
+// State is a state of the service.
 type State uint8
 
-// The states, in the order in which a storm goes through them.
+// The states, in the order in which a storm passes through them.
 const (
 	Calm       State = iota
-	Rising           // clients ask again, and less is answered in time
-	Storm            // most of what is offered is not answered in time, and much of it is asked again
-	Recovering       // answers are back; clients still ask again
+	Rising           // clients retry, and fewer queries are answered in time
+	Storm            // most queries are not answered in time, and many are retries
+	Recovering       // queries are answered in time again, but clients still retry
 )
 
 var names = [...]string{"calm", "rising", "storm", "recovering"}
@@ -25,39 +27,39 @@
 func (s State) String() string { return names[s] }
 
 const (
-	fast        = time.Second            // pace of what is seen now
-	surgePace   = 300 * time.Millisecond // pace by which repeats that have stopped are known to have
-	usualPace   = 60 * time.Second       // pace of what is usual; it learns while all is calm
-	memory      = 4 * time.Second        // how long a query is remembered, to know its repeat
+	fast        = time.Second            // averaging time of the current rates
+	surgePace   = 300 * time.Millisecond // averaging time by which it is known that retries have stopped
+	usualPace   = 60 * time.Second       // averaging time of the usual rate, learned while calm
+	memory      = 4 * time.Second        // how long a query is remembered, to recognize its retry
 	maxSeen     = 4096                   // queries remembered
-	leastEvents = 5.0                    // queries within the fast pace under which shares say nothing
+	leastEvents = 5.0                    // queries within the fast averaging time below which shares mean nothing
 )
 
-// Shares at which the state changes, and for how long they must hold. Each way back
-// asks for more than the way there left, so that nothing flaps.
+// Thresholds at which the state changes, and how long they must be met. Leaving a state
+// takes better figures than those at which it was entered, so that the state does not flap.
 const (
-	risingRetries = 0.25 // of what is asked
-	risingGood    = 0.85 // in time, of what is asked
-	backGood      = 0.75
-	calmRetries   = 0.10
-	calmGood      = 0.93
-	surgeShare    = 0.5 // of those shares of repeats, that must still be coming
-	holdUp        = 1500 * time.Millisecond
-	holdDown      = 2 * time.Second
+	risingRetries = 0.25                    // Rising: share of retries among the queries, above this
+	risingGood    = 0.85                    // Rising: share of queries answered in time, below this
+	backGood      = 0.75                    // Recovering: share of queries answered in time, above this
+	calmRetries   = 0.10                    // Calm: share of retries among the queries, below this
+	calmGood      = 0.93                    // Calm: share of queries answered in time, above this
+	surgeShare    = 0.5                     // share of risingRetries that must still be coming in
+	holdUp        = 1500 * time.Millisecond // before a change to Rising or Storm
+	holdDown      = 2 * time.Second         // before a change to Recovering or Calm
 )
 
-// Shares at which it is a storm. They may change in service: what is usual is the
-// operators' to know.
+// Shares are the thresholds of a storm. Operators may change them while the service runs,
+// as they know what is usual for their clients.
 type Shares struct {
-	Retries float64 // more than so much of what is asked is asked again
-	Good    float64 // and less than so much of what ends is answered in time
+	Retries float64 // a storm has a greater share of retries among the queries
+	Good    float64 // and a smaller share of queries that are answered in time
 }
 
-// Usual are the shares where nobody names others.
+// Usual are the default thresholds.
 var Usual = Shares{Retries: 0.35, Good: 0.5}
 
-// Bounds of the shares: under the least retries a storm would begin before it rises, and
-// over the most in time it would be over as it begins.
+// Bounds of the thresholds. With fewer retries a storm would begin before the Rising
+// state, and with more queries in time it would end as it begins.
 const (
 	LeastRetries = risingRetries
 	MostRetries  = 0.9
@@ -65,7 +67,7 @@
 	MostGood     = backGood
 )
 
-// rate is a number of events a second, smoothed by a pace.
+// rate is a count of events that decays exponentially with time constant pace.
 type rate struct {
 	sum  float64
 	at   time.Duration
@@ -77,32 +79,32 @@
 	r.at = now
 }
 
-// count is the number of late, older ones counting less.
+// count returns the decayed number of events.
 func (r *rate) count(now time.Duration) float64 {
 	return r.sum * math.Exp(-(now-r.at).Seconds()/r.pace.Seconds())
 }
 
 func (r *rate) perSecond(now time.Duration) float64 { return r.count(now) / r.pace.Seconds() }
 
-// Watch sees how one mixer's service stands.
+// Watch tracks the state of one mixer's service. It is not safe for concurrent use.
 type Watch struct {
 	state                State
 	since                time.Duration // when the state began
-	held                 time.Duration // since when the next state's condition holds; 0: it does not
+	held                 time.Duration // since when the condition of next has been met; 0: it is not
 	next                 State
-	firsts, again, surge rate
-	good, bad            rate
-	usual                rate
-	kept                 float64 // of usual, while all is not calm
-	seen                 map[uint64]time.Duration
-	order                []uint64
-	head                 int
-	began                bool
-	start                time.Duration
+	firsts, again, surge rate                     // first tries; retries; retries, with the short averaging time
+	good, bad            rate                     // queries answered in time; all others that ended
+	usual                rate                     // first tries while calm
+	kept                 float64                  // usual first tries a second, as of the end of calm
+	seen                 map[uint64]time.Duration // remembered queries by hash, and when they last came
+	order                []uint64                 // ring of the remembered hashes
+	head                 int                      // oldest entry of the ring, once it is full
+	began                bool                     // a query has come
+	start                time.Duration            // when learning the usual rate began
 	at                   Shares
 }
 
-// New returns a Watch that has seen nothing.
+// New returns a Watch in state Calm.
 func New() *Watch {
 	w := &Watch{at: Usual, seen: map[uint64]time.Duration{}, order: make([]uint64, 0, maxSeen)}
 	for _, r := range []*rate{&w.firsts, &w.again, &w.good, &w.bad} {
@@ -112,18 +114,18 @@
 	return w
 }
 
-// Set has other shares tell a storm from now on.
+// Set sets the thresholds of a storm.
 func (w *Watch) Set(s Shares) { w.at = s }
 
-// Figures are what a state was judged by.
+// Figures are the measurements that the state follows from.
 type Figures struct {
 	Firsts  float64 // first tries a second
-	Retries float64 // repeats a second
-	Usual   float64 // first tries a second while all was calm
-	Good    float64 // share of what ended that was answered in time
+	Retries float64 // retries a second
+	Usual   float64 // first tries a second while calm
+	Good    float64 // share of ended queries that were answered in time
 }
 
-// RetryShare is the share of what is asked that is asked again.
+// RetryShare returns the share of retries among the queries.
 func (f Figures) RetryShare() float64 {
 	if f.Firsts+f.Retries == 0 {
 		return 0
@@ -131,24 +133,25 @@
 	return f.Retries / (f.Firsts + f.Retries)
 }
 
-// Change is a change of state, with what it was judged by.
+// Change is a change of state, with the measurements that led to it.
 type Change struct {
 	From, To State
-	After    time.Duration // that the old state lasted
+	After    time.Duration // how long the old state lasted
 	Figures
 }
 
+// String describes the change for the log.
 func (c Change) String() string {
 	return fmt.Sprintf("%v after %v of %v: %.0f%% answered in time, %.1f first tries and %.1f repeats a second, %.1f first tries usually",
 		c.To, c.After.Round(10*time.Millisecond), c.From, 100*c.Good, c.Firsts, c.Retries, c.Usual)
 }
 
-// State is how the service stands.
+// State returns the current state.
 func (w *Watch) State() State { return w.state }
 
-// Asked notes a query. Marked is what its client says; sum stands for its key, or for
-// its content where it has none, and may be 0. It tells whether the query is a repeat,
-// also of one whose client does not say so.
+// Asked records a query and reports whether it is a retry. Marked says that the client
+// declares it as one. Sum is a hash of the query's key or, if it has none, of its content,
+// by which retries that are not declared are recognized; 0 if there is no hash.
 func (w *Watch) Asked(now time.Duration, marked bool, sum uint64) (repeat bool) {
 	if !w.began {
 		w.began, w.start, w.since = true, now, now
@@ -170,11 +173,11 @@
 	return false
 }
 
-// remember keeps the latest queries in a ring.
+// remember keeps the latest queries in a ring of maxSeen hashes.
 func (w *Watch) remember(now time.Duration, sum uint64, known bool) {
 	w.seen[sum] = now
 	switch {
-	case known: // it keeps its place, and may be forgotten a little early
+	case known: // it keeps its place in the ring, so it may be forgotten a little early
 	case len(w.order) < maxSeen:
 		w.order = append(w.order, sum)
 	default:
@@ -184,7 +187,8 @@
 	}
 }
 
-// Ended notes how a query ended: answered while it was worth its whole, or not.
+// Ended records how a query ended. InTime says that it was answered within the aim of its
+// class, while the answer had its full worth.
 func (w *Watch) Ended(now time.Duration, inTime bool) {
 	if inTime {
 		w.good.add(now, 1)
@@ -193,7 +197,7 @@
 	}
 }
 
-// Figures are those of now.
+// Figures returns the current measurements.
 func (w *Watch) Figures(now time.Duration) Figures {
 	f := Figures{Firsts: w.firsts.perSecond(now), Retries: w.again.perSecond(now), Good: 1}
 	if f.Usual = w.kept; w.state == Calm {
@@ -206,7 +210,8 @@
 	return f
 }
 
-// Judge looks at the state; it is called now and then, and tells of a change.
+// Judge updates the state and returns the change, if there is one. It is to be called at
+// regular intervals.
 func (w *Watch) Judge(now time.Duration) (Change, bool) {
 	f := w.Figures(now)
 	to := w.want(now, f)
@@ -226,7 +231,7 @@
 	}
 	c := Change{From: w.state, To: to, After: now - w.since, Figures: f}
 	if w.state == Calm {
-		w.kept = f.Usual // an outage does not change what is usual
+		w.kept = f.Usual // the usual rate is not learned during an outage
 	}
 	if to == Calm {
 		w.usual.sum, w.usual.at, w.start = w.kept*usualPace.Seconds(), now, 0
@@ -235,12 +240,13 @@
 	return c, true
 }
 
-// want is the state that the figures speak for. Much that is asked for the first time
-// is no storm, whatever becomes of it; nor is little that is asked again.
+// want returns the state that the figures call for. A surge of first tries is no storm,
+// however they end; nor is a small number of retries.
 func (w *Watch) want(now time.Duration, f Figures) State {
 	few := w.good.count(now)+w.bad.count(now) < leastEvents
 	retries := f.RetryShare()
-	// A wave of refusals that is over leaves repeats behind that come no more.
+	// After a short burst of refusals the retries still show in the averages, though no
+	// more are coming.
 	coming := w.surge.perSecond(now) > surgeShare*risingRetries*(f.Firsts+f.Retries)
 	storm := !few && coming && retries > w.at.Retries && f.Good < w.at.Good
 	switch w.state {
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -10,20 +10,21 @@
 	"kiteloft/internal/standin/pure"
 )
 
-// TestPure: no I/O, no clock, no goroutine, and nothing of the rest of the program.
+// TestPure checks by its imports that the package has no I/O, clock or goroutine, and uses
+// nothing else of the program.
 func TestPure(t *testing.T) {
 	pure.Imports(t, "fmt", "math", "time")
 }
 
-// stretch is a time in which so much is asked and answered.
+// stretch is a period with constant rates of queries and answers.
 type stretch struct {
 	seconds       float64
 	first, repeat int     // a second
 	good          float64 // share answered in time
-	unmarked      bool    // clients don't say that they ask again
+	unmarked      bool    // clients don't declare their retries
 }
 
-// play goes through stretches and returns the states in order.
+// play simulates stretches and returns the states in order.
 func play(w *Watch, list []stretch) (states []State) {
 	now := time.Hour
 	id, asked, good := uint64(0), 0.0, 0.0
@@ -82,7 +83,7 @@
 	}
 }
 
-// TestWhatIsUsualIsLearnedInCalm: an outage does not change what counts as usual.
+// TestWhatIsUsualIsLearnedInCalm checks that an outage does not change the usual rate.
 func TestWhatIsUsualIsLearnedInCalm(t *testing.T) {
 	w := New()
 	play(w, []stretch{{seconds: 60, first: 30, good: 1}, {seconds: 20, first: 10, repeat: 200}})
@@ -91,8 +92,8 @@
 	}
 }
 
-// TestNoFigureIsOdd plays random events: shares stay shares, memory is bounded, states
-// follow one another only as they may.
+// TestNoFigureIsOdd feeds random events: shares stay within 0 and 1, memory is bounded,
+// and only the allowed changes of state occur.
 func TestNoFigureIsOdd(t *testing.T) {
 	next := map[State][]State{Calm: {Rising}, Rising: {Storm, Calm}, Storm: {Recovering}, Recovering: {Storm, Calm}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,7 +125,7 @@
 	})
 }
 
-// TestManyQueriesAreForgotten goes beyond what is remembered.
+// TestManyQueriesAreForgotten sends three times as many queries as are remembered.
 func TestManyQueriesAreForgotten(t *testing.T) {
 	w := New()
 	for i := range uint64(3 * maxSeen) {
