--- a/internal/node/flight/flight.go
+++ b/internal/node/flight/flight.go
@@ -1,11 +1,11 @@
-// Package flight is the protocol of stock nodes that speak Arrow Flight. Each
-// part is a DoGet of its own; it is in only when its stream has ended with OK.
-// All of it runs on the core's goroutine.
+// Package flight implements the protocol of stock nodes that speak Arrow Flight. Each part
+// is a DoGet call of its own, and counts as answered only when its stream has ended with
+// status OK. All of the package runs on the core's goroutine.
 //
-// A ticket is JSON: {"id":"fl-....3","class":"stock-report","slice":3,
-// "filter":"..."}, and in a second step "from":[3,5] and "whole":true besides.
-// grpc-timeout says how long the part is waited for; idempotency-key is the
-// query's key. The stream's application metadata may say {"score":1840277719}.
+// The ticket is JSON: {"id":"fl-....3","class":"stock-report","slice":3,"filter":"..."}.
+// In a second step it also has "from":[3,5] and "whole":true. The header grpc-timeout says
+// how long the part is waited for, and idempotency-key holds the query's key. The stream's
+// application metadata may hold the part's score as {"score":1840277719}.
 package flight
 
 import (
@@ -27,36 +27,38 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Scheme is that of the addresses of such nodes.
+// Scheme is the scheme in the addresses of nodes that speak Arrow Flight.
 const Scheme = "grpc+tcp"
 
 const (
 	maxMessage = 1 << 20 // bytes of one message of a node
-	maxAnswer  = 1 << 20 // bytes of a whole stream
+	maxAnswer  = 1 << 20 // bytes of all messages of a stream
 )
 
-// Protocol begins a session.
+// Protocol returns a session for a link. It is a node.Protocol.
 func Protocol(l *node.Link) node.Session {
 	s := &session{l: l}
 	s.h2 = h2.New(false, streams{s}, l.Write)
 	return s
 }
 
+// session implements node.Session on one HTTP/2 connection.
 type session struct {
 	l  *node.Link
 	h2 *h2.Conn
 }
 
-// part is one DoGet.
+// part is a DoGet call for a part of a query, or the call of a probe.
 type part struct {
 	t     *node.Ticket // nil: a probe
 	s     *h2.Stream
 	msgs  h2.Messages
-	list  [][]byte
-	bytes int
-	ended bool // its outcome is known
+	list  [][]byte // messages received
+	bytes int      // their size
+	ended bool     // its outcome is known
 }
 
+// ticket is the JSON content of a Flight ticket.
 type ticket struct {
 	ID     string `json:"id"`
 	Class  string `json:"class"`
@@ -99,6 +101,7 @@
 	}
 }
 
+// head returns the request headers of a Flight method.
 func head(method, timeout string) []hpack.HeaderField {
 	return []hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
 		{Name: ":path", Value: "/arrow.flight.protocol.FlightService/" + method}, {Name: ":authority", Value: "stock-node"},
@@ -122,9 +125,9 @@
 	}
 }
 
-// Probe implements node.Session: a ping of gRPC's would show only that the
-// connection lives, so the node is asked for the schema of nothing, which any
-// answer to proves that it runs.
+// Probe implements node.Session. It calls GetFlightInfo with an empty command. Any answer,
+// even an error, proves that the node runs, while an HTTP/2 ping would show only that the
+// connection is alive.
 func (s *session) Probe() {
 	b, err := proto.Marshal(&flight.FlightDescriptor{Type: flight.FlightDescriptor_CMD, Cmd: []byte("{}")})
 	if err != nil || s.h2.Room() == 0 {
@@ -145,7 +148,7 @@
 // Data implements node.Session.
 func (s *session) Data(b []byte) error { return s.h2.Receive(b) }
 
-// streams is the session as h2.Handler.
+// streams implements h2.Handler for a session.
 type streams struct{ *session }
 
 // Headers implements h2.Handler.
@@ -170,15 +173,16 @@
 	}
 }
 
-// heard notes that a part's answer has begun.
+// heard records in the trace that a part's answer has begun.
 func (s *session) heard(p *part) {
 	if p.t != nil {
 		p.t.Heard(s.l.Now())
 	}
 }
 
-// Outcome maps a node's status to the module's outcome. Only a refusal, which
-// says when to come back, and a full queue prove that the part never ran.
+// Outcome maps a node's status to the module's outcome. Only two statuses prove that the
+// part never ran: Unavailable with a pushback, which is a refusal, and ResourceExhausted,
+// which is a full queue.
 func Outcome(st h2.Status) decide.Outcome {
 	switch {
 	case st.Code == codes.OK:
@@ -191,6 +195,7 @@
 	return decide.Failed
 }
 
+// failed ends a part without an answer, or a probe.
 func (s *session) failed(p *part, o decide.Outcome) {
 	if p.ended {
 		return
@@ -198,7 +203,7 @@
 	p.ended, p.list = true, nil
 	if p.t == nil {
 		if o == decide.Failed {
-			o = decide.OK // an error is an answer, too: the node runs
+			o = decide.OK // an error is an answer too: the node runs
 		}
 		s.l.Probed(o)
 		return
@@ -206,7 +211,7 @@
 	s.l.Done(p.t, o, 0, nil)
 }
 
-// served takes the part's value from a stream that ended with OK.
+// served ends a part with the value from its stream, which has ended with status OK.
 func (s *session) served(p *part) {
 	if p.t == nil || p.msgs.Rest() {
 		s.failed(p, decide.Failed)
@@ -222,7 +227,7 @@
 		Score float64 `json:"score"`
 	}
 	if len(meta) > 0 && json.Unmarshal(meta, &m) != nil {
-		m.Score = 0 // no score: the part comes last in the choice of the second step
+		m.Score = 0 // without a score the part comes last in the choice for the second step
 	}
 	for _, v := range values {
 		if v.Shard == p.t.Shard {
@@ -246,14 +251,14 @@
 	for _, m := range list {
 		p.bytes += len(m)
 	}
-	// Guards memory against an answer without end.
+	// Bounds memory if a node's answer does not end.
 	if err != nil || p.bytes > maxAnswer {
 		s.failed(p, decide.Failed)
 		st.Reset(http2.ErrCodeCancel)
 		return
 	}
 	p.list = append(p.list, list...)
-	if end { // without trailers, so without a status: cut
+	if end { // without trailers there is no status: the stream was cut off
 		s.failed(p, decide.Failed)
 	}
 }
--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -11,16 +11,18 @@
 	"kiteloft/internal/frames"
 )
 
-// Frames is the protocol of stock nodes that take frames.
+// Frames returns a session of the frame protocol. It is the Protocol of stock nodes whose
+// address has no scheme.
 func Frames(l *Link) Session { return &frameSession{l: l} }
 
+// frameSession implements Session for the frame protocol.
 type frameSession struct {
 	l      *Link
 	parser frames.Parser
 }
 
-// list is the list of a part: how long it is waited for, and what its class and
-// step ask for.
+// list returns the parameter list of a part: the time left, and what its class and step
+// require besides.
 func list(t *Ticket, left time.Duration) string {
 	b := append([]byte("d="), strconv.FormatInt(max(1, left.Milliseconds()), 10)...)
 	if t.Key != "" {
@@ -44,6 +46,7 @@
 	return string(b)
 }
 
+// Send implements Session.
 func (s *frameSession) Send(call []*Ticket) {
 	parts := make([]frames.Part, 0, len(call))
 	for _, t := range call {
@@ -55,21 +58,25 @@
 	}
 }
 
+// Sent implements Session.
 func (s *frameSession) Sent(t *Ticket) (int64, bool) {
 	at, ok := t.User.(int64)
 	return at, ok
 }
 
+// GiveUp implements Session.
 func (s *frameSession) GiveUp(t *Ticket) { s.l.Write(frames.Append(nil, frames.GiveUp, []byte(t.ID))) }
 
+// Probe implements Session.
 func (s *frameSession) Probe() { s.l.Write(frames.Append(nil, frames.Probe, nil)) }
 
 // Partial implements Session.
 func (s *frameSession) Partial() bool { return s.parser.Partial() }
 
-// Room implements Session; a node that takes frames names no limit of its own.
+// Room implements Session. The frame protocol has no limit set by the node.
 func (s *frameSession) Room() int { return 1 << 20 }
 
+// Data implements Session.
 func (s *frameSession) Data(b []byte) error {
 	s.parser.Write(b)
 	for {
@@ -81,7 +88,7 @@
 		case frames.Result:
 			r, err := frames.ParseReply(f.Rest)
 			if err == nil && !utf8.Valid(r.Value) {
-				err = errors.New("a value that is no text") // no client could be given it unchanged
+				err = errors.New("a value that is no text") // it could not be passed on to a client unchanged
 			}
 			if err != nil {
 				return err
@@ -107,6 +114,7 @@
 	}
 }
 
+// outcome maps the end letter of a result to the module's outcome.
 func outcome(end byte) decide.Outcome {
 	switch end {
 	case 'S':
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
-// Package node carries attempts to stock nodes: it holds the connections to them
-// and says what the end of one means for the attempts on it. What is said on a
-// connection is a Session's business; the one for frames is here. All of it runs
-// on the core's goroutine.
+// Package node sends attempts to stock nodes. It keeps the connections to them and decides
+// what the end of a connection means for the attempts on it. The protocol on a connection
+// is up to a Session; the Session of the frame protocol is here. All of the package runs on
+// the core's goroutine.
 package node
 
 import (
@@ -21,60 +21,60 @@
 	"kiteloft/internal/transport"
 )
 
-// Limits are the figures that connections to nodes keep to.
+// Limits are the limits of connections to nodes.
 type Limits struct {
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // the node's machine closes a connection idle for so long
+	ConnIdle       time.Duration // idle time after which the node's machine closes a connection; 0: never
 	StreamsPerConn int           // parts out on one connection; 0: no limit
 }
 
 const (
-	idleMargin   = 0.1 // share of ConnIdle before its end at which we close
-	sweepPace    = 250 * time.Millisecond
-	goneMemory   = 10 * time.Second       // how long the result of a part given up, or a second copy, may still come
-	silentTime   = 200 * time.Millisecond // after so long without a word, what waits shows that a connection may be dead
-	mostUnheard  = 3                      // parts called off in a row, without a word, that count as a silence
-	mostSilent   = 3                      // silent connections to a node beyond which no other is opened for that
-	stallTime    = 100 * time.Millisecond // how long a message that has begun may stand still
+	idleMargin   = 0.1                    // part of ConnIdle, before its end, in which we close the connection ourselves
+	sweepPace    = 250 * time.Millisecond // interval between sweeps
+	goneMemory   = 10 * time.Second       // how long the answer to a cancelled part, or a second answer, may still come
+	silentTime   = 200 * time.Millisecond // without a byte for so long while something waits, a connection may be dead
+	mostUnheard  = 3                      // cancelled parts in a row, without a byte from the node, that count as silence
+	mostSilent   = 3                      // silent connections to one node above which no new one is opened in their place
+	stallTime    = 100 * time.Millisecond // how long the rest of a message may fail to come
 	probeTimeout = 500 * time.Millisecond
 )
 
-// Core is what this package needs of the core.
+// Core is the part of broker.Core that this package uses.
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
 	Ended(a *broker.Attempt, o decide.Outcome, score int64, value []byte)
-	// Instant is the clock at this very moment.
+	// Instant reads the clock.
 	Instant() time.Duration
-	// MaySend tells whether an attempt may be written at this very moment.
+	// MaySend reports whether an attempt may be written now.
 	MaySend(a *broker.Attempt) bool
-	// Wrote checks an attempt that was written, by how long its node was told to be waited for.
+	// Wrote checks an attempt that was written; told is the time left that its node was sent.
 	Wrote(a *broker.Attempt, told time.Duration)
 }
 
-// Session is what is said on one connection.
+// Session speaks the protocol of one connection.
 type Session interface {
 	// Send writes a call.
 	Send(call []*Ticket)
-	// GiveUp tells the node that a part is not waited for any more.
+	// GiveUp tells the node to cancel a part.
 	GiveUp(t *Ticket)
-	// Data takes what the node says; an error ends the connection.
+	// Data takes bytes received from the node. An error closes the connection.
 	Data(b []byte) error
-	// Probe checks the node; its result goes to Link.Probed.
+	// Probe checks the node. The session reports the result by Link.Probed.
 	Probe()
-	// Partial reports whether a message has begun and not ended.
+	// Partial reports whether a message has been received in part.
 	Partial() bool
-	// Room is how many more parts the node lets us send.
+	// Room returns how many more parts the node accepts now.
 	Room() int
-	// Sent is the offset of the last byte of a ticket's call, and whether all of
-	// it was handed to the connection.
+	// Sent returns the offset in the connection's output of the last byte of a ticket's
+	// call, and whether all of the call was handed to the connection.
 	Sent(t *Ticket) (int64, bool)
 }
 
-// Protocol begins a session on a link that has come up.
+// Protocol returns a session for a link whose connection has been opened.
 type Protocol func(l *Link) Session
 
-// Links holds the connections to all nodes. It implements broker.Nodes.
+// Links is the pool of connections to all nodes. It implements broker.Nodes.
 type Links struct {
 	core      Core
 	net       transport.Dialer
@@ -82,45 +82,47 @@
 	log       zerolog.Logger
 	Counts    *counts.Set         // nil: nothing is counted
 	protocols map[string]Protocol // by the scheme of the node's address
-	peers     map[string]*peer    // by id
+	peers     map[string]*peer    // by node id
 }
 
+// peer is a node and the connections to it.
 type peer struct {
 	id, addr string
 	links    []*Link
 	listed   bool
 }
 
-// Link is one connection, or one being opened.
+// Link is a connection to a node, or one that is being opened.
 type Link struct {
 	ls      *Links
 	peer    *peer
 	addr    string
-	conn    *transport.Conn // nil while it is being opened
-	session Session         // nil as long
-	ended   bool
+	conn    *transport.Conn          // nil while it is being opened
+	session Session                  // nil while conn is nil
+	ended   bool                     // it is closed, or about to be: it takes no more parts
 	waiting [][]*Ticket              // calls that wait for the connection
-	out     map[string]*Ticket       // by wire id
-	gone    map[string]time.Duration // ids given up, and when: their result may still come
-	done    map[string]time.Duration // ids answered, and when
-	unread  unread                   // parts given up that the node may not have read of
-	retired bool                     // the node said more than it was asked: nothing new goes here
-	partial bool                     // a message has begun, and a look at it is due
+	out     map[string]*Ticket       // parts that wait for their answer, by id on the wire
+	gone    map[string]time.Duration // ids of cancelled parts, and when: their answer may still come
+	done    map[string]time.Duration // ids of answered parts, and when
+	unread  unread                   // cancelled parts whose cancellation the node may not have read
+	retired bool                     // the node sent an answer twice: no more parts are sent here
+	partial bool                     // a check of an incomplete message is scheduled
 	heard   time.Duration            // when bytes last came
-	began   time.Duration            // when the message that is coming in began
-	waits   time.Duration            // since when something has waited for a word; 0: nothing does
+	began   time.Duration            // when the first byte of the current message came
+	waits   time.Duration            // since when the node has owed an answer without sending a byte; 0: it owes none
 	probes  []*probe                 // in the order in which their answers come
-	used    time.Duration
+	used    time.Duration            // when bytes were last sent or received
 }
 
-// probe is one that was sent, or waits for the connection.
+// probe is a probe that was sent or waits for the connection.
 type probe struct {
 	done func(decide.Outcome)
-	told bool
-	at   time.Duration
-	seq  int64
+	told bool          // done was called
+	at   time.Duration // when it was asked for
+	seq  int64         // its number in Link.unread
 }
 
+// end calls done, unless it was called before.
 func (p *probe) end(o decide.Outcome) {
 	if !p.told {
 		p.told = true
@@ -128,28 +130,28 @@
 	}
 }
 
-// Ticket is an attempt's place on a link.
+// Ticket is an attempt that was assigned to a link.
 type Ticket struct {
 	*broker.Attempt
 	ID   string // on the wire
-	User any    // the session's own
+	User any    // state of the Session
 	link *Link
-	sent bool // the session has it
-	seq  int64
-	told time.Duration // how long the node was told to be waited for; 0: it was not
+	sent bool          // it was handed to the session
+	seq  int64         // its number in Link.unread
+	told time.Duration // time left that the node was sent; 0: none
 }
 
-// New returns Links without connections. Protocols are found by the scheme of a
-// node's address, "" where it has none.
+// New returns Links without connections. Protocols holds the protocol for each scheme of
+// a node's address; the scheme is "" if the address has none.
 func New(core Core, net transport.Dialer, lim Limits, protocols map[string]Protocol, log zerolog.Logger) *Links {
 	return &Links{core: core, net: net, lim: lim, log: log, protocols: protocols, peers: map[string]*peer{}}
 }
 
-// Start begins to look after idle connections.
+// Start starts the periodic sweep of idle connections.
 func (ls *Links) Start() { ls.core.After(sweepPace, ls.sweep) }
 
-// sweep closes connections before the node's machine does: what is written to
-// one that it has closed ends as a reset.
+// sweep closes idle connections before the node's machine does. What is written to a
+// connection that the machine has just closed would end as a reset.
 func (ls *Links) sweep() {
 	now := ls.core.Now()
 	open := 0
@@ -178,29 +180,29 @@
 	ls.core.After(sweepPace, ls.sweep)
 }
 
-// quiet tells whether nobody waits for anything on the connection.
+// quiet reports whether no part and no probe waits for an answer on the connection.
 func (l *Link) quiet() bool {
 	return len(l.out) == 0 && !l.probing()
 }
 
-// probing tells whether a probe is out on the connection.
+// probing reports whether a probe waits for its answer on the connection.
 func (l *Link) probing() bool {
 	return slices.ContainsFunc(l.probes, func(p *probe) bool { return !p.told })
 }
 
-// silent tells whether the node has left the connection without a word for so
-// long that it may be dead, though nothing says so: it is passed over until a word
-// comes, for a node whose other connections live.
+// silent reports whether the node has owed an answer without sending a byte for so long
+// that the connection may be dead, though TCP reports no error. Such a connection is passed
+// over until a byte comes, as the node's other connections may be alive.
 func (l *Link) silent() bool { return l.waits > 0 && l.ls.core.Now()-l.waits > silentTime }
 
-// asks notes that a word is waited for.
+// asks records that the node owes an answer.
 func (l *Link) asks() {
 	if l.waits == 0 {
 		l.waits = l.ls.core.Now()
 	}
 }
 
-// fresh tells whether a connection is far from being closed as idle.
+// fresh reports whether the connection is not close to the end of its idle time.
 func (l *Link) fresh() bool {
 	idle := l.ls.lim.ConnIdle
 	return idle <= 0 || l.ls.core.Now()-l.used < idle-time.Duration(idleMargin*float64(idle))-sweepPace
@@ -218,17 +220,18 @@
 	}
 }
 
+// peer returns the peer of a node. It creates it if needed and updates its address.
 func (ls *Links) peer(n broker.Node) *peer {
 	p := ls.peers[n.ID]
 	if p == nil {
 		p = &peer{id: n.ID, listed: true}
 		ls.peers[n.ID] = p
 	}
-	p.addr = n.Addr // connections to an old address end when they are idle
+	p.addr = n.Addr // connections to an old address are closed when they are idle
 	return p
 }
 
-// WireID is the id of an attempt's part on the wire.
+// WireID returns the id of an attempt's part on the wire.
 func WireID(a *broker.Attempt) string {
 	id := a.WireID + "." + strconv.Itoa(a.Shard)
 	if a.Second {
@@ -239,7 +242,7 @@
 
 // Send implements broker.Nodes.
 func (ls *Links) Send(n broker.Node, call []*broker.Attempt) {
-	call = slices.DeleteFunc(call, (*broker.Attempt).Over) // ended in the step that sent them
+	call = slices.DeleteFunc(call, (*broker.Attempt).Over) // the same step may have ended some
 	p := ls.peer(n)
 	for len(call) > 0 {
 		l := ls.find(p, call)
@@ -263,8 +266,8 @@
 	}
 }
 
-// find returns a connection that takes the call, or else its first part, or a
-// new one; nil where there may be none.
+// find returns a connection that takes the whole call, or else one that takes its first
+// part, or else a new one. It returns nil if none takes it and no new one may be opened.
 func (ls *Links) find(p *peer, call []*broker.Attempt) *Link {
 	mute := 0
 	for _, want := range [][]*broker.Attempt{call, call[:1]} {
@@ -278,7 +281,8 @@
 			}
 		}
 	}
-	// Guards descriptors, and the node, against new connections to one that hangs.
+	// Bounds file descriptors, and spares a node that hangs, by not opening a connection each
+	// time that the others fall silent.
 	if mute > mostSilent {
 		for _, l := range slices.Backward(p.links) {
 			if l.addr == p.addr && l.takes(call[:1]) {
@@ -290,18 +294,19 @@
 	return ls.open(p)
 }
 
-// stalled tells whether the node does not take what was written. What is written behind
-// that reaches it at a time of its own choosing: after its window, or its query's answer.
+// stalled reports whether bytes that were written have not been sent, as the node does not
+// read. What is written behind them may reach the node too late: after the drain grace or the
+// repeat window, or after its query was answered.
 func (l *Link) stalled() bool { return l.conn != nil && !l.conn.Idle() }
 
-// takes tells whether the connection has room. An id that is out, or was given
-// up a moment ago, would make its results ambiguous there.
+// takes reports whether the connection has room for a call. It does not take a part whose
+// id is out there, or was cancelled a moment ago: answers to the two could not be told apart.
 func (l *Link) takes(call []*broker.Attempt) bool {
 	room := math.MaxInt
 	if l.ls.lim.StreamsPerConn > 0 {
-		// What was given up holds its place for as long as the node may not have read so.
-		// Beyond the limit a node leaves parts unread, and reads them once it goes on:
-		// after their query's final answer.
+		// A cancelled part holds its place until the node has read the cancellation. A node
+		// leaves parts beyond its limit unread, and would read them once it goes on: after
+		// their query's final answer.
 		room = l.ls.lim.StreamsPerConn - len(l.out) - l.unread.len()
 	}
 	if l.session != nil {
@@ -319,6 +324,7 @@
 	return true
 }
 
+// open starts to open a new connection to a node.
 func (ls *Links) open(p *peer) *Link {
 	l := &Link{ls: ls, peer: p, addr: p.addr, out: map[string]*Ticket{}, gone: map[string]time.Duration{},
 		done: map[string]time.Duration{}, used: ls.core.Now()}
@@ -329,7 +335,7 @@
 	return l
 }
 
-// scheme cuts an address into its scheme, if it has one, and the rest.
+// scheme splits the address into its scheme, "" if it has none, and the rest.
 func (l *Link) scheme() (scheme, hostPort string) {
 	if s, rest, ok := strings.Cut(l.addr, "://"); ok {
 		return s, rest
@@ -337,11 +343,13 @@
 	return "", l.addr
 }
 
+// dialed takes the connection that was opened, or nil and the reason. It sends the calls and
+// probes that have waited for it.
 func (l *Link) dialed(c *transport.Conn, e transport.End) {
 	scheme, _ := l.scheme()
 	protocol := l.ls.protocols[scheme]
 	if c == nil || protocol == nil {
-		if c != nil { // a node that speaks what we don't
+		if c != nil { // no protocol for the scheme of the node's address
 			l.ls.log.Warn().Str("node", l.peer.id).Str("address", l.addr).Msg("node has an address of an unknown kind")
 			l.conn = c
 			c.Close(transport.BadInput)
@@ -361,12 +369,13 @@
 	}
 }
 
-// send writes a call: those of its attempts that may be written now.
+// send writes the attempts of a call that may still be written now. The others end as Moot.
 func (l *Link) send(batch []*Ticket) {
 	batch = slices.DeleteFunc(batch, func(t *Ticket) bool {
 		drop := !l.ls.core.MaySend(t.Attempt)
 		if drop && !t.Over() {
-			// The node is not to blame. The core may not be called back within a step.
+			// Moot, as the node is not at fault. Not at once, as the core must not be called
+			// back within a step.
 			l.ls.core.After(0, func() { l.Done(t, decide.Moot, 0, nil) })
 		}
 		return drop
@@ -403,15 +412,15 @@
 		t.link.unread.gaveUp(t.ID)
 		t.link.session.GiveUp(t)
 	}
-	// A node that stops its work says nothing more: that is no silence. Several parts
-	// in a row that were called off without a word are one: each was answered by a copy
-	// elsewhere, and the connection may have been dead for all of them.
+	// A node sends no answer to a part that was cancelled, so one cancellation does not make
+	// the connection silent. Several cancelled parts in a row without a byte do: a copy
+	// elsewhere answered each of them, and the connection may have been dead all along.
 	l := t.link
 	if l.quiet() && !l.silent() && l.unread.len() < mostUnheard {
 		l.waits = 0
 	}
-	// Guards connections of few streams: with all of them held by what was given up, no
-	// answer would ever show that the node has read so.
+	// Cancelled parts may take up all streams of the connection. As no part can be sent then,
+	// no answer would ever show that the node has read the cancellations; a probe does.
 	if most := ls.lim.StreamsPerConn; t.sent && most > 0 && len(l.out)+l.unread.len() >= most && !l.probing() {
 		l.probe(func(decide.Outcome) {})
 	}
@@ -443,19 +452,19 @@
 		}
 	}
 	if l == nil || l.silent() && mute <= mostSilent {
-		l = ls.open(p) // it may be the connection that is dead, not the node
+		l = ls.open(p) // the connections may be dead, but not the node
 	}
 	l.probe(done)
 }
 
-// probe checks the node by this connection.
+// probe checks the node on this connection, once it is open.
 func (l *Link) probe(done func(decide.Outcome)) {
 	pr := &probe{done: done, at: l.ls.core.Now()}
 	l.probes = append(l.probes, pr)
 	l.ls.core.After(probeTimeout, func() {
 		pr.end(decide.TimedOut)
-		// Guards against a machine that has vanished and may be back: the connection
-		// will never tell, a new one does.
+		// The node's machine may have vanished and come back. This connection would never
+		// show that, so the next probe needs a new one.
 		if l.conn != nil && l.quiet() && l.heard < pr.at {
 			l.ended = true
 			l.conn.Close(transport.LocalDone)
@@ -466,7 +475,7 @@
 	}
 }
 
-// ask sends a probe.
+// ask sends a probe on the open connection.
 func (l *Link) ask(p *probe) {
 	p.seq = l.unread.next()
 	l.asks()
@@ -475,22 +484,22 @@
 
 // ---- for sessions ----
 
-// Now is the core's clock.
+// Now returns the core's clock.
 func (l *Link) Now() time.Duration { return l.ls.core.Now() }
 
-// Write sends bytes; it returns the offset of the last one.
+// Write sends bytes. It returns the offset of the last one in the connection's output.
 func (l *Link) Write(b []byte) int64 { return l.conn.Write(b) }
 
-// Left is how long a ticket will still be waited for, to be told to the node.
+// Left returns how long a ticket will still be waited for, and records it as sent to the node.
 func (l *Link) Left(t *Ticket) time.Duration {
 	t.told = t.Attempt.Left(l.ls.core.Instant())
 	return t.told
 }
 
-// Ticket finds what is out by its id. What comes for an id that was given up is
-// dropped. So is a second copy of an answer: the first was good, but a connection
-// that brings more than belongs to it is not used again. Any other id means that
-// some attempt will never get its own answer.
+// Ticket returns the ticket that waits for an answer, by its id on the wire. It returns nil
+// if the answer is to be dropped: the ticket was cancelled, or this is a second copy of its
+// answer. The first copy was good, but no more parts are sent on a connection that has
+// brought two. Any other id is an error: some attempt will never get its own answer.
 func (l *Link) Ticket(id string) (*Ticket, error) {
 	if t := l.out[id]; t != nil {
 		t.Heard(l.began)
@@ -508,7 +517,7 @@
 	return nil, fmt.Errorf("an answer for %.80q, which was not asked", id)
 }
 
-// Done ends a ticket with the node's word.
+// Done ends a ticket with the node's answer. It does nothing if the ticket has ended.
 func (l *Link) Done(t *Ticket, o decide.Outcome, score int64, value []byte) {
 	if l.out[t.ID] == t {
 		delete(l.out, t.ID)
@@ -528,7 +537,7 @@
 	}
 }
 
-// Complain logs what a node says of us, or can't mean.
+// Complain logs a protocol error, found by the node or in what it sent.
 func (l *Link) Complain(words string) {
 	l.ls.log.Warn().Str("node", l.peer.id).Str("words", words[:min(len(words), 200)]).Msg("node could not use a frame")
 }
@@ -561,15 +570,16 @@
 	}
 }
 
-// spoilt ends a connection whose stream can't be read any further.
+// spoilt closes a connection on which the node sent invalid data.
 func (l *Link) spoilt(err error) {
 	l.ended = true // no send of this step may use it
 	l.ls.log.Warn().Str("node", l.peer.id).Err(err).Msg("node sent what can't be used")
 	l.conn.Close(transport.BadInput)
 }
 
-// halted guards against a length that doesn't fit: the rest of the message never
-// comes, and no answer after it could be told from it.
+// halted closes the connection if no more bytes of an incomplete message have come within
+// stallTime. The length of the message may be wrong: its rest would never come, and later
+// answers would be taken for it.
 func (l *Link) halted() {
 	l.partial = false
 	if l.ended || !l.session.Partial() {
@@ -586,8 +596,8 @@
 // HalfClosed implements transport.Handler; connections we dialed end at once.
 func (l *Link) HalfClosed() {}
 
-// Ended implements transport.Handler: it ends every attempt on the connection,
-// by whether the last byte of its call was written.
+// Ended implements transport.Handler. It ends every attempt on the connection. The outcome
+// depends on whether the last byte of its call was written: only then it may have run.
 func (l *Link) Ended(e transport.End) {
 	l.ended = true
 	l.ls.Counts.Add(counts.Closed, 1)
--- a/internal/node/unread.go
+++ b/internal/node/unread.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// unread keeps, for one connection, the parts that were given up and of which the
-// node may not have read so yet. A node reads in order: what it says of something
-// sent later shows that it has read all before.
+// unread keeps, for one connection, the cancelled parts whose cancellation the node may not
+// have read yet. A node reads in order, so its answer to something that was sent later shows
+// that it has read all before that.
 type unread struct {
-	seq  int64 // of what was sent last
+	seq  int64 // number of the part or probe that was sent last
 	list []givenUp
 }
 
+// givenUp is a cancelled part.
 type givenUp struct {
 	id  string
-	seq int64 // of what was sent last before it was given up
+	seq int64 // number of the part or probe that was sent last before the cancellation
 }
 
-// next numbers something that is sent.
+// next returns the number of a part or probe that is about to be sent.
 func (u *unread) next() int64 {
 	u.seq++
 	return u.seq
 }
 
-// gaveUp notes that a part was given up.
+// gaveUp records that a part was cancelled.
 func (u *unread) gaveUp(id string) { u.list = append(u.list, givenUp{id, u.seq}) }
 
-// read notes a word of the node's on what was sent as number seq.
+// read records that the node has answered the part or probe with number seq.
 func (u *unread) read(seq int64) {
 	n := 0
 	for n < len(u.list) && u.list[n].seq < seq {
@@ -33,10 +34,10 @@
 	u.list = slices.Delete(u.list, 0, n)
 }
 
-// answered notes that the node has ended a part that was given up.
+// answered records that the node has answered a cancelled part.
 func (u *unread) answered(id string) {
 	u.list = slices.DeleteFunc(u.list, func(g givenUp) bool { return g.id == id })
 }
 
-// len is how many parts the node may still hold, or not have read at all.
+// len returns the number of cancelled parts that the node may still hold or not have read.
 func (u *unread) len() int { return len(u.list) }
--- a/internal/node/unread_test.go
+++ b/internal/node/unread_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestUnread follows a connection on which parts are sent and given up.
+// TestUnread sends and cancels parts, and checks after each answer how many cancellations
+// the node may not have read.
 func TestUnread(t *testing.T) {
 	var u unread
 	check := func(what string, want int) {
