--- a/internal/fleet/version/every_test.go
+++ b/internal/fleet/version/every_test.go
@@ -12,39 +12,39 @@
 	"github.com/zeebo/xxh3"
 )
 
-// The state space of two mixers, two versions that contradict each other, and leaders
-// that replace each other, explored whole at small sizes. A unit of time is half of a
-// lease, in which each mixer asks once at most. Any message may be lost, late, or overtaken by time; any process may stand
-// still for as long as it likes, as doing nothing is always one of the ways to go on; a
-// leader that was replaced goes on granting what it believes to be right.
+// The exhaustive exploration of two mixers, two conflicting versions and leaders that
+// replace each other, at small sizes. A unit of time is half of a lease, in which each
+// mixer sends at most one request. Any message may be lost, late or outdated on arrival.
+// Any process may pause for any time, as doing nothing is always one of the next steps. A
+// leader that was replaced goes on granting leases for the state that it knows.
 
 const unit = time.Second
 
-// The versions: each allows the one node that the other bars.
+// The two documents: each allows the one node that the other excludes.
 const (
 	first  = `{"nodes":{"s-1":true,"s-2":false}}`
 	second = `{"nodes":{"s-1":false,"s-2":true}}`
 )
 
-// seat is a leader, or one that was.
+// leader is the present leader or a former one.
 type seat struct {
 	g         *Granter
-	state     State // of an old leader: what it last knew
+	state     State // of a former leader: what it last knew
 	confirmed time.Duration
 	old       bool
 }
 
-// small is one state of it all.
+// modelState is one state of the whole model.
 type small struct {
 	now    time.Duration
-	state  State // agreed
+	state  State // replicated
 	seats  []seat
 	mixers [2]*Lease
-	asks   [2]*Request // on its way
+	asks   [2]*Request // in flight
 	grants [2]*Grant
 	make   func(lease, trial, began time.Duration) *Granter
 	asked  [2]bool // within this unit
-	left   int     // leaders to come
+	left   int     // leader changes still to come
 	proposed,
 	taken bool
 }
@@ -69,8 +69,8 @@
 	return &c
 }
 
-// key tells states apart that can go on differently. Times count from now, as far as
-// they still matter.
+// key is equal for states with the same possible continuations. Times are relative to now
+// and clipped to the range in which they still matter.
 func (s *small) key(lease time.Duration) uint64 {
 	b := make([]byte, 0, 256)
 	num := func(list ...int64) {
@@ -89,11 +89,11 @@
 	}
 	num(int64(s.state.Stage), int64(s.state.Phase), int64(s.left), flag(s.proposed), flag(s.taken))
 	for _, x := range s.seats {
-		if x.old { // it grants what it knows until that can't stand any more; it takes no steps
+		if x.old { // it grants leases on its last state until they could not be valid; it issues no commands
 			num(-1, int64(x.state.Stage), rel(x.confirmed))
 			continue
 		}
-		young := func(at time.Duration) int64 { return rel(max(at, s.now-unit)) } // the time of a trial
+		young := func(at time.Duration) int64 { return rel(max(at, s.now-unit)) } // the duration of a trial
 		num(-6, rel(x.g.began), young(x.g.since), int64(x.g.stage))
 		for _, k := range sorted(x.g.held) {
 			h := x.g.held[k]
@@ -117,7 +117,7 @@
 	return xxh3.Hash(b)
 }
 
-// allows names the nodes that a mixer would send to now.
+// allows returns the nodes that a mixer would send to now.
 func (s *small) allows(i int) (list []string) {
 	r, _ := s.mixers[i].Acts(s.now)
 	for _, node := range []string{"s-1", "s-2"} {
@@ -128,7 +128,7 @@
 	return list
 }
 
-// broken says which promise does not hold.
+// broken describes the invariant that does not hold, or returns "".
 func (s *small) broken() string {
 	a, b := s.allows(0), s.allows(1)
 	if len(a) > 0 && len(b) > 0 && a[0] != b[0] {
@@ -147,7 +147,7 @@
 	return ""
 }
 
-// ways are all ways to go on.
+// successors returns all states that can follow.
 func (s *small) ways(lease time.Duration) (list []*small) {
 	add := func(do func(c *small) bool) {
 		if c := s.clone(); do(c) {
@@ -162,7 +162,7 @@
 	})
 	for i := range s.mixers {
 		if !s.asked[i] {
-			add(func(c *small) bool { // asks; what was on its way is lost
+			add(func(c *small) bool { // sends a request; what was in flight is lost
 				r, ok := c.mixers[i].Ask(c.now)
 				c.asks[i], c.grants[i], c.asked[i] = &r, nil, true
 				return ok
@@ -189,7 +189,7 @@
 			add(func(c *small) bool { c.mixers[i].Granted(c.now, *c.grants[i]); c.grants[i] = nil; return true })
 		}
 	}
-	add(func(c *small) bool { // the leader goes on
+	add(func(c *small) bool { // the leader moves the rollout on
 		x := &c.seats[len(c.seats)-1]
 		cmd, ok := x.g.Next(c.now, c.state)
 		if !ok {
@@ -215,7 +215,7 @@
 		})
 	}
 	if s.left > 0 {
-		add(func(c *small) bool { // another leader; the old one does not know yet
+		add(func(c *small) bool { // another leader is elected; the former one does not know yet
 			c.left--
 			last := &c.seats[len(c.seats)-1]
 			last.old, last.state, last.confirmed = true, c.state, c.now
@@ -226,8 +226,8 @@
 	return list
 }
 
-// explore goes through all states within so many units of time and returns how many
-// there are, and the first broken promise.
+// explore visits all states within a number of units of time and returns how many there
+// are, and the first broken invariant.
 func explore(units, leaders int, withdraw bool, newGranter func(lease, trial, began time.Duration) *Granter) (int, string) {
 	lease := 2 * unit
 	s := &small{now: time.Hour, left: leaders, taken: !withdraw, make: newGranter}
@@ -237,12 +237,12 @@
 	}
 	for i := range s.mixers {
 		s.mixers[i] = NewLease(fmt.Sprintf("m%d", i), uint64(i), lease, s.state, read)
-		s.mixers[i].until = s.now + lease // each has one, that an earlier leader granted
+		s.mixers[i].until = s.now + lease // each has a lease from an earlier leader
 	}
 	s.seats = []seat{{g: newGranter(lease, 0, s.now)}}
 	end := s.now + time.Duration(units)*unit
 	seen := map[uint64]bool{s.key(lease): true}
-	// By time: a state that comes up again later has less time to go on.
+	// In order of time: a state that comes up again later has less time left.
 	for layer := []*small{s}; len(layer) > 0; {
 		var later []*small
 		for len(layer) > 0 {
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestTheExplorationFindsAFault: a leader that does not wait for the leases of the one
-// before it is found.
+// TestExplorationFindsFault guards against an exploration that finds nothing: it has to
+// find a leader that does not wait for the leases of its predecessor to expire.
 func TestTheExplorationFindsAFault(t *testing.T) {
 	n, why := explore(3, 1, false, func(lease, trial, began time.Duration) *Granter { return NewGranter(lease, trial, began-2*lease) })
 	t.Logf("after %d states: %s", n, why)
--- a/internal/fleet/version/grant.go
+++ b/internal/fleet/version/grant.go
@@ -8,74 +8,77 @@
 	"time"
 )
 
-// Drift is by how much faster or slower than the time that the lease states one clock
-// may run, at the most: who waits for a lease's end waits for so much longer.
+// MaxClockDrift is the largest relative difference in rate between two clocks. Whoever
+// waits for the expiry of another process's lease waits longer by this share.
 const Drift = 0.02
 
-// Request asks for a lease, and says what its holder acts on until it has one.
+// LeaseRequest asks for a lease, and reports which revision its sender follows until then.
 type Request struct {
 	Name     string
-	Instance uint64 // drawn at the process's start
-	Seq      uint64
-	Stage    uint64 // that it acts on
-	Refuses  uint64 // a version that it can't act on; 0: none
+	Instance uint64 // random, drawn when the process starts
+	Seq      uint64 // increases with each request of a process
+	Stage    uint64 // that the mixer follows
+	Refuses  uint64 // number of a version that the mixer can't apply; 0: none
 	Why      string
-	LetGo    bool // it acts on nothing any more: it ends
+	LetGo    bool // gives up the lease: the process ends
 }
 
-// Grant is a lease, for so long from the moment at which the request was sent.
+// LeaseGrant is the answer to a LeaseRequest. The lease lasts for TTL from the moment at
+// which the request was sent, so that the clocks of both sides are never compared.
 type Grant struct {
-	Seq   uint64
+	Seq   uint64 // of the request
 	Left  time.Duration
 	State State
 }
 
-// Holder is who may act on something.
+// Holder is a mixer process with a lease, as its Granter knows it.
 type Holder struct {
 	Name     string
 	Instance uint64
-	Stage    uint64        // the oldest that it may still act on
-	Until    time.Duration // when it acts on nothing any more, unless it asks again
-	Since    time.Duration // when it said that it acts on Stage
+	Stage    uint64        // the oldest that it may still follow
+	Until    time.Duration // when its lease has certainly expired, unless it is renewed
+	Since    time.Duration // when it first reported Revision
 	Refuses  uint64
 	Why      string
 
 	seq uint64
 }
 
-// Granter grants leases and says when a fleet may go on. There is one at the leader, for
-// as long as it leads.
+// Granter grants leases to the fleet's mixers and decides when a rollout may move on. The
+// leader of the voters has one for each term in which it leads. A Granter is not safe for
+// concurrent use.
 type Granter struct {
 	lease time.Duration
 	trial time.Duration
 	began time.Duration
-	held  map[string]*Holder // by name and instance
+	held  map[string]*Holder // by holderKey
 
-	stage uint64 // of the latest state seen
+	stage uint64 // of the latest state observed
 	since time.Duration
 }
 
-// NewGranter returns the Granter of a leader that has led since began. Of the leases that
-// another leader granted it knows nothing: it waits until they must have ended. Trial is
-// how long those who try a version must be sound with it.
+// NewGranter returns the Granter of a mixer that has led since began. It does not know the
+// leases that earlier leaders granted, so it waits until these must have expired. Trial is
+// how long the canaries of a version must keep their leases with it.
 func NewGranter(lease, trial, began time.Duration) *Granter {
 	return &Granter{lease: lease, trial: trial, began: began, held: map[string]*Holder{}}
 }
 
-// wait is how long a lease may stand by its holder's clock.
+// expiryWait is how long a lease can be valid by its holder's clock.
 func (g *Granter) wait() time.Duration { return time.Duration(float64(g.lease) * (1 + Drift)) }
 
 func holderKey(name string, instance uint64) string { return fmt.Sprintf("%s\x00%d", name, instance) }
 
-// Renew takes a request. Confirmed is a moment at which no other leader can have been
-// chosen yet; a lease ends within its length from there, so that the next leader knows
-// when all of ours have ended. False: there is none to be had now.
+// Renew handles a request for a lease on the state s. Confirmed is a time at which no other
+// leader can have been elected yet. Leases end within one lease duration from it, so that
+// the next leader knows when all of this leader's leases have expired. It returns false
+// if no lease is granted now.
 func (g *Granter) Renew(now, confirmed time.Duration, r Request, s State) (Grant, bool) {
 	g.look(now, s)
 	key := holderKey(r.Name, r.Instance)
 	h := g.held[key]
 	if h != nil && r.Seq <= h.seq {
-		return Grant{}, false // said before, or overtaken
+		return Grant{}, false // a duplicate, or overtaken by a later request
 	}
 	if r.LetGo {
 		delete(g.held, key)
@@ -83,7 +86,8 @@
 	}
 	left := confirmed + g.lease - now
 	if h == nil {
-		// What it holds of another leader ends before that one's leases have.
+		// A lease from an earlier leader needs no entry: until all of them have expired,
+		// settled reports false anyway.
 		h = &Holder{Name: r.Name, Instance: r.Instance, Stage: r.Stage, Since: now}
 		if left <= 0 {
 			return Grant{}, false
@@ -101,7 +105,7 @@
 	return Grant{Seq: r.Seq, Left: left, State: s}, true
 }
 
-// Holders are those who may act on something, by name.
+// Holders returns the holders of leases that may still be valid, by name and instance.
 func (g *Granter) Holders(now time.Duration) (list []Holder) {
 	for _, h := range g.held {
 		if h.Until > now {
@@ -114,16 +118,17 @@
 	return list
 }
 
-// look notices a new stage.
+// observe records when a new revision was first seen.
 func (g *Granter) look(now time.Duration, s State) {
 	if s.Stage != g.stage {
 		g.stage, g.since = s.Stage, now
 	}
 }
 
-// settled reports whether nobody can act on an older stage any more. Since we have known
-// of this stage, no lease has been granted for an older one: who asks and never hears us
-// holds nobody up for longer than that.
+// settled reports whether no mixer can follow a revision older than this one any more. No
+// lease for an older revision has been granted since this one was observed. A mixer whose
+// requests arrive but that never receives the answers therefore delays the fleet by no more
+// than one lease.
 func (g *Granter) settled(now time.Duration, stage uint64) bool {
 	if now < g.began+g.wait() {
 		return false
@@ -139,7 +144,7 @@
 	return true
 }
 
-// Next says how the fleet goes on; false: not yet.
+// Next returns the command that moves the rollout on, or false if none is due yet.
 func (g *Granter) Next(now time.Duration, s State) (Command, bool) {
 	g.look(now, s)
 	forward, withdraw := Command{Kind: Forward, Stage: s.Stage}, Command{Kind: Withdraw, Stage: s.Stage}
@@ -162,8 +167,9 @@
 	return g.tried(now, s, forward, withdraw)
 }
 
-// tried looks after those who act on a version first. Whoever of them stops asking for
-// its lease, with no word that it ends, is taken to have died of it.
+// checkCanaries decides on the version that the canaries try. A canary that stops
+// renewing its lease without giving it up is taken to have crashed because of the version,
+// which is then withdrawn.
 func (g *Granter) tried(now time.Duration, s State, forward, withdraw Command) (Command, bool) {
 	sound, waiting := 0, false
 	for _, name := range s.New.Tries {
@@ -183,7 +189,7 @@
 		switch {
 		case at == nil:
 		case at.Stage < s.Stage:
-			waiting = waiting || now < g.since+g.wait() // it may not hear us
+			waiting = waiting || now < g.since+g.wait() // it may not receive our answers
 		case now-at.Since < g.trial:
 			waiting = true
 		default:
@@ -200,8 +206,8 @@
 	return withdraw, now > max(g.since, g.began)+g.wait()
 }
 
-// forget drops those who hold nothing any more. On the way between two versions they
-// tell who died.
+// removeExpired deletes expired holders. It is not called during a rollout, where they
+// show which mixers crashed.
 func (g *Granter) forget(now time.Duration) {
 	for key, h := range g.held {
 		if h.Until <= now {
--- a/internal/fleet/version/hold.go
+++ b/internal/fleet/version/hold.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Reader turns a document's text into the rules of a mixer; the empty text stands for its
-// own settings alone.
+// RulesParser turns a document's text into the rules of a mixer. The empty text stands for
+// the mixer's own settings without a document.
 type Reader func(text string) (Rules, error)
 
-// Lease is a mixer's side: what it knows of the versions, and what it may act on now.
+// Lease is a mixer's side of the lease protocol: the latest agreed state that it knows and
+// the rules that it may follow now. A Lease is not safe for concurrent use.
 type Lease struct {
 	name     string
 	instance uint64
@@ -17,11 +18,11 @@
 	read     Reader
 
 	state   State
-	rules   Rules // of state, while the lease stands
-	safe    Rules // without one
+	rules   Rules // of state, while the lease is valid
+	safe    Rules // without a valid lease
 	until   time.Duration
 	seq     uint64
-	sent    []asked // the latest requests
+	sent    []asked // the latest requests without an answer
 	askAt   time.Duration
 	refuses uint64
 	why     string
@@ -34,24 +35,25 @@
 }
 
 const (
-	renewals  = 3 // requests in the time of a lease
-	insisting = 8 // and when the last ones were not answered
+	renewals  = 3 // requests in a lease's duration
+	insisting = 8 // the same while requests are unanswered
 	mostAsked = 16
 )
 
-// NewLease returns the side of a mixer that knows of a state from its disk; the zero
-// State if there is none. It has no lease yet.
+// NewLease returns a Lease that is not granted yet. Known is the state that the mixer
+// stored before its restart, or the zero State. Lease is the duration of leases.
 func NewLease(name string, instance uint64, lease time.Duration, known State, read Reader) *Lease {
 	l := &Lease{name: name, instance: instance, lease: lease, read: read}
 	l.adopt(known)
 	return l
 }
 
-// adopt takes a state; false: this mixer can't act on it.
+// adopt switches to the state s. It returns false if this mixer can't apply one of its
+// documents; then the version is kept as refused.
 func (l *Lease) adopt(s State) bool {
 	base, err := l.read("")
 	if err != nil {
-		return false // a defect of the caller's
+		return false // a bug in the caller
 	}
 	rules, err := s.Acts(l.name, l.read)
 	if err != nil {
@@ -75,13 +77,15 @@
 	return true
 }
 
-// State is the latest that this mixer knows.
+// State returns the latest agreed state that this mixer knows and can apply.
 func (l *Lease) State() State { return l.state }
 
-// Refuses is the version that this mixer can't act on, and why; 0: there is none.
+// RefusedVersion returns the number of the version that this mixer can't apply, and the
+// reason. The number is 0 if there is none.
 func (l *Lease) Refuses() (uint64, string) { return l.refuses, l.why }
 
-// Acts is what may be acted on now, and whether by a lease.
+// CurrentRules returns the rules to follow at the time now, and whether the lease is valid.
+// Without a lease they are those of FallbackRules.
 func (l *Lease) Acts(now time.Duration) (Rules, bool) {
 	if now < l.until {
 		return l.rules, true
@@ -89,17 +93,17 @@
 	return l.safe, false
 }
 
-// Until is when the lease ends.
+// ExpiresAt returns when the lease expires.
 func (l *Lease) Until() time.Duration { return l.until }
 
-// Hurry has the next request go at once: there is news.
+// ExpediteRenewal makes the next request due now if revision is newer than the known state.
 func (l *Lease) Hurry(stage uint64, now time.Duration) {
 	if stage > l.state.Stage {
 		l.askAt = min(l.askAt, now)
 	}
 }
 
-// Ask returns a request if one is due.
+// NextRequest returns a request to send to the leader if one is due.
 func (l *Lease) Ask(now time.Duration) (Request, bool) {
 	if now < l.askAt || l.ending {
 		return Request{}, false
@@ -115,19 +119,19 @@
 	return Request{Name: l.name, Instance: l.instance, Seq: l.seq, Stage: l.state.Stage, Refuses: l.refuses, Why: l.why}, true
 }
 
-// Granted takes a lease. It reports whether this mixer acts on another stage now: then
-// that is said at once.
+// HandleGrant takes a lease. It reports whether this mixer follows or refuses another
+// revision now: the next request, which tells the leader so, is then due at once.
 func (l *Lease) Granted(now time.Duration, g Grant) bool {
 	i := slices.IndexFunc(l.sent, func(a asked) bool { return a.seq == g.Seq })
 	if i < 0 || g.State.Stage < l.state.Stage || l.ending {
-		return false // of a request that was given up, or by somebody behind
+		return false // for a request that is not remembered any more, or from a leader that is behind
 	}
 	at := l.sent[i].at
 	l.sent = slices.Delete(l.sent, 0, i+1)
 	until := at + min(g.Left, l.lease)
 	if g.State.Stage > l.state.Stage {
 		if !l.adopt(g.State) {
-			l.askAt = now // the refusal is said at once; the old lease runs out
+			l.askAt = now // the refusal is reported at once; the old lease expires
 			return true
 		}
 		l.until, l.askAt = until, now
@@ -137,7 +141,7 @@
 	return false
 }
 
-// LetGo ends what this mixer acts on by its lease, for good.
+// Release gives up the lease for good and returns the request that tells the leader so.
 func (l *Lease) LetGo() Request {
 	l.ending, l.until = true, 0
 	l.seq++
--- a/internal/fleet/version/lists.go
+++ b/internal/fleet/version/lists.go
@@ -6,57 +6,61 @@
 	"time"
 )
 
-// Life is how far a node is in its life, which runs one way for each start of it.
+// NodeLife is a node's position in its life cycle. For each start of a node it only moves
+// forward.
 type Life uint8
 
-// The lives.
+// The positions in a node's life cycle. Mixers exchange their numbers.
 const (
 	Active Life = iota
 	Leaving
-	Gone // it is not listed any more
+	Gone // not listed by discovery any more
 )
 
-// Line is a node as somebody was told of it.
+// NodeEntry is what discovery reported of a node to some mixer.
 type Line struct {
 	ID      string
-	Started int64 // when it started, as discovery counts it; a later start is another life
+	Started int64 // start time by discovery's clock; a later one begins another life cycle
 	Life    Life
-	Data    string        // its entry, as discovery gave it
-	Told    time.Duration // Leaving, Gone: when the first of all was told so, by our clock
+	Data    string        // the node's entry as discovery sent it
+	Told    time.Duration // NodeLeaving, NodeGone: when the first mixer was told so, by the local clock
 }
 
-// Figures of what is believed of lists.
+// Limits on what is accepted from lists.
 const (
-	omitHold   = 10 * time.Second // how long the omission of most nodes, or one by an older list, is not believed
-	omitShare  = 0.5              // of all nodes; more at once are "most"
-	forgetLine = 10 * time.Minute // after which a node that is gone is not remembered
+	omitHold   = 10 * time.Second // how long the omission of most nodes, or by a list of an older revision, is not accepted
+	omitShare  = 0.5              // of all nodes; more omitted at once are "most"
+	forgetLine = 10 * time.Minute // after which a node that is gone is deleted
 	mostLines  = 4096
 )
 
-// Lists is what a mixer believes of the nodes, from its own watch of discovery and from
-// what the others were told. A node that leaves, leaves for all: of two words on one
-// start of it, the later in its life counts, and the earlier time at which it was told.
-// What a list merely leaves out is weaker: it counts for who reads that list, and not at
-// once where the list has gone back, or leaves out most of what there is.
+// NodeView is a mixer's view of the nodes, merged from its own watch of discovery and from
+// the entries that other mixers received. A node that leaves, leaves for all mixers: of two
+// entries on one start of a node, the later position in the life cycle and the earlier
+// report time win, so that the order of arrival does not matter. The mere omission of a
+// node from a list is weaker evidence: it counts only for the mixer that reads that list,
+// and not at once if the list's revision went back or the list omits most nodes. A NodeView
+// is not safe for concurrent use.
 type Lists struct {
 	nodes    map[string]*listed
 	revision int64
-	// Hold has omissions not believed for as long as it is set: an operator's word.
+	// HoldOmissions keeps omitted nodes for as long as it is set. An operator sets it.
 	Hold bool
 }
 
 type listed struct {
 	Line
-	missing time.Duration // since when our own list leaves it out; 0: it does not
-	gone    bool          // by that
-	at      time.Duration // when that, or Gone, came to be known
+	missing time.Duration // since when this mixer's list omits it; 0: it does not
+	gone    bool          // because of the omission
+	at      time.Duration // when the omission was accepted, or Line last became another one
 }
 
-// NewLists returns Lists that know of nothing.
+// NewNodeView returns an empty NodeView.
 func NewLists() *Lists { return &Lists{nodes: map[string]*listed{}} }
 
-// Own takes a list of our own watch and returns what has changed in what is believed, and
-// why some of it is not believed yet.
+// ApplyList merges a list from this mixer's own watch; full tells a whole list from a list
+// of changes. It returns the entries that changed in the view, those that fall due by time
+// included, and the reason why omissions are not accepted yet, or "".
 func (l *Lists) Own(now time.Duration, full bool, revision int64, lines []Line) (changed []Line, doubts string) {
 	named := map[string]bool{}
 	for _, line := range lines {
@@ -104,7 +108,7 @@
 	return append(changed, l.Due(now)...), doubts
 }
 
-// drop has a node be gone because our own list leaves it out.
+// dropOmitted marks a node as gone because this mixer's list omits it.
 func (l *Lists) drop(now time.Duration, n *listed) Line {
 	n.gone, n.at = true, now
 	line := n.Line
@@ -112,10 +116,12 @@
 	return line
 }
 
-// Heard takes what another mixer was told; its Told is by our clock.
+// ApplyReport merges an entry that another mixer received, with its report time converted
+// to the local clock. It returns the resulting entry and whether it changed in the view.
 func (l *Lists) Heard(now time.Duration, line Line) (Line, bool) { return l.join(now, line, false) }
 
-// join takes a word on a node, and returns what is believed if that has changed.
+// mergeEntry merges an entry, from this mixer's own list if own is set. It returns the
+// resulting entry and whether it changed in the view.
 func (l *Lists) join(now time.Duration, line Line, own bool) (Line, bool) {
 	n := l.nodes[line.ID]
 	if n == nil || line.Started > n.Started {
@@ -126,19 +132,19 @@
 		return line, true
 	}
 	if line.Started < n.Started {
-		return Line{}, false // of an earlier start
+		return Line{}, false // about an earlier start
 	}
 	changed := false
 	if own && line.Life != Gone {
 		n.missing = 0
-		if n.gone { // it is back on our list, which had left it out
+		if n.gone { // listed again after an omission
 			n.gone, changed = false, true
 		}
 	}
 	switch {
 	case line.Life > n.Life:
 		if n.Told > 0 && n.Told < line.Told {
-			line.Told = n.Told // told before that it leaves
+			line.Told = n.Told // the report that it leaves came first
 		}
 		n.Line, n.at, changed = line, now, true
 	case line.Life == n.Life && line.Life != Active && line.Told < n.Told:
@@ -147,12 +153,13 @@
 		n.Data, changed = line.Data, true
 	}
 	if n.gone {
-		return Line{}, false // for us it is gone already
+		return Line{}, false // already gone for this mixer
 	}
 	return n.Line, changed
 }
 
-// Due returns what has become believed by time alone.
+// DropOverdue drops the nodes that have been omitted for longer than omissionHold and
+// returns their entries. It also deletes nodes that have been gone for goneRetention.
 func (l *Lists) Due(now time.Duration) (changed []Line) {
 	for _, id := range sorted(l.nodes) {
 		n := l.nodes[id]
@@ -172,7 +179,7 @@
 	}
 }
 
-// All are the nodes that are believed to be there, or to leave, by name.
+// Listed returns the nodes that are active or leaving, by ID.
 func (l *Lists) All() (list []Line) {
 	for _, id := range sorted(l.nodes) {
 		if n := l.nodes[id]; !n.gone && n.Life != Gone {
@@ -182,7 +189,8 @@
 	return list
 }
 
-// Said are all words that others may want, those on nodes that are gone among them.
+// Entries returns the entries of all nodes, by ID, including those that are gone, for
+// other mixers to merge.
 func (l *Lists) Said() (list []Line) {
 	for _, id := range sorted(l.nodes) {
 		list = append(list, l.nodes[id].Line)
@@ -190,7 +198,8 @@
 	return list
 }
 
-// Digest is the same where the same was said of the nodes.
+// Digest returns a hash over the ID, start and life of all nodes. It is equal on two mixers
+// that have merged the same entries.
 func (l *Lists) Digest() (sum uint64) {
 	for _, n := range l.nodes {
 		h := fnv.New64a()
@@ -200,5 +209,5 @@
 	return sum
 }
 
-// Revision is the highest that our own watch has seen.
+// Revision returns the highest revision of this mixer's own lists.
 func (l *Lists) Revision() int64 { return l.revision }
--- a/internal/fleet/version/lists_test.go
+++ b/internal/fleet/version/lists_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestWordsInAnyOrder: whatever the order and the doubles in which words come, mixers
-// come to believe the same.
+// TestEntriesInAnyOrder merges the same entries in two orders, with a duplicate: the views
+// have to be equal.
 func TestWordsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Line {
@@ -112,7 +112,7 @@
 		if one.Digest() != two.Digest() {
 			t.Fatalf("%v\n%v", one.Said(), two.Said())
 		}
-		// The time told is the earliest of those of the life believed, or of a life before it.
+		// The report time is the earliest one of the resulting life or of an earlier one.
 		for i, x := range one.Said() {
 			y := two.Said()[i]
 			if x.Life == Leaving && x.Told != y.Told {
--- a/internal/fleet/version/rules.go
+++ b/internal/fleet/version/rules.go
@@ -1,10 +1,12 @@
-// Package version holds what mixers that agree on settings decide about them: which
-// versions contradict each other, which side is the safe one while in doubt, by which
-// steps a fleet goes from one to the next, and who may act on what, by whose lease. It
-// is pure: no I/O, no clock, no goroutine. Times are of the caller's monotonic clock;
-// none is compared between processes.
+// Package version holds the decisions behind settings that a fleet of mixers agrees on:
+// which versions conflict, which rules are safe while a mixer can't know the version in
+// force, the phases in which a fleet rolls out a version, and the leases under which a
+// mixer follows it. It also merges what mixers know of the nodes from discovery.
 //
-// docs/design/settings.md derives the steps and says why they hold.
+// The package is pure: it does no I/O, reads no clock and starts no goroutine. Times are of
+// the caller's monotonic clock and are never compared between processes.
+//
+// docs/design/settings.md derives the phases and explains why they are safe.
 package version
 
 import (
@@ -13,25 +15,26 @@
 	"slices"
 )
 
-// Document is what a version sets. What it leaves out is as the mixer's own settings
-// have it. Budgets lie between half of that and the whole: the half is what a mixer goes
-// on with while it can't know which version holds.
+// Document is the content of a version. Where a field is missing, the mixer's own settings
+// apply. Budgets lie between half of the mixer's own value and the whole: the half is what
+// a mixer uses while it can't know which version is in force.
 type Document struct {
-	Attempts     *int               `json:"attempts,omitempty"`      // of a part, 2 or more
-	Copies       *bool              `json:"copies,omitempty"`        // whether a late part may be sent a second time
-	FurtherRatio *float64           `json:"further_ratio,omitempty"` // further attempts for each that is taken
-	FurtherSpare *float64           `json:"further_spare,omitempty"` // and on top
-	ColdShare    *float64           `json:"cold_share,omitempty"`    // of the budget for cold nodes, 0.5 to 1
-	MaxOpen      *int               `json:"max_open,omitempty"`      // queries and parts open at a mixer
-	Allowances   map[string]float64 `json:"allowances,omitempty"`    // by tenant, queries a second of the whole fleet
-	Nodes        map[string]bool    `json:"nodes,omitempty"`         // by node: whether anything may be sent to it
-	ZonesLeft    []string           `json:"zones_left,omitempty"`
-	HoldList     *bool              `json:"hold_list,omitempty"`     // nodes that discovery merely leaves out are kept
-	StormRetries *float64           `json:"storm_retries,omitempty"` // share of what is asked, asked again, from which on it is a storm
-	StormGood    *float64           `json:"storm_good,omitempty"`    // while less than this share of what ends was in time
+	Attempts     *int               `json:"attempts,omitempty"`      // per part, at least 2
+	Copies       *bool              `json:"copies,omitempty"`        // whether a late part may be hedged with a second attempt
+	FurtherRatio *float64           `json:"further_ratio,omitempty"` // retry budget: further attempts per accepted query or part
+	FurtherSpare *float64           `json:"further_spare,omitempty"` // retry budget: further attempts on top of the ratio
+	ColdShare    *float64           `json:"cold_share,omitempty"`    // share of the budget for cold nodes, 0.5 to 1
+	MaxOpen      *int               `json:"max_open,omitempty"`      // open queries and parts per mixer
+	Allowances   map[string]float64 `json:"allowances,omitempty"`    // queries per second of the whole fleet, by tenant
+	Nodes        map[string]bool    `json:"nodes,omitempty"`         // whether a node may be used, by node ID
+	ZonesLeft    []string           `json:"zones_left,omitempty"`    // zones that get no traffic
+	HoldList     *bool              `json:"hold_list,omitempty"`     // whether nodes that discovery merely omits are kept
+	StormRetries *float64           `json:"storm_retries,omitempty"` // share of retries among queries from which a retry storm is assumed
+	StormGood    *float64           `json:"storm_good,omitempty"`    // and only while less than this share of ended queries was in time
 }
 
-// Rules are what a mixer acts on: its own settings with a document over them.
+// Rules are the effective rules of a mixer: its own settings overlaid with a document. The
+// fields have the units of those of Document.
 type Rules struct {
 	Attempts     int
 	Copies       bool
@@ -40,24 +43,26 @@
 	ColdShare    float64
 	MaxOpen      int
 	Allowances   map[string]float64
-	Barred       map[string]bool // by node that a document names: whether nothing may be sent to it
-	Left         map[string]bool // zones
+	Barred       map[string]bool // whether a node must not be used, for each node ID that a document names
+	Left         map[string]bool // zones that get no traffic
 	HoldList     bool
 	StormRetries float64
 	StormGood    float64
 }
 
-// Kept is the share of each budget that a mixer without a lease uses, and the least that
-// a document may set.
+// MinBudgetShare is the share of each budget that a mixer without a lease uses, and the
+// smallest share that a document may set.
 const Kept = 0.5
 
-// LeastAttempts is the same for attempts.
+// MinAttempts is the number of attempts per part that a mixer without a lease uses at most,
+// and the smallest number that a document may set.
 const LeastAttempts = 2
 
-// Unlimited stands for a figure that the settings do not limit.
+// Unlimited is the value of a field of Rules that the settings do not limit.
 const Unlimited = math.MaxInt32
 
-// Over lays a document over a mixer's own settings.
+// ApplyTo returns a mixer's own settings overlaid with the document. Allowances of tenants
+// that the mixer does not know are ignored.
 func (d Document) Over(base Rules) Rules {
 	r := base
 	r.Allowances, r.Barred, r.Left = maps.Clone(base.Allowances), map[string]bool{}, map[string]bool{}
@@ -90,7 +95,7 @@
 	}
 }
 
-// Meet is the safe side of two sets of rules: it goes beyond neither.
+// MostRestrictive combines two sets of rules into the loosest one that exceeds neither.
 func Meet(a, b Rules) Rules {
 	return Rules{Attempts: min(a.Attempts, b.Attempts), Copies: a.Copies && b.Copies, FurtherRatio: min(a.FurtherRatio, b.FurtherRatio),
 		FurtherSpare: min(a.FurtherSpare, b.FurtherSpare), ColdShare: min(a.ColdShare, b.ColdShare), MaxOpen: min(a.MaxOpen, b.MaxOpen),
@@ -115,9 +120,9 @@
 	return out
 }
 
-// Safe is what a mixer without a lease acts on: the safe side of the rules that it knows
-// and of all that a document may set. Nodes that documents name are not sent to, zones
-// that are left stay left.
+// FallbackRules returns the rules of a mixer without a lease: the most restrictive of the
+// rules that it knows and of all that a document may set. Nodes that documents name are not
+// used, and zones that were left stay left.
 func Safe(base, known Rules) Rules {
 	r := Rules{Attempts: min(base.Attempts, known.Attempts, LeastAttempts), FurtherRatio: min(known.FurtherRatio, base.FurtherRatio*Kept),
 		FurtherSpare: min(known.FurtherSpare, base.FurtherSpare*Kept), ColdShare: min(known.ColdShare, base.ColdShare*Kept),
@@ -132,10 +137,10 @@
 	return r
 }
 
-// Beyond names the keys in which a goes beyond b: a mixer that acts on a does what b
-// does not allow. Figures of a mixer alone, as max_open and when it speaks of a storm, are
-// none of them. A zone that one
-// has left and the other has not is beyond only for who still sends there.
+// ExceededKeys returns the keys in which a exceeds b: a mixer that follows a does something
+// that b does not allow. Limits that concern a single mixer, as max_open and the storm
+// thresholds, are not compared. A zone that only one of them leaves is exceeded by the
+// rules that still send there.
 func Beyond(a, b Rules) (keys []string) {
 	for _, k := range []struct {
 		key    string
@@ -164,7 +169,8 @@
 	return keys
 }
 
-// Contradict names the keys in which two sets of rules may not be acted on at once.
+// ConflictingKeys returns the sorted keys in which two sets of rules must not be followed
+// by two mixers at the same time.
 func Contradict(a, b Rules) []string {
 	keys := append(Beyond(a, b), Beyond(b, a)...)
 	slices.Sort(keys)
--- a/internal/fleet/version/rules_test.go
+++ b/internal/fleet/version/rules_test.go
@@ -19,7 +19,7 @@
 
 func ptr[T any](x T) *T { return &x }
 
-// read is a Reader over base.
+// read is a RulesParser over base.
 func read(text string) (Rules, error) {
 	var d Document
 	if text == "broken" {
@@ -62,8 +62,9 @@
 	return d
 }
 
-// TestTheSafeSide: what two versions meet in goes beyond neither, whoever meets them in
-// which order, and a mixer without a lease goes beyond no version that names its nodes.
+// TestMostRestrictive: the combination of two versions exceeds neither and does not depend
+// on the order, and a mixer without a lease exceeds no version in nodes or zones that it
+// knows of.
 func TestTheSafeSide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawDocument(t, "a").Over(base), drawDocument(t, "b").Over(base), drawDocument(t, "c").Over(base)
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestRefusedForGood: sayings of one proposal come in any order, by leaders that know
-// nothing of each other. Whichever is carried out first decides for all of them.
+// TestRefusalIsFinal: duplicates of one proposal can arrive in any order, from leaders that
+// do not know of each other. The one that is executed first decides for all of them.
 func TestRefusedForGood(t *testing.T) {
 	settle := func(s State) State {
 		for s.Phase != Steady {
@@ -246,12 +247,13 @@
 	}
 }
 
-// TestPure: no I/O, no clock, no goroutine.
+// TestPure checks that the package does no I/O, reads no clock and starts no goroutine.
 func TestPure(t *testing.T) {
 	pure.Imports(t, "cmp", "errors", "fmt", "hash/fnv", "maps", "math", "slices", "strconv", "strings", "time")
 }
 
-// TestPlansFollowEachOther: each is made from the one before, and changes no version's way.
+// TestZonePlansFollowEachOther: each plan has to follow the present one, and replacing it
+// does not affect the rollout of a version.
 func TestPlansFollowEachOther(t *testing.T) {
 	s := State{Phase: Trial, New: Version{Number: 3}, Latest: 3, Stage: 9}
 	for _, c := range []struct {
--- a/internal/fleet/version/state.go
+++ b/internal/fleet/version/state.go
@@ -9,102 +9,105 @@
 	"strings"
 )
 
-// Phase is how far a fleet is on its way from the version in force to the next.
+// Phase is the step of a rollout that the fleet is in, between the version in force and
+// the next one.
 type Phase uint8
 
-// The phases. Whoever acts on anything acts on rules that go beyond neither those of
-// the version in force nor, from Settle on, of the other one.
+// The phases of a rollout. In every phase each mixer's rules stay within those of the
+// version in force and, from PhaseSettle on, also within those of the other version.
 const (
-	Steady Phase = iota // all act on the version in force
-	Trial               // a tenth acts on the safe side of both, all others on the old one, which is in force
-	Settle              // all go to the safe side of both; the old one is in force until all have
-	Rise                // the new one is in force: a tenth acts on it, all others on the safe side
-	Fall                // the new one is taken back: all go to the safe side, until all have
+	Steady Phase = iota // all mixers use the version in force
+	Trial               // the canaries (a tenth) use the most restrictive of both; all others use the old version, which is in force
+	Settle              // all mixers move to the most restrictive of both; the old version is in force until all have
+	Rise                // the new version is in force: the canaries use it, all others the most restrictive of both
+	Fall                // the new version is withdrawn while in force: lasts until all mixers use the most restrictive of both
 )
 
+// phaseNames are the external names of the phases, in logs and answers to operators.
 var phaseNames = [...]string{"steady", "trial", "settle", "rise", "fall"}
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Version is a document that was agreed.
+// Version is one revision of the fleet's settings document.
 type Version struct {
 	Number  uint64   `json:"number"`
-	From    uint64   `json:"from"` // the version that it was made from
-	Mark    string   `json:"mark"` // drawn by its author: tells a repeat
+	From    uint64   `json:"from"` // number of the version that it was derived from
+	Mark    string   `json:"mark"` // drawn by the author; identifies repeats of one proposal
 	Text    string   `json:"text"` // the document, as JSON
 	Why     string   `json:"why,omitempty"`
 	By      string   `json:"by,omitempty"`
-	Tries   []string `json:"tries,omitempty"` // the mixers that act on it first
+	Tries   []string `json:"tries,omitempty"` // names of the mixers that try it first
 	Outcome string   `json:"outcome,omitempty"`
 }
 
 const (
 	withdrawn   = "withdrawn: "
-	mostHistory = 64 // versions remembered
+	mostHistory = 64 // withdrawn or replaced versions kept
 	mostText    = 64 << 10
 	mostMark    = 64  // bytes
 	mostWhy     = 160 // bytes of a refusal's reason
-	mostRefused = 64  // refusals remembered
+	mostRefused = 64  // refusals kept
 )
 
-// ErrOpen is the answer to a proposal that can be neither taken nor refused now: too many
-// refusals are remembered already. Said again later, it may be taken.
+// ErrTooManyRefusals is returned for a proposal that can be neither accepted nor refused
+// now, because the list of refusals is full. The same proposal may be accepted later.
 var ErrOpen = errors.New("too many proposals were refused since the latest version")
 
-// MostText is the longest document, in bytes.
+// MaxDocumentBytes is the maximum length of a settings document and of a zone plan.
 const MostText = mostText
 
-// State is what the voters agree on. It changes by Apply alone.
+// State is the state machine that the voters replicate. Only Apply changes it.
 type State struct {
-	Stage   uint64    `json:"stage"` // counts the changes
+	Stage   uint64    `json:"stage"` // counts the changes; "stage" outside the program
 	Phase   Phase     `json:"phase"`
-	Old     Version   `json:"old"`            // Steady: the one that all act on
-	New     Version   `json:"new"`            // in the other phases
-	Latest  uint64    `json:"latest"`         // number of the latest version
-	History []Version `json:"history"`        // the oldest first; those on their way are not in it
-	Last    string    `json:"last,omitempty"` // what the latest change was
-	// Plan is how the fleet stands to zones, and its number. It contradicts nothing: whoever
-	// is behind acts on the one before until its lease has run out. What is in it is zone's.
+	Old     Version   `json:"old"`            // in PhaseSteady the version in force
+	New     Version   `json:"new"`            // in all other phases the version being rolled out
+	Latest  uint64    `json:"latest"`         // number of the latest version accepted
+	History []Version `json:"history"`        // oldest first; without Old and New
+	Last    string    `json:"last,omitempty"` // describes the latest change
+	// ZonePlan is the fleet's plan for zones, encoded by package zone, and ZonePlanSeq its
+	// number. Plans need no rollout, as they can't conflict: a mixer that is behind uses the
+	// previous plan until its lease expires.
 	Plan    string `json:"plan,omitempty"`
 	PlanSeq uint64 `json:"plan_seq,omitempty"`
-	// Refused are proposals made from the latest version, or a later one, that were
-	// refused: what was said twice can come late, and must not be taken after its author
-	// was told that it is not.
+	// Refusals are the refused proposals that were derived from the latest version or a later
+	// one. A late duplicate of such a proposal must not be accepted after its author was
+	// told of the refusal.
 	Refused []Refusal `json:"refused,omitempty"`
 }
 
-// Refusal is a proposal that was not taken.
+// Refusal records a proposal that was not accepted.
 type Refusal struct {
 	Mark string `json:"mark"`
 	From uint64 `json:"from"`
 	Why  string `json:"why"`
 }
 
-// Kind is what a command does.
+// CommandKind is what a command does.
 type Kind uint8
 
 // The kinds of commands.
 const (
-	Propose  Kind = iota + 1 // a new version
-	Forward                  // one phase on
-	Withdraw                 // the one on its way is taken back
-	Refuse                   // a proposal that the voters' check has refused
-	Replan                   // another plan
+	Propose  Kind = iota + 1 // proposes a new version
+	Forward                  // moves to the next phase
+	Withdraw                 // withdraws the version that is being rolled out
+	Refuse                   // records that the voters' validation refused a proposal
+	Replan                   // replaces the zone plan
 )
 
-// Command changes a State. Whoever applies it has no say in it: it holds if the State
-// is what it was made for.
+// Command is one entry of the replicated log. Whether it takes effect depends on the State
+// alone, so that all replicas decide alike: it does if the State is the one it was made for.
 type Command struct {
 	Kind    Kind    `json:"kind"`
-	Version Version `json:"version,omitzero"` // Propose, Refuse
-	Stage   uint64  `json:"stage,omitempty"`  // Forward, Withdraw: of the state that it was made for
-	Number  uint64  `json:"number,omitempty"` // Withdraw by an operator: the version's, whatever the stage; 0: by stage
+	Version Version `json:"version,omitzero"` // CommandPropose, CommandRefuse
+	Stage   uint64  `json:"stage,omitempty"`  // CommandAdvance, CommandWithdraw: of the state that it was made for
+	Number  uint64  `json:"number,omitempty"` // CommandWithdraw by an operator: the version, at any revision; 0: by Revision
 	Why     string  `json:"why,omitempty"`
-	Plan    string  `json:"plan,omitempty"` // Replan
-	Seq     uint64  `json:"seq,omitempty"`  // Replan: the plan's number, one more than that in force
+	Plan    string  `json:"plan,omitempty"` // CommandSetZonePlan
+	Seq     uint64  `json:"seq,omitempty"`  // CommandSetZonePlan: the plan's number, one more than the present plan's
 }
 
-// InForce is the version that nobody may go beyond.
+// InForce returns the version whose limits no mixer may exceed.
 func (s State) InForce() Version {
 	if s.Phase == Rise || s.Phase == Fall {
 		return s.New
@@ -112,7 +115,8 @@
 	return s.Old
 }
 
-// Find returns a version that is remembered.
+// Find returns the version of that number if it is current or still in the history.
+// Number 0 stands for the mixers' own settings and is always found.
 func (s State) Find(number uint64) (Version, bool) {
 	for _, v := range append([]Version{s.Old, s.New}, s.History...) {
 		if v.Number == number && (number > 0 || v.Text != "") {
@@ -122,9 +126,9 @@
 	return Version{}, number == 0
 }
 
-// Apply carries out a command and returns the state after it and the version that it was
-// about. A command that does not fit is an error, and changes nothing but what is
-// remembered of refusals.
+// Apply executes a command and returns the state after it and the number of the version
+// (or of the zone plan) that it concerned. A command that does not fit the state returns an
+// error; then the returned state differs from s at most in its Refusals.
 func (s State) Apply(c Command) (State, uint64, error) {
 	switch c.Kind {
 	case Propose:
@@ -138,7 +142,7 @@
 		return s.forward(), s.New.Number, nil
 	case Withdraw:
 		if v, ok := s.Find(c.Number); c.Number > 0 && ok && strings.HasPrefix(v.Outcome, withdrawn) {
-			return s, c.Number, nil // said again
+			return s, c.Number, nil // a repeated command
 		}
 		switch {
 		case s.Phase == Steady || s.Phase == Fall:
@@ -157,23 +161,23 @@
 	return s, 0, fmt.Errorf("a command of kind %d", c.Kind)
 }
 
-// propose takes a version, or refuses it: for why, where that is not empty. What is
-// refused once is refused for good, and what was taken stays taken, in whichever order
-// the sayings of one proposal come.
+// propose accepts a version, or refuses it for the reason why if that is not empty. The
+// first decision on an idempotency key is final, in whichever order the duplicates of one
+// proposal arrive.
 func (s State) propose(v Version, why string) (State, uint64, error) {
 	if v.Mark == "" || len(v.Mark) > mostMark {
 		return s, 0, fmt.Errorf("a mark of %d bytes, wanted 1 to %d", len(v.Mark), mostMark)
 	}
 	for _, old := range append([]Version{s.Old, s.New}, s.History...) {
 		if old.Mark == v.Mark {
-			return s, old.Number, nil // said again: its author has not heard the answer
+			return s, old.Number, nil // a retry: its author has not received the answer
 		}
 	}
 	if i := slices.IndexFunc(s.Refused, func(r Refusal) bool { return r.Mark == v.Mark }); i >= 0 {
 		return s, 0, errors.New(s.Refused[i].Why)
 	}
 	switch {
-	case v.From < s.Latest: // for good, as numbers only grow
+	case v.From < s.Latest: // permanent without being recorded, as numbers only grow
 		return s, 0, fmt.Errorf("made from version %d, the latest is %d", v.From, s.Latest)
 	case len(v.Text) > mostText:
 		return s, 0, fmt.Errorf("a document of %d bytes", len(v.Text))
@@ -193,16 +197,17 @@
 	s.Latest++
 	v.Number, v.Outcome = s.Latest, ""
 	s.New, s.Phase = v, Trial
-	s.Refused = slices.DeleteFunc(slices.Clone(s.Refused), func(r Refusal) bool { return r.From < s.Latest }) // they are refused by that
+	s.Refused = slices.DeleteFunc(slices.Clone(s.Refused), func(r Refusal) bool { return r.From < s.Latest }) // refused from now on by their version number
 	return s.changed(fmt.Sprintf("version %d is proposed", v.Number)), v.Number, nil
 }
 
-// replan takes another plan. One that was made from an older one is not taken: two leaders,
-// or one and its own late word, would undo each other.
+// setZonePlan replaces the zone plan. A plan that does not follow the present one is
+// rejected: otherwise two leaders, or a leader and its own late message, would undo each
+// other's changes.
 func (s State) replan(c Command) (State, uint64, error) {
 	switch {
 	case c.Seq == s.PlanSeq && c.Plan == s.Plan:
-		return s, c.Seq, nil // said again
+		return s, c.Seq, nil // a repeated command
 	case c.Seq != s.PlanSeq+1:
 		return s, 0, fmt.Errorf("plan %d does not follow plan %d", c.Seq, s.PlanSeq)
 	case len(c.Plan) > mostText:
@@ -226,7 +231,7 @@
 		s.Old, s.New, s.Phase = s.New, Version{}, Steady
 		return s.changed(fmt.Sprintf("all act on version %d", s.Old.Number))
 	}
-	s = s.remember(s.New) // Fall
+	s = s.remember(s.New) // PhaseRollback
 	s.New, s.Phase = Version{}, Steady
 	return s.changed(fmt.Sprintf("back on version %d", s.Old.Number))
 }
@@ -234,7 +239,7 @@
 func (s State) withdraw(why string) State {
 	s.New.Outcome = withdrawn + cmp.Or(why, "an operator's word")
 	what := fmt.Sprintf("version %d is %s", s.New.Number, s.New.Outcome)
-	if s.Phase == Rise { // a tenth goes beyond the old one: first all go to the safe side
+	if s.Phase == Rise { // the canaries exceed the old version: first all move to the most restrictive of both
 		s.Phase = Fall
 		return s.changed(what)
 	}
@@ -258,8 +263,8 @@
 	return s
 }
 
-// Acts is what a mixer acts on while its lease stands. Read turns a document's text
-// into rules.
+// RulesFor returns the rules that the mixer called name follows while its lease is valid.
+// It returns an error if a document that it needs can't be parsed.
 func (s State) Acts(name string, read func(text string) (Rules, error)) (Rules, error) {
 	old, err := read(s.Old.Text)
 	if err != nil {
@@ -282,8 +287,9 @@
 	return Meet(old, next), nil
 }
 
-// Tenth picks who tries a version first: a tenth of the names, one at least, drawn anew
-// by each version; those that are spared come last.
+// PickCanaries picks the mixers that try a version first: a tenth of the names, rounded
+// up, by a hash of the idempotency key, so that each version has others. Names that spared
+// reports are picked only if there are not enough others.
 func Tenth(mark string, names []string, spared func(name string) bool) []string {
 	rank := func(name string) uint64 {
 		h := fnv.New64a()
