--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -1,9 +1,11 @@
-// Package accord has the mixers of a fleet agree on versions of their settings. A few of
-// them, the voters, keep a log by consensus; every mixer acts on what is agreed by a
-// lease of the voters' leader. Which version may be acted on, and by which steps a fleet
-// changes it, is version's to say; the consensus is the library's. Here are the words
-// between mixers, the voters' disks and the timers. All of it runs on the core's
-// goroutine.
+// Package accord lets the mixers of a fleet agree on versions of their settings. A few of
+// the mixers, the voters, replicate a log by Raft. Every mixer follows the agreed state
+// under a lease from the leader of the voters.
+//
+// Package version decides which rules a mixer may follow and in which phases a fleet
+// changes them, and the library go.etcd.io/raft implements the consensus. This package holds
+// the messages between mixers, the voters' storage and the timers. All of it runs on the
+// core's goroutine; only the store is written on a goroutine of its own.
 package accord
 
 import (
@@ -23,63 +25,71 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	tickTime = 100 * time.Millisecond // of the consensus, and of all that is due here
-	askTime  = 5 * time.Second        // for an operator's request
-	askAgain = 700 * time.Millisecond // through another voter
-	mostAsks = 64                     // that wait
-	newsKey  = "accord/stage"         // what is announced when there is a new stage
+	tickTime = 100 * time.Millisecond // of the Raft node and of everything periodic in this package
+	askTime  = 5 * time.Second        // until an operator's request fails
+	askAgain = 700 * time.Millisecond // between two attempts of it, through another voter
+	mostAsks = 64                     // operators' requests that wait at one mixer
+	newsKey  = "accord/stage"         // key of the announcement of a new revision
 )
 
-// Core is what this package needs of the core.
+// Core is what this package needs of the core: a clock and timers. After and Post run fn on
+// the core's goroutine.
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
 	Post(fn func())
 }
 
-// Fleet is what it needs of the talk among mixers.
+// Fleet is what this package needs of the communication among mixers.
 type Fleet interface {
-	// Say tells one member something; it may be lost.
+	// Say sends a message to one member. The message may be lost.
 	Say(to string, body []byte)
+	// Announce spreads a value under a key to all members.
 	Announce(key string, body []byte)
+	// Live returns the names of the members that are alive, this one included.
 	Live() []string
 }
 
-// Config is how a mixer takes part.
+// Config is a mixer's configuration of the agreement.
 type Config struct {
 	Name      string
 	Instance  uint64
-	Voters    []string // with whom the log begins
-	Directory string   // for what is agreed and, at a voter, the log; "": nothing is kept
+	Voters    []string // the initial voters
+	Directory string   // for the agreed state and, at a voter, the log; "": nothing is stored
 	Lease     time.Duration
-	Trial     time.Duration // how long those who try a version must be sound with it
+	Trial     time.Duration // how long the canaries of a version must keep their leases with it
 	Seed      uint64
 	Read      version.Reader
-	// Loose has this mixer act without regard to leases: with it, a test shows what they
-	// are good for.
+	// IgnoreLeases makes this mixer follow the latest document without a lease. Tests use it
+	// to show which conflicts leases prevent.
 	Loose bool
 
-	files files // nil: the directory's
+	files files // nil: files in Directory
 }
 
-// files are what a mixer finds again after a restart.
+// persistence is what a mixer stores across restarts.
 type files interface {
+	// Known returns the stored agreed state, or the zero State.
 	Known() version.State
+	// Keep stores an encoded agreed state.
 	Keep(state []byte)
-	Open() (disk, loaded, error) // the voters' log
-	Aside() error                // sets that aside
+	// Open opens the voter's log, or creates it.
+	Open() (disk, loaded, error)
+	// Aside renames the voter's log so that Open creates another one.
+	Aside() error
 }
 
-// Acts is what a mixer acts on.
+// ActiveRules are the rules that a mixer follows now.
 type Acts struct {
 	Rules  version.Rules
 	Stage  uint64
-	Number uint64 // of the version in force, as far as this mixer knows
+	Number uint64 // number of the version in force, as far as this mixer knows
 	Leased bool
-	Plan   string // for the zones, as far as this mixer knows; "": there is none
+	Plan   string // as far as this mixer knows; "": there is none
 }
 
-// Accord is a mixer's part.
+// Participant is a mixer's part in the agreement. Its methods must be called on the core's
+// goroutine, apart from New.
 type Accord struct {
 	core  Core
 	fleet Fleet
@@ -87,30 +97,31 @@
 	log   zerolog.Logger
 	rng   *rand.Rand
 
-	// Acted is called with what this mixer acts on, whenever that changes.
+	// OnChange is called with the rules that this mixer follows, whenever they change.
 	Acted func(Acts)
-	// Zones tells what is judged of zones; nil: nothing is.
+	// ZoneReport returns the encoded judgement of the zones; nil: there is none.
 	Zones func() []byte
-	// Order carries out an operator's word on a zone, at the leader; nil: it can't be.
+	// ZoneOrder executes an operator's order on a zone, at the leader; nil: not supported.
 	Order func(zone, order, why string, done func(error))
 
 	lease  *version.Lease
 	acts   Acts
 	begun  bool
-	since  time.Duration // when acts last changed
-	voters []string      // as last heard
-	leader string        // as last heard; "": unknown
-	target int           // of voters: who is asked where no leader is known
-	misses int           // requests to the leader since it last answered
+	since  time.Duration // when active last changed
+	voters []string      // as last reported
+	leader string        // as last reported; "": unknown
+	target int           // index into voters of the one to ask while no leader is known
+	misses int           // requests to the leader since its last answer
 	asks   map[uint64]*asking
-	seat   *seat // nil: this mixer does not vote
+	seat   *seat // nil: this mixer is not a voter
 	hellos map[string]hello
-	wanted map[string]bool // who was asked to become a voter
+	wanted map[string]bool // mixers that were invited to become voters
 	helloA time.Duration
-	ready  func() // waits to be told that there is something to act on
+	ready  func() // called once when there are rules to follow
 	ended  bool
 }
 
+// hello is a voter's announcement of its replica before it has a log, or the answer to one.
 type hello struct {
 	seat    uint64
 	founded bool
@@ -119,15 +130,15 @@
 	at      time.Duration
 }
 
-// asking is an operator's request that waits for its answer.
+// pendingRequest is an operator's request that waits for its answer.
 type asking struct {
 	body  []byte
 	again int
 	done  func([]byte)
 }
 
-// New takes part from Start on. It opens what is on the disk, so that a directory that
-// can't be used is found before clients are served.
+// New returns a Participant that is idle until Start. It opens the storage, so that an
+// unusable directory is reported before clients are served. A voter needs a directory.
 func New(core Core, fleet Fleet, c Config, log zerolog.Logger) (*Accord, error) {
 	a := &Accord{core: core, fleet: fleet, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), voters: slices.Clone(c.Voters),
 		asks: map[uint64]*asking{}, hellos: map[string]hello{}, wanted: map[string]bool{}}
@@ -162,7 +173,8 @@
 	return nil
 }
 
-// reseat gives up a seat whose log contradicts what was agreed, and takes another one.
+// replaceReplica gives up a replica whose log conflicts with the agreed one, sets its file
+// aside and opens a new replica.
 func (a *Accord) reseat() {
 	if a.ended {
 		return
@@ -180,7 +192,7 @@
 	}
 }
 
-// Start begins, on the core's goroutine.
+// Start starts the timers. It must be called on the core's goroutine.
 func (a *Accord) Start() {
 	a.log.Info().Strs("voters", a.c.Voters).Bool("votes", a.seat != nil).Uint64("stage", a.lease.State().Stage).
 		Uint64("version", a.lease.State().InForce().Number).Msg("accord begins")
@@ -188,8 +200,9 @@
 	a.tick()
 }
 
-// Ready calls fn once this mixer knows what to act on: at once if its disk told, with its
-// first lease, or after two leases' time: it serves also where nobody can be asked.
+// WhenReady calls fn once this mixer has rules to follow: at once if a state was stored,
+// otherwise with its first lease, and after two lease durations at the latest, so that the
+// mixer also serves when no voter can be reached.
 func (a *Accord) Ready(fn func()) {
 	if a.ready = fn; a.lease.State().Stage > 0 || a.acts.Leased {
 		a.isReady()
@@ -205,10 +218,10 @@
 	}
 }
 
-// draw is a number that nobody else has drawn.
+// newID returns a random number that no other mixer has drawn, never 0.
 func (a *Accord) draw() uint64 { return a.rng.Uint64()>>1 | 1 }
 
-// Leader is the mixer that leads the voters, as far as this one knows; "": it knows of none.
+// Leader returns the name of the voters' leader as far as this mixer knows, or "".
 func (a *Accord) Leader() string {
 	switch s := a.seat; {
 	case s != nil && s.led != nil:
@@ -219,8 +232,8 @@
 	return a.leader
 }
 
-// Look has this mixer act on what it may act on now. It is called before anything is
-// sent: a lease may have run out while the process stood still.
+// Refresh switches to the rules that this mixer may follow now. The core calls it before
+// anything is sent, as a lease may have expired while the process was paused.
 func (a *Accord) Look() {
 	now := a.core.Now()
 	rules, leased := a.lease.Acts(now)
@@ -248,7 +261,8 @@
 	}
 }
 
-// Agreed is the latest that this mixer knows to be agreed: at the leader, all there is.
+// AgreedState returns the latest agreed state that this mixer knows. At the leader it is
+// complete.
 func (a *Accord) Agreed() version.State {
 	if a.seat != nil && a.seat.agreed.State.Stage > a.lease.State().Stage {
 		return a.seat.agreed.State
@@ -256,8 +270,8 @@
 	return a.lease.State()
 }
 
-// Replan has another plan for the zones agreed, at the leader. Its number is one more than
-// that of the plan which it replaces.
+// ProposeZonePlan proposes a zone plan, at the leader. Its number seq must be one more than
+// that of the plan that it replaces. Done is called once, with nil if the plan was agreed.
 func (a *Accord) Replan(seq uint64, plan, why string, done func(error)) {
 	if a.seat == nil || a.seat.led == nil || !a.seat.led.sure {
 		done(errNoLead)
@@ -266,7 +280,7 @@
 	a.seat.propose(version.Command{Kind: version.Replan, Seq: seq, Plan: plan, Why: why}, func(_ uint64, err error) { done(err) })
 }
 
-// loose is the latest document that this mixer has heard of, at once.
+// latestRules returns the rules of the latest document that this mixer has received.
 func (a *Accord) loose() version.Rules {
 	st := a.lease.State()
 	text := st.Old.Text
@@ -294,7 +308,7 @@
 	a.core.After(tickTime, a.tick)
 }
 
-// renew asks for a lease if that is due.
+// renewLease requests a lease if one is due.
 func (a *Accord) renew() {
 	r, due := a.lease.Ask(a.core.Now())
 	if !due {
@@ -304,8 +318,8 @@
 	a.toLeader(renewal(r), a.misses)
 }
 
-// toLeader sends a word to the leader, through another voter where no leader is known or
-// it does not answer.
+// sendToLeader sends a message to the leader, or through another voter if no leader is
+// known or it has not answered two attempts.
 func (a *Accord) toLeader(w word, try int) {
 	w.who = a.c.Name
 	if a.seat != nil && a.seat.led != nil {
@@ -327,7 +341,7 @@
 
 func (a *Accord) say(to string, w word) { a.fleet.Say(to, w.encode()) }
 
-// Word takes what another mixer says.
+// HandleMessage handles a message from another mixer. Malformed messages are ignored.
 func (a *Accord) Word(from string, body []byte) {
 	w, err := decode(body)
 	if err != nil || a.ended {
@@ -346,7 +360,7 @@
 		case a.seat == nil:
 		case a.seat.led != nil:
 			a.lead(from, w)
-		case w.who == from: // whoever asks can't reach the leader, or does not know it
+		case w.who == from: // the sender can't reach the leader, or does not know it
 			if to := a.seat.nameOf(a.seat.lead); to != "" && to != a.c.Name {
 				a.say(to, w)
 			}
@@ -379,7 +393,7 @@
 	}
 }
 
-// lead takes a request as the leader. Through says who brought it.
+// handleAsLeader handles a request at the leader. Through is the mixer that delivered it.
 func (a *Accord) lead(through string, w word) {
 	back := func(w word) {
 		if through == a.c.Name {
@@ -396,7 +410,7 @@
 	}
 	reply := func(text []byte) { back(word{kind: kindAnswer, id: w.id, who: w.who, body: text, leader: a.c.Name}) }
 	l := a.seat.led
-	if text, came := l.done[w.id]; came { // it is carried out once, however often it comes
+	if text, came := l.done[w.id]; came { // a retry: each request is executed once
 		if text != nil {
 			reply(text)
 		}
@@ -404,7 +418,7 @@
 	}
 	l.remember(w.id, nil)
 	l.answer(w.body, func(text []byte) {
-		if text == nil { // not now: whoever asks says it again
+		if text == nil { // undecided: the sender retries
 			delete(l.done, w.id)
 			return
 		}
@@ -413,7 +427,7 @@
 	})
 }
 
-// answered takes what the leader says to us.
+// handleReply handles a lease or an answer from the leader.
 func (a *Accord) answered(w word) {
 	if w.leader != "" {
 		a.leader = w.leader
@@ -438,7 +452,7 @@
 		}
 	}
 	if st.Stage != w.stage {
-		return // it was granted for a state that we don't have
+		return // granted for a state that this mixer does not have
 	}
 	refused, _ := a.lease.Refuses()
 	if a.lease.Granted(a.core.Now(), version.Grant{Seq: w.id, Left: w.left, State: st}) {
@@ -447,7 +461,7 @@
 		}
 		a.keep()
 		a.Look()
-		a.renew() // that we act on it is said at once
+		a.renew() // reports the new revision at once
 		return
 	}
 	a.Look()
@@ -459,13 +473,14 @@
 	}
 	text, err := json.Marshal(a.lease.State())
 	if err != nil {
-		a.log.Error().Err(err).Msg("accord: a state could not be encoded") // a defect
+		a.log.Error().Err(err).Msg("accord: a state could not be encoded") // a bug
 		return
 	}
 	a.c.files.Keep(text)
 }
 
-// heard is told by our seat what is agreed. There may be something new to act on.
+// handleAgreed takes the replicated state of this mixer's own replica, which may be newer
+// than the state of the lease.
 func (a *Accord) heard(g agreed) {
 	if len(g.Seats) > 0 {
 		a.voters = a.seat.voters()
@@ -477,7 +492,8 @@
 	a.lease.Hurry(g.State.Stage, now)
 }
 
-// News takes what another mixer announces: at a new stage, the lease is renewed at once.
+// HandleAnnouncement handles an announcement by another mixer: at a new revision, the lease
+// is renewed at once. Other keys are ignored.
 func (a *Accord) News(key string, body []byte) {
 	var stage uint64
 	if key != newsKey {
@@ -490,7 +506,7 @@
 	a.renew()
 }
 
-// Leave lets go of what this mixer acts on: it ends.
+// Leave gives up the lease and closes the storage. The Participant can't be used after it.
 func (a *Accord) Leave() {
 	a.toLeader(renewal(a.lease.LetGo()), 0)
 	a.ended = true
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -9,7 +9,7 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// begun is a world in which all act on the same by a lease.
+// newLeasedCluster returns a cluster in which all mixers have a lease.
 func begun(t testing.TB, seed uint64, mixers, voters int) *world {
 	t.Helper()
 	w := newWorld(t, seed, mixers, voters)
@@ -43,9 +43,9 @@
 	w.sound()
 }
 
-// TestNobodyActsOnTwoVersions has versions follow each other while processes stand still,
-// die, lose their disks, and links are cut in one direction or both. At no moment do two
-// mixers act on rules that contradict each other, and no number is ever two versions.
+// TestNoConflictingVersions rolls out versions while processes pause, crash or lose their
+// disks and links fail in one direction or both. At no time may two mixers follow conflicting
+// rules, and no version number may stand for two documents.
 func TestNobodyActsOnTwoVersions(t *testing.T) {
 	seeds := uint64(12)
 	if raceOn { // the detector is slow
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestWithoutLeasesTheyDo is the check of that check.
+// TestConflictsWithoutLeases proves that TestNoConflictingVersions can fail: without leases,
+// conflicting versions have to be followed for as long as a lease at least.
 func TestWithoutLeasesTheyDo(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(2) {
@@ -107,7 +108,7 @@
 	}
 }
 
-// same reports whether all that are there act on one version by a lease.
+// same reports whether all running mixers follow one version under a lease.
 func (w *world) same() bool {
 	number := uint64(0)
 	for _, p := range w.procs {
@@ -118,7 +119,7 @@
 	return w.all(number)
 }
 
-// heal ends all faults, and starts whoever is dead.
+// heal ends all faults and starts the processes that are dead.
 func (w *world) heal() {
 	clear(w.cut)
 	w.loss, w.delay = 0, 4*ms
@@ -130,7 +131,7 @@
 	}
 }
 
-// spoil adds a fault.
+// injectFault adds a random fault, or ends some.
 func (w *world) spoil() {
 	i, j := w.rng.IntN(len(w.procs)), w.rng.IntN(len(w.procs))
 	p := w.procs[i]
@@ -139,7 +140,7 @@
 		p.paused = w.now + time.Duration(w.rng.IntN(10_000))*ms
 	case 1:
 		w.cut[[2]string{p.name, w.procs[j].name}] = true
-	case 2: // it hears, and is not heard; or the reverse
+	case 2: // each link of one process fails in one direction
 		for _, x := range w.procs {
 			if w.rng.IntN(2) == 0 {
 				w.cut[[2]string{p.name, x.name}] = true
@@ -162,7 +163,7 @@
 		p.slow = 2 * time.Second
 	case 6:
 		p.full = true
-	case 7: // its disk is lost, while the others are all well enough to take it in again
+	case 7: // a process that does not lead loses its disk; with five voters, the others can add its new replica
 		if lead := w.leader(); p.a != nil && lead >= 0 && i != lead && len(w.voters) > 3 {
 			w.kill(i)
 			p.disk, p.known = loaded{}, version.State{}
@@ -179,8 +180,9 @@
 	}
 }
 
-// TestAVoterThatLostItsDisk takes another seat, learns, and votes again; the old seat is
-// gone. While one voter is dead besides, and so with nobody to spare, nothing breaks.
+// TestVoterLosesItsDisk: a voter of three that has lost its disk has to join with a new
+// replica as a learner and then vote again, and its old replica has to be removed. Until
+// then the other two have no voter to spare, and nothing may break.
 func TestAVoterThatLostItsDisk(t *testing.T) {
 	w := begun(t, 3, 5, 3)
 	for i := range 3 {
@@ -207,7 +209,7 @@
 	w.sound()
 }
 
-// TestAnotherVoter: an operator has a mixer join the voters, and one leave.
+// TestVotersChange: an operator adds a voter and removes another one.
 func TestAnotherVoter(t *testing.T) {
 	w := begun(t, 4, 5, 3)
 	w.must(2, Question{Op: OpAdd, Name: "n4"})
@@ -218,7 +220,7 @@
 		return ok && !slices.Contains(x.Voters, "n0") && len(x.Voters) == 3
 	})
 	w.kill(0)
-	w.run(2 * testLease) // so that nobody takes it for one that died of the next version
+	w.run(2 * testLease) // so that it is not taken for a canary that the next version crashed
 	if _, ok := w.propose(3, 0); !ok {
 		t.Error("not agreed by the new voters")
 	}
@@ -229,8 +231,8 @@
 	w.sound()
 }
 
-// TestWhatWasRefusedStaysRefused also where the proposal comes again late, by another
-// mixer, to a leader that never heard of it.
+// TestRefusalIsFinal: a refused proposal has to stay refused when it is retried late, through
+// another mixer and at a leader that has not handled it before.
 func TestWhatWasRefusedStaysRefused(t *testing.T) {
 	w := begun(t, 9, 6, 3)
 	if x, ok := w.propose(5, 0); !ok {
--- a/internal/fleet/accord/ask.go
+++ b/internal/fleet/accord/ask.go
@@ -11,47 +11,47 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// Operations that an operator's tool asks for.
+// Operations that the operators' tool requests.
 const (
-	OpLocal    = "local"    // what the mixer that is asked acts on itself
-	OpShow     = "show"     // what is agreed
-	OpVersions = "versions" // who acts on what
-	OpZones    = "zones"    // how zones are, by the whole fleet's evidence
-	OpOwnZones = "own"      // and by that of the mixer that is asked alone
-	OpPropose  = "propose"
-	OpWithdraw = "withdraw"
-	OpAdd      = "add"    // a voter
-	OpRemove   = "remove" // a voter
-	OpOrder    = "order"  // an operator's word on a zone
+	OpLocal    = "local"    // the state and the rules of the mixer that is asked
+	OpShow     = "show"     // the agreed state
+	OpVersions = "versions" // which mixer follows which revision
+	OpZones    = "zones"    // the judgement of the zones by the whole fleet's evidence
+	OpOwnZones = "own"      // the same by the evidence of the mixer that is asked alone
+	OpPropose  = "propose"  // proposes a version
+	OpWithdraw = "withdraw" // withdraws the version that is being rolled out
+	OpAdd      = "add"      // adds a voter
+	OpRemove   = "remove"   // removes a voter
+	OpOrder    = "order"    // gives an order on a zone
 )
 
-// Question is what an operator's tool asks.
+// Request is a request of the operators' tool.
 type Question struct {
 	Op      string          `json:"op"`
-	Version version.Version `json:"version,omitzero"`
-	Number  uint64          `json:"number,omitempty"`
-	Why     string          `json:"why,omitempty"`
-	Name    string          `json:"name,omitempty"`
-	Order   string          `json:"order,omitempty"` // OpOrder, on the zone that Name names
+	Version version.Version `json:"version,omitzero"` // OpPropose
+	Number  uint64          `json:"number,omitempty"` // OpWithdraw: of the version
+	Why     string          `json:"why,omitempty"`    // OpWithdraw, OpOrder
+	Name    string          `json:"name,omitempty"`   // of a mixer or, with OpOrder, of a zone
+	Order   string          `json:"order,omitempty"`  // OpOrder
 }
 
-// Holder is a mixer and what it may act on.
+// Holder is a mixer and the revision that it may follow.
 type Holder struct {
 	Name    string `json:"name"`
 	Stage   uint64 `json:"stage"`
 	Leased  bool   `json:"leased"`
-	LeftMS  int64  `json:"left_ms"`  // until it acts on nothing by its lease, at the latest
-	SinceMS int64  `json:"since_ms"` // that it has said so
+	LeftMS  int64  `json:"left_ms"`  // until its lease has expired, at the latest
+	SinceMS int64  `json:"since_ms"` // since it reported Revision
 	Refuses uint64 `json:"refuses,omitempty"`
 	Why     string `json:"why,omitempty"`
-	Version uint64 `json:"version"` // in force at its stage, where that is the present one
+	Version uint64 `json:"version"` // number of the version in force at Revision, if that is the latest revision
 	Votes   bool   `json:"votes,omitempty"`
 }
 
-// Answer is what it hears.
+// Response is the answer to a Request.
 type Answer struct {
 	Error   string        `json:"error,omitempty"`
-	Unsure  bool          `json:"unsure,omitempty"` // it may have been done
+	Unsure  bool          `json:"unsure,omitempty"` // with Error: the request may have been executed all the same
 	Mixer   string        `json:"mixer"`
 	Leader  string        `json:"leader,omitempty"`
 	Number  uint64        `json:"number,omitempty"`
@@ -67,12 +67,13 @@
 	x.LeaseMS = a.c.Lease.Milliseconds()
 	text, err := json.Marshal(x)
 	if err != nil {
-		a.log.Error().Err(err).Msg("accord: an answer could not be encoded") // a defect
+		a.log.Error().Err(err).Msg("accord: an answer could not be encoded") // a bug
 	}
 	return text
 }
 
-// Asked takes an operator's request, at any mixer. It is carried to the leader.
+// HandleRequest handles an operator's encoded Request at any mixer, forwarding it to the
+// leader where needed. Answer is called once with the encoded Response.
 func (a *Accord) Asked(body []byte, answer func([]byte)) {
 	fail := func(format string, args ...any) {
 		answer(a.encode(Answer{Mixer: a.c.Name, Error: fmt.Sprintf(format, args...)}))
@@ -122,7 +123,7 @@
 	return a.Zones()
 }
 
-// local is what this mixer itself acts on.
+// localStatus returns what this mixer itself knows and follows.
 func (a *Accord) local() Answer {
 	now := a.core.Now()
 	refuses, why := a.lease.Refuses()
@@ -131,13 +132,14 @@
 		Refuses: refuses, Why: why, Version: a.acts.Number, Votes: a.seat != nil}}}
 }
 
-// answer answers a request as the leader.
+// handleRequest executes an operator's request at the leader. Done gets the encoded
+// response, or nil if the outcome is undecided and the sender should retry.
 func (l *lead) answer(body []byte, done func([]byte)) {
 	a, s := l.s.a, l.s
 	x := Answer{Mixer: a.c.Name, Leader: a.c.Name}
 	reply := func(err error) {
-		// Guards against an error that is none: an earlier saying of the same request may have
-		// been carried out, here or by another leader. Said again, with its mark, it finds out.
+		// These errors don't tell whether the request was executed: an earlier attempt at it may
+		// have succeeded, here or at another leader. A retry with its idempotency key finds out.
 		if slices.Contains([]error{errUnsure, errBusy, errNoLead, version.ErrOpen}, err) {
 			done(nil)
 			return
@@ -183,7 +185,7 @@
 	}
 }
 
-// holders are all mixers that are there, with what they may act on.
+// holders returns all live mixers and all holders of leases, by name.
 func (l *lead) holders() (list []Holder) {
 	now, voters := l.s.a.core.Now(), l.s.voters()
 	st := l.s.agreed.State
--- a/internal/fleet/accord/disk.go
+++ b/internal/fleet/accord/disk.go
@@ -17,7 +17,7 @@
 	logFile   = "log.db"
 )
 
-// folder is the files in a mixer's directory.
+// directory implements persistence with files in a mixer's directory.
 type folder struct {
 	core  Core
 	path  string
@@ -29,8 +29,8 @@
 	return &folder{core, path, keep.New(filepath.Join(path, stateFile), "what is agreed", log), log}
 }
 
-// Known implements files. What can't be read is set aside; the mixer then knows of
-// nothing until it has a lease.
+// Known implements persistence. A file that can't be read is renamed with the suffix
+// ".bad"; the mixer then has no state until its first lease.
 func (f *folder) Known() (s version.State) {
 	path := filepath.Join(f.path, stateFile)
 	text, err := os.ReadFile(path)
@@ -47,10 +47,10 @@
 	return version.State{}
 }
 
-// Keep implements files.
+// Keep implements persistence.
 func (f *folder) Keep(state []byte) { f.state.Put(state) }
 
-// Open implements files.
+// Open implements persistence.
 func (f *folder) Open() (disk, loaded, error) {
 	path := filepath.Join(f.path, logFile)
 	s, l, damaged, err := openStore(path)
@@ -63,7 +63,7 @@
 	return newFileDisk(f.core, s), l, nil
 }
 
-// Aside implements files.
+// Aside implements persistence.
 func (f *folder) Aside() error {
 	path := filepath.Join(f.path, logFile)
 	if err := os.Rename(path, path+".bad"); !errors.Is(err, os.ErrNotExist) {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// fileDisk writes a store on a goroutine of its own, one batch at a time.
+// storeWriter writes to a store on a goroutine of its own, one batch at a time.
 type fileDisk struct {
 	core Core
 	s    *store
@@ -96,11 +96,11 @@
 		err := d.s.Save(j.b)
 		d.core.Post(func() { j.done(err) })
 	}
-	_ = d.s.Close() // nothing is left to write
+	_ = d.s.Close() // nothing is left to be written
 }
 
-// Save implements disk. A seat hands in one batch at a time, so this never waits.
+// Save implements logWriter. It never blocks, as a replica saves one batch at a time.
 func (d *fileDisk) Save(b batch, done func(error)) { d.next <- job{b, done} }
 
-// Close implements disk.
+// Close implements logWriter.
 func (d *fileDisk) Close() { close(d.next) }
--- a/internal/fleet/accord/found.go
+++ b/internal/fleet/accord/found.go
@@ -9,13 +9,14 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// How the log begins. Each voter draws a seat when its file is made, keeps it on the
-// disk, and says it to the other voters. Once the first of them by name has heard of all
-// the others that none of them has a log, it says with which seats the log begins; who
-// is among these, with that very seat, begins with it too. A voter that has lost its disk
-// has another seat, which has never voted: it learns, and then takes the old one's place.
+// Bootstrap of the log. Each voter draws a random replica ID when its file is created,
+// stores it and sends it to the other voters in hellos. Once the first voter by name has
+// received hellos from all others and none of them has a log, it decides with which
+// replicas the log begins. A voter that is among these with its present ID begins with the
+// same state. A voter that has lost its disk has another replica ID, which has never voted:
+// it joins as a learner and then replaces the old replica.
 
-// greet says our seat to the other voters, until there is a log.
+// sendHellos announces this mixer's replica to the other voters until there is a log.
 func (a *Accord) greet(now time.Duration) {
 	if a.seat.rn != nil || now < a.helloA {
 		return
@@ -35,7 +36,7 @@
 	a.tryFound(now)
 }
 
-// tryFound begins the log if nobody has one.
+// tryBootstrap begins the log if this is the first voter by name and no voter has a log.
 func (a *Accord) tryFound(now time.Duration) {
 	if a.seat.saving || a.seat.gone || slices.Min(a.c.Voters) != a.c.Name {
 		return
@@ -50,25 +51,27 @@
 			return
 		}
 		g.Seats = append(g.Seats, Seat{h.seat, name})
-		// A fleet that has lost all of its logs goes on from the latest that is remembered.
+		// A fleet that has lost all of its logs continues from the latest state that any of
+		// its voters has stored.
 		var st version.State
 		if h.stage > g.State.Stage && json.Unmarshal(h.state, &st) == nil {
 			g.State = st
 		}
 	}
 	if g.State.Stage > 0 {
-		g.State.Stage++ // nobody may take what follows for what was
+		g.State.Stage++ // what follows must not be taken for the former state
 	}
 	slices.SortFunc(g.Seats, func(a, b Seat) int { return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
 	text, err := json.Marshal(g)
 	if err != nil {
-		a.log.Error().Err(err).Msg("accord: the founding could not be encoded") // a defect
+		a.log.Error().Err(err).Msg("accord: the founding could not be encoded") // a bug
 		return
 	}
 	a.seat.found(text)
 }
 
-// met takes another voter's hello. Whoever has a log says so, or brings the other one in.
+// handleHello handles another voter's hello. A voter with a log answers that it has one, or
+// with the bootstrap state if the sender's replica is part of it.
 func (a *Accord) met(from string, h hello) {
 	if len(a.hellos) < maxMembers || a.hellos[from].seat != 0 {
 		a.hellos[from] = h
@@ -84,7 +87,7 @@
 	a.say(from, word{kind: kindHello, seat: a.seat.id, flag: true, stage: a.lease.State().Stage})
 }
 
-// invited takes a seat that an operator wants this mixer to have.
+// handleInvite opens a replica, as an operator wants this mixer to become a voter.
 func (a *Accord) invited() {
 	if a.seat != nil || a.c.files == nil {
 		return
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -11,8 +11,8 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// What operators see of proposals and reads has to be as if each happened at one moment
-// between its request and its answer.
+// These tests check that proposals and reads by operators are linearizable: each must appear
+// to happen at one time between its request and its answer.
 
 type asks struct {
 	propose bool
@@ -21,18 +21,18 @@
 
 type hears struct {
 	number uint64 // of the version proposed, or the latest read
-	failed bool   // refused as made from an old version, of which number is the latest
+	failed bool   // refused as based on an old version; number is the latest one
 	unsure bool
 }
 
-// register is the number of the latest version, from the first on.
+// register models the number of the latest version, which begins at first.
 func register(first uint64) porcupine.Model {
 	return (&porcupine.NondeterministicModel{
 		Init: func() []any { return []any{first} },
 		Step: func(state, input, output any) []any {
 			latest, in, out := state.(uint64), input.(asks), output.(hears)
 			switch {
-			case out.unsure && in.from == latest: // it may have been done
+			case out.unsure && in.from == latest: // it may have been executed
 				return []any{latest, latest + 1}
 			case out.unsure:
 				return []any{latest}
@@ -49,7 +49,7 @@
 	}).ToModel()
 }
 
-// operator is one who asks one thing after another of mixers that it picks.
+// operator sends one request after another to random mixers.
 type operator struct {
 	w    *world
 	id   int
@@ -86,9 +86,9 @@
 		switch {
 		case !heard || x.Unsure:
 			if !in.propose {
-				return // a read without an answer says nothing
+				return // a read without an answer proves nothing
 			}
-			out.unsure, back = true, w.now+time.Hour // it may still be done
+			out.unsure, back = true, w.now+time.Hour // it may still be executed
 		case x.Error == "" && in.propose:
 			out.number = x.Number
 		case x.Error != "":
@@ -96,7 +96,7 @@
 				if !strings.Contains(x.Error, "is on its way (") {
 					w.t.Errorf("%v: client %d: %s", w.now, o.id, x.Error)
 				}
-				return // nothing was done, and nothing is said of the latest
+				return // nothing was executed, and the latest version is unknown
 			}
 			out.failed, out.number = true, latest
 		}
@@ -105,7 +105,7 @@
 		}
 		*o.ops = append(*o.ops, porcupine.Operation{ClientId: o.id, Input: in, Call: int64(begun), Output: out, Return: int64(back)})
 		if out.unsure {
-			o.id += 100 // the same client has nothing else out
+			o.id += 100 // a client of its own, as it has no further request open
 		}
 	}
 	w.procs[at].a.Asked(body, func(text []byte) {
@@ -115,7 +115,7 @@
 		}
 		end(x, true)
 	})
-	w.after(8*time.Second, func() { end(Answer{}, false) }) // the mixer has died with it
+	w.after(8*time.Second, func() { end(Answer{}, false) }) // the mixer has crashed with the request
 }
 
 func TestHistoriesAreLinearizable(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestTheCheckerFindsAStaleRead is the check of that check.
+// TestCheckerFindsStaleRead guards against a model that accepts any history.
 func TestTheCheckerFindsAStaleRead(t *testing.T) {
 	ops := []porcupine.Operation{
 		{ClientId: 0, Input: asks{propose: true, from: 1}, Call: 0, Output: hears{number: 2}, Return: 10},
--- a/internal/fleet/accord/large_test.go
+++ b/internal/fleet/accord/large_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// TestAFleetOf300 agrees by the words of a few: what a mixer that does not vote says costs
-// the same at any size, and the leader's words grow with the fleet alone. All act on a
-// version within a lease's time, also where the leader has just died.
+// TestFleetOf300 guards against message rates that grow faster than the fleet: a mixer that
+// does not vote sends and receives as much at any size, and the leader's rate grows in
+// proportion to the fleet. It also logs how long a version takes to reach all mixers, before and
+// after the leader's crash.
 func TestAFleetOf300(t *testing.T) {
 	if raceOn {
 		t.Skip("the detector is slow, and a world has one goroutine")
 	}
-	type load struct{ leader, voter, other, bytes float64 } // words a second, said and heard
+	type load struct{ leader, voter, other, bytes float64 } // messages per second, sent and received
 	cost := map[int]load{}
 	for _, size := range []int{9, 300} {
 		w := newWorld(t, uint64(size), size, 5)
--- a/internal/fleet/accord/lead.go
+++ b/internal/fleet/accord/lead.go
@@ -15,50 +15,51 @@
 )
 
 const (
-	confirmLost = 500 * time.Millisecond // a confirmation that takes longer is asked for again
-	checkTime   = time.Second            // for the other voters to look at a document
-	proposeTime = 3 * time.Second
-	helloTime   = 500 * time.Millisecond // between two hellos, and two looks at the voters
-	helloLasts  = 3 * time.Second
-	mostDone    = 128
+	confirmLost = 500 * time.Millisecond // after which an unanswered confirmation of leadership is requested again
+	checkTime   = time.Second            // for the other voters to validate a document
+	proposeTime = 3 * time.Second        // until the outcome of a proposal or read counts as unknown
+	helloTime   = 500 * time.Millisecond // between two hellos, and two checks of the voters
+	helloLasts  = 3 * time.Second        // for which a hello counts
+	mostDone    = 128                    // answers kept for retries
 )
 
 var (
-	// What an operator is not told: the request is said again.
+	// These errors never reach an operator: the request is retried.
 	errUnsure = errors.New("it is not known whether that was agreed; ask again with the same mark")
 	errNoLead = errors.New("nobody leads the voters now")
 	errBusy   = errors.New("another document is being checked")
 )
 
-// lead is what the leader of the voters does besides: it grants leases, takes versions
-// from phase to phase, has documents checked, looks after seats.
+// leadership holds the duties of the voters' leader beyond Raft: it grants leases, moves
+// versions from phase to phase, has documents validated and maintains the replicas.
 type lead struct {
 	s         *seat
 	g         *version.Granter
-	asked     uint64 // the seat's number of the latest confirmation asked for
+	asked     uint64 // number of the latest confirmation requested
 	askedAt   time.Duration
 	pending   bool
-	confirmed time.Duration // at this moment nobody else had been chosen
+	confirmed time.Duration // at this time no other leader had been elected
 	sure      bool          // a first confirmation has come: all that was agreed before is known
 	reads     []reading
 	stepping  bool
 	check     *check
 	looked    time.Duration
-	done      map[uint64][]byte // answers to the latest requests; nil: it is under way
-	order     []uint64
+	done      map[uint64][]byte // answers to the latest requests by ID; nil: in progress
+	order     []uint64          // keys of done, the oldest first
 }
 
+// pendingRead waits for a confirmation that was requested at or after a time.
 type reading struct {
 	at time.Duration
 	do func(error)
 }
 
-// check is a document that the other voters look at.
+// validation is a document that the other voters are validating.
 type check struct {
 	id      uint64
-	open    map[string]bool // who has not said yet
+	open    map[string]bool // voters that have not answered yet
 	passed  func()
-	failed  func(error) // it was not looked at to the end
+	failed  func(error) // it was not completed
 	refused func(error)
 }
 
@@ -67,10 +68,10 @@
 	return &lead{s: s, g: version.NewGranter(s.a.c.Lease, s.a.c.Trial, now), done: map[uint64][]byte{}}
 }
 
-// remember keeps what became of a request, in case it is said again.
+// recordAnswer keeps the answer to a request for its retries.
 func (l *lead) remember(id uint64, answer []byte) {
 	if _, known := l.done[id]; !known {
-		if l.order = append(l.order, id); len(l.order) > mostDone { // deleting one that is not there does no harm
+		if l.order = append(l.order, id); len(l.order) > mostDone { // the entry may be deleted already
 			delete(l.done, l.order[0])
 			l.order = l.order[1:]
 		}
@@ -108,7 +109,8 @@
 	}
 }
 
-// read takes a confirmation: when it was asked for, nobody else had been chosen.
+// handleReadState handles a confirmation of leadership: when it was requested, no other
+// leader had been elected.
 func (l *lead) read(r raft.ReadState) {
 	if len(r.RequestCtx) != 8 || binary.BigEndian.Uint64(r.RequestCtx) != l.asked || l.s.applied < r.Index {
 		return
@@ -126,7 +128,8 @@
 	}
 }
 
-// surely does something once it is known that all that was agreed until now is known here.
+// linearizableRead calls do once this replica certainly knows all that was agreed until
+// now, or with an error after proposeTimeout.
 func (l *lead) surely(do func(error)) {
 	r := reading{l.s.a.core.Now(), do}
 	l.reads = append(l.reads, r)
@@ -139,7 +142,7 @@
 	})
 }
 
-// grant answers a request for a lease.
+// grantLease answers a request for a lease, or returns false if none is granted now.
 func (l *lead) grant(r version.Request) (word, bool) {
 	if !l.sure {
 		return word{}, false
@@ -151,7 +154,7 @@
 	}
 	w := word{kind: kindGrant, id: g.Seq, who: r.Name, left: g.Left, stage: st.Stage, leader: l.s.a.c.Name, members: l.s.voters()}
 	if r.Stage != st.Stage || r.Refuses != 0 {
-		st.Refused = nil // the voters' matter
+		st.Refused = nil // only the voters need them
 		text, err := json.Marshal(st)
 		if err != nil {
 			return word{}, false
@@ -161,7 +164,7 @@
 	return w, true
 }
 
-// voters names the seats that vote.
+// voters returns the sorted names of the voting replicas.
 func (s *seat) voters() (names []string) {
 	for _, x := range s.agreed.Seats {
 		if slices.Contains(s.conf.GetVoters(), x.ID) {
@@ -172,8 +175,8 @@
 	return names
 }
 
-// propose has all voters that answer look at a document, and then has it agreed. One
-// that any of them refuses is not.
+// propose has the voters validate a document and then proposes it. A document that any
+// voter rejects is refused; voters that do not answer in time are passed over.
 func (l *lead) propose(v version.Version, done func(number uint64, err error)) {
 	a := l.s.a
 	if _, err := a.c.Read(v.Text); err != nil {
@@ -193,7 +196,7 @@
 		var names []string
 		live := a.fleet.Live()
 		for _, h := range l.g.Holders(now) {
-			if slices.Contains(live, h.Name) { // one that has just died would look as if the version had killed it
+			if slices.Contains(live, h.Name) { // a dead canary would look as if the version had crashed it
 				names = append(names, h.Name)
 			}
 		}
@@ -209,7 +212,7 @@
 		}
 	}
 	a.core.After(checkTime, func() {
-		if l.check == k { // a voter that does not answer has no say
+		if l.check == k { // voters that have not answered are passed over
 			k.passed()
 		}
 	})
@@ -218,8 +221,8 @@
 	}
 }
 
-// refuse has a refusal agreed: an earlier saying of the same proposal may have been taken
-// by another leader, and a later one must not be once its author was told.
+// refuse records a refusal in the log: another leader may have accepted an earlier attempt
+// at the same proposal, and no later attempt may be accepted once the author was told.
 func (l *lead) refuse(v version.Version, why error, done func(number uint64, err error)) {
 	v.Text = ""
 	l.s.propose(version.Command{Kind: version.Refuse, Version: v, Why: why.Error()}, done)
@@ -239,8 +242,9 @@
 	}
 }
 
-// seats looks after the voters, one change at a time: a process that has lost its seat
-// learns first, then takes the place of the old one.
+// reconcilePeers maintains the replicas, one membership change at a time. A process that has
+// lost its replica joins with a new one as a learner. Once that has caught up, the old
+// replica is removed, and then the learner becomes a voter.
 func (l *lead) seats() {
 	s, now := l.s, l.s.a.core.Now()
 	st := s.rn.Status()
@@ -279,7 +283,8 @@
 	}
 }
 
-// changing says why the voters can't be changed, where that is no mere "not now".
+// afterPeerChange logs why a membership change failed, unless this replica has lost the
+// leadership, and drives the replica.
 func (s *seat) changing(err error) {
 	if err != nil && !errors.Is(err, errNoLead) {
 		s.a.log.Warn().Err(err).Msg("accord: the voters can't be changed now")
--- a/internal/fleet/accord/raftlog.go
+++ b/internal/fleet/accord/raftlog.go
@@ -6,9 +6,9 @@
 	"github.com/rs/zerolog"
 )
 
-// raftLog passes on what the consensus's library says: what goes wrong as it is, its
-// ordinary lines to whoever debugs. It may panic, as the library asks; the seat guards
-// itself against that.
+// raftLog implements raft.Logger. Errors keep their level; warnings and ordinary lines are
+// logged at debug and trace level. Fatal and Panic panic, as the library requires;
+// replica.guard recovers.
 type raftLog struct{ zerolog.Logger }
 
 func (l raftLog) say(e *zerolog.Event, text string) { e.Str("from", "raft").Msg(text) }
--- a/internal/fleet/accord/seat.go
+++ b/internal/fleet/accord/seat.go
@@ -16,33 +16,34 @@
 const (
 	electionTicks = 10
 	beatTicks     = 2
-	maxLog        = 1 << 20 // bytes in a message, and of entries that are not agreed yet
-	keepEntries   = 200     // entries after which a snapshot takes their place
-	saveRetry     = time.Second
-	snapTime      = 2 * time.Second
+	maxLog        = 1 << 20         // bytes per message, and of uncommitted entries
+	keepEntries   = 200             // entries after which a snapshot replaces them
+	saveRetry     = time.Second     // between two attempts at a write
+	snapTime      = 2 * time.Second // after which a snapshot that was sent counts as lost
 )
 
-// Seat is a place among the voters. A process whose disk was lost takes a new one.
+// Peer identifies a replica of the log. A process that has lost its disk joins with a new ID.
 type Seat struct {
 	ID   uint64 `json:"id"`
 	Name string `json:"name"`
 }
 
-// agreed is what the log amounts to.
+// replicatedState is the state that the log's entries build up.
 type agreed struct {
 	State version.State `json:"state"`
 	Seats []Seat        `json:"seats"`
 }
 
-// entry is one of the log's.
+// entry is the content of a log entry.
 type entry struct {
-	ID      uint64          `json:"id"` // drawn by its author, who waits for it
+	ID      uint64          `json:"id"` // random, drawn by the proposer, who waits for it
 	Command version.Command `json:"command"`
 }
 
-// seat is a voter's part in the consensus. The machine is the library's; this carries
-// out what it wants, in the order that it asks for: first the disk, then words, then
-// what is agreed. The core's goroutine never waits for the disk.
+// replica is a voter's replica of the log. It wraps the library's Raft node and executes
+// what the node asks for in the order that Raft requires: first write to the disk, then
+// send messages, then apply committed entries. The core's goroutine never waits for the
+// disk.
 type seat struct {
 	a        *Accord
 	id       uint64
@@ -54,27 +55,28 @@
 	conf     *pb.ConfState
 	applied  uint64
 	snapped  uint64
-	names    map[uint64]string // of seats that have spoken to us
-	saving   bool
-	said     bool // that the disk fails
-	gone     bool // this seat may not be used any more
+	names    map[uint64]string // mixers by replica ID, of the replicas that sent messages
+	saving   bool              // a batch is being written
+	said     bool              // a failing disk was logged
+	gone     bool              // this replica must not be used any more
 
 	lead uint64
-	led  *lead // nil: somebody else leads
-	// confirms counts the confirmations asked for. It goes on from one time of leading to
-	// the next: the library may answer what was asked in an earlier one.
+	led  *lead // nil: another replica leads
+	// confirms counts the confirmations of leadership requested. It is not reset between two
+	// terms of leadership, as the library may answer a request of an earlier one.
 	confirms uint64
 	waiting  map[uint64]func(number uint64, err error)
 }
 
-// disk keeps what a seat may not forget.
+// logWriter stores what a replica must not lose.
 type disk interface {
-	// Save posts done once the batch is kept.
+	// Save writes a batch and posts done to the core's goroutine when it is durable, or with
+	// an error if it could not be written. One batch may be in progress at a time.
 	Save(b batch, done func(error))
 	Close()
 }
 
-// newSeat takes up a seat as its disk has it.
+// newReplica returns the replica that was loaded from a disk.
 func newSeat(a *Accord, d disk, l loaded) *seat {
 	s := &seat{a: a, id: l.seat, disk: d, founding: l.founding, names: map[uint64]string{}, waiting: map[uint64]func(uint64, error){}, conf: &pb.ConfState{}}
 	if !raft.IsEmptySnap(l.snapshot) || len(l.entries) > 0 || !raft.IsEmptyHardState(l.hard) {
@@ -91,7 +93,7 @@
 			err = s.take(l.snapshot)
 		}
 	} else if len(l.entries) == 0 {
-		err = nil // it has spoken to a leader, and no more
+		err = nil // it has exchanged messages with a leader, but has no entry yet
 	}
 	if err == nil {
 		err = s.mem.SetHardState(l.hard)
@@ -106,7 +108,7 @@
 	s.begin()
 }
 
-// take takes over a snapshot.
+// applySnapshot replaces the replicated state by a snapshot's.
 func (s *seat) take(snap *pb.Snapshot) error {
 	var a agreed
 	if err := json.Unmarshal(snap.GetData(), &a); err != nil {
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// begin starts the machine on what the memory holds.
+// startNode starts the Raft node on the entries in memory.
 func (s *seat) begin() {
 	if s.mem == nil {
 		s.mem = raft.NewMemoryStorage()
@@ -133,7 +135,8 @@
 	s.rn = rn
 }
 
-// found begins the log with the seats that all voters have told each other.
+// bootstrap begins the log with the encoded replicated state in text, if this replica is
+// one of its peers and has no log yet.
 func (s *seat) found(text []byte) {
 	var a agreed
 	if s.rn != nil || s.saving || json.Unmarshal(text, &a) != nil {
@@ -165,8 +168,8 @@
 	})
 }
 
-// guard runs something of the machine's, which panics where a log contradicts what was
-// agreed: then this seat is given up, and the process takes another one.
+// guard calls the Raft node and recovers from its panics: it panics if its log contradicts
+// the agreed one. The replica is then abandoned, and the process opens another one.
 func (s *seat) guard(do func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -192,15 +195,15 @@
 	if s.rn == nil || s.gone {
 		return
 	}
-	_ = s.guard(func() error { s.rn.Tick(); return nil }) // fail has said why
+	_ = s.guard(func() error { s.rn.Tick(); return nil }) // fail has logged the error
 	if s.led != nil {
 		s.led.tick()
 	}
 	s.drive()
 }
 
-// receive takes a message of another seat's. One that comes before there is a log shows
-// that there is one, with a place for us.
+// receive handles a Raft message from another replica. A message that arrives before this
+// replica has a log shows that there is a log with this replica among its peers.
 func (s *seat) receive(from string, body []byte) {
 	m := &pb.Message{}
 	if s.gone || proto.Unmarshal(body, m) != nil || m.GetTo() != s.id {
@@ -213,11 +216,11 @@
 		s.begin()
 	}
 	s.names[m.GetFrom()] = from
-	_ = s.guard(func() error { return s.rn.Step(m) }) // what does not fit is dropped, as the library advises
+	_ = s.guard(func() error { return s.rn.Step(m) }) // messages that don't fit are dropped, as the library advises
 	s.drive()
 }
 
-// drive carries out what the machine wants, as far as the disk has kept up.
+// drive processes the Raft node's pending work until a write to the disk is in progress.
 func (s *seat) drive() {
 	for !s.gone && !s.saving && s.rn != nil && s.rn.HasReady() {
 		rd := s.rn.Ready()
@@ -237,7 +240,8 @@
 	}
 }
 
-// save has a batch kept, however long that takes: until then this seat says nothing.
+// save writes a batch and retries until that succeeds. Until then this replica sends no
+// messages.
 func (s *seat) save(rd raft.Ready, b batch) {
 	if s.gone {
 		return // a retry that was waiting: the disk is closed
@@ -268,7 +272,8 @@
 	}
 }
 
-// carry does what follows once a batch is kept.
+// finishReady does what the Raft node asked for after the batch was written: it updates the
+// log in memory, sends messages and applies committed entries.
 func (s *seat) carry(rd raft.Ready, b batch) {
 	err := s.guard(func() error {
 		if b.snapshot != nil {
@@ -312,16 +317,17 @@
 func (s *seat) send(m *pb.Message) {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		s.a.log.Error().Err(err).Msg("accord: a message could not be encoded") // a defect
+		s.a.log.Error().Err(err).Msg("accord: a message could not be encoded") // a bug
 		return
 	}
 	if to := s.nameOf(m.GetTo()); to != "" {
 		s.a.say(to, word{kind: kindRaft, body: b})
 	}
 	if m.GetType() == pb.MessageType_MsgSnap {
-		// Guards against a snapshot that is lost: the machine waits for its end for good.
+		// The Raft node waits for the outcome of a snapshot without a limit, so a snapshot that
+		// was lost would stop the replication to its receiver for good.
 		s.a.core.After(snapTime, func() {
-			_ = s.guard(func() error { s.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFailure); return nil }) // counts only if it still waits
+			_ = s.guard(func() error { s.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFailure); return nil }) // has no effect if the node does not wait any more
 			s.drive()
 		})
 	}
@@ -336,9 +342,9 @@
 	return s.names[id]
 }
 
-// apply carries out an entry that is agreed.
+// apply executes a committed entry.
 func (s *seat) apply(e *pb.Entry) {
-	// Only in the end: a snapshot that is asked for meanwhile would be of half of it.
+	// Set at the end: a snapshot that is requested meanwhile would hold half of the entry.
 	defer func() { s.applied = e.GetIndex() }()
 	switch e.GetType() {
 	case pb.EntryConfChange:
@@ -351,7 +357,7 @@
 	case pb.EntryNormal:
 		var x entry
 		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &x) != nil {
-			return // a new leader's first
+			return // the empty entry of a new leader
 		}
 		next, number, err := s.agreed.State.Apply(x.Command)
 		if s.agreed.State = next; err == nil && next.Last != "" {
@@ -384,14 +390,14 @@
 	s.a.log.Info().Str("voter", name).Str("seat", fmt.Sprintf("%016x", id)).Str("what", what).Msg("accord: the voters change")
 }
 
-// storage is the log in memory. A snapshot that is asked for is of now: whoever gets it
-// has to find itself among the seats.
+// logStorage is the log in memory as the Raft node reads it. Its snapshots are taken when
+// they are requested, because the receiver of a snapshot has to be among its peers.
 type storage struct {
 	*raft.MemoryStorage
 	s *seat
 }
 
-// Snapshot implements raft.Storage.
+// Snapshot implements raft.Storage. The snapshot is of the present applied state.
 func (st storage) Snapshot() (*pb.Snapshot, error) {
 	s := st.s
 	if last, err := st.MemoryStorage.Snapshot(); err != nil || last.GetMetadata().GetIndex() >= s.applied {
@@ -404,7 +410,7 @@
 	return st.CreateSnapshot(s.applied, s.conf, data)
 }
 
-// compact puts a snapshot in the place of a long log.
+// compact replaces the log by a snapshot once it has grown by snapshotEntries.
 func (s *seat) compact() {
 	if s.gone || s.saving || s.rn == nil || s.applied-s.snapped < keepEntries {
 		return
@@ -431,7 +437,7 @@
 	}
 }
 
-// leads notices who leads.
+// leaderChanged handles a change of the leader.
 func (s *seat) leads(leader uint64, we bool) {
 	s.lead = leader
 	switch {
@@ -445,14 +451,16 @@
 	}
 }
 
-// propose has a command agreed; done is told once it was carried out.
+// propose proposes a command. Done is called once: with the result of executing the command,
+// with errNoLeader if this replica does not lead, or with errOutcomeUnknown after
+// proposeTimeout.
 func (s *seat) propose(c version.Command, done func(number uint64, err error)) {
 	id := s.a.draw()
 	data, err := json.Marshal(entry{ID: id, Command: c})
 	if err == nil {
 		err = s.guard(func() error { return s.rn.Propose(data) })
 	}
-	if err != nil { // not taken now, as this seat leads no more; an earlier saying may have been
+	if err != nil { // not accepted, as this replica leads no more; an earlier attempt may have been
 		done(0, errNoLead)
 		return
 	}
@@ -466,7 +474,7 @@
 	s.drive()
 }
 
-// change has a seat added, promoted or removed.
+// proposePeerChange proposes to add, promote or remove a replica.
 func (s *seat) change(kind pb.ConfChangeType, x Seat) error {
 	err := s.guard(func() error {
 		return s.rn.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &x.ID, Context: []byte(x.Name)})
@@ -477,7 +485,8 @@
 	return err
 }
 
-// confirm asks whether this is still the leader.
+// requestConfirmation asks the other voters to confirm that this replica still leads. The
+// answer carries the number n.
 func (s *seat) confirm(n uint64) {
-	_ = s.guard(func() error { s.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, n)); return nil }) // fail has said why
+	_ = s.guard(func() error { s.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, n)); return nil }) // fail has logged the error
 }
--- a/internal/fleet/accord/slow_off.go
+++ b/internal/fleet/accord/slow_off.go
@@ -2,6 +2,6 @@
 
 package accord
 
-// writeTakes is how much longer a write of the log takes. Only a test's build has it take
-// any time: it stands for a disk that is slow.
+// writeDelay is added to each write of the log. It is zero except in test builds with the
+// tag slowdisk, which simulate a slow disk.
 const writeTakes = 0
--- a/internal/fleet/accord/slow_on.go
+++ b/internal/fleet/accord/slow_on.go
@@ -4,4 +4,5 @@
 
 import "time"
 
+// writeDelay is added to each write of the log, to simulate a slow disk.
 const writeTakes = 2 * time.Second
--- a/internal/fleet/accord/store.go
+++ b/internal/fleet/accord/store.go
@@ -18,26 +18,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// store is a voter's disk: its seat, its vote, its log. What it has returned from Save
-// for is there after a crash at any moment; what is not whole is noticed when it is
-// opened.
+// store is a voter's file: its replica ID, its vote and its log. A batch for which Save has
+// returned survives a crash at any time. Torn or corrupt records are detected when the
+// file is opened.
 type store struct {
 	db   *bolt.DB
 	path string
-	// hook is called at each boundary of a write; a test has it fail or end the process.
+	// hook is called at each step of a write. Tests use it to fail or to kill the process.
 	hook func(at string) error
 }
 
-// batch is what has to be on the disk before anything is said that rests on it.
+// batch is what has to be on the disk before messages that depend on it are sent.
 type batch struct {
 	hard     *pb.HardState
 	snapshot *pb.Snapshot
 	entries  []*pb.Entry
-	reset    bool   // the snapshot came from the leader: no older entry counts
-	founding []byte // the seats with which the log begins
+	reset    bool   // the snapshot came from the leader: all present entries are deleted
+	founding []byte // the encoded state with which the log begins
 }
 
-// loaded is what a store held when it was opened.
+// savedLog is the content of a store when it was opened.
 type loaded struct {
 	seat     uint64
 	founding []byte
@@ -57,7 +57,8 @@
 
 var errSum = errors.New("a record's sum is wrong")
 
-// sealed puts a record behind its sum.
+// withChecksum returns a record's stored form: a checksum over key and value, 8 bytes,
+// and then the value.
 func sealed(key, value []byte) []byte {
 	h := xxh3.New()
 	_, _ = h.Write(key) // never fails
@@ -65,6 +66,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, h.Sum64()), value...)
 }
 
+// verifyChecksum returns a copy of a record's value, or an error wrapping errChecksum.
 func unsealed(key, record []byte) ([]byte, error) {
 	if len(record) < 8 || !bytes.Equal(sealed(key, record[8:]), record) {
 		return nil, fmt.Errorf("%q: %w", key, errSum)
@@ -74,8 +76,9 @@
 
 const lockTime = 2 * time.Second // another process may still have the file
 
-// openStore opens a voter's file, or makes it. One that is torn or corrupt is set aside:
-// damaged says so, and the seat is a new one, which has never voted.
+// openStore opens a voter's file, or creates it. A torn or corrupt file is renamed with the
+// suffix ".bad" and replaced by a new one, whose replica ID has never voted; damaged then
+// holds the reason.
 func openStore(path string) (s *store, l loaded, damaged, err error) {
 	s, l, err = tryStore(path)
 	if err == nil || errors.Is(err, bolterrors.ErrTimeout) {
@@ -89,17 +92,18 @@
 	return s, l, damaged, err
 }
 
+// tryOpen opens or creates a voter's file and reads all of it.
 func tryStore(path string) (s *store, l loaded, err error) {
-	// Guards the mixer against a torn file: the library panics, or reads where there is no
-	// page. All that is read here is read on this goroutine; its own check and its search
-	// for free pages run on others, where nobody can catch that, so neither is used.
+	// On a torn file the library panics, or faults on a missing page. Both are recovered here,
+	// as everything is read on this goroutine. The library's own check and its search for
+	// free pages run on other goroutines, where they could not be recovered, so neither is used.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%s: %v", path, r)
 		}
 		if err != nil && s != nil {
-			_ = s.db.Close() // the first error counts
+			_ = s.db.Close() // the first error is returned
 			s = nil
 		}
 	}()
@@ -111,7 +115,7 @@
 	return s, l, s.load(&l)
 }
 
-// load reads all, and draws a seat for a file that is new.
+// load reads and verifies all records, and draws a replica ID for a new file.
 func (s *store) load(l *loaded) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
@@ -184,11 +188,11 @@
 
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// Save writes a batch. It returns once it is on the disk.
+// Save writes a batch and returns once it is on the disk.
 func (s *store) Save(b batch) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if r := recover(); r != nil { // a page that broke since it was read
+		if r := recover(); r != nil { // a page was damaged after load had read it
 			err = fmt.Errorf("%s: %v", s.path, r)
 		}
 	}()
@@ -214,7 +218,7 @@
 				return err
 			}
 		}
-		if len(b.entries) > 0 || b.reset { // what stood from there on is replaced
+		if len(b.entries) > 0 || b.reset { // the entries from there on are replaced
 			from := logKey(0)
 			if !b.reset {
 				from = logKey(b.entries[0].GetIndex())
@@ -239,7 +243,7 @@
 				return err
 			}
 		}
-		for b.snapshot != nil { // what it holds is not needed in the log
+		for b.snapshot != nil { // entries that the snapshot covers are deleted
 			k, _ := log.Cursor().First()
 			if k == nil || binary.BigEndian.Uint64(k) > b.snapshot.GetMetadata().GetIndex() {
 				break
--- a/internal/fleet/accord/store_test.go
+++ b/internal/fleet/accord/store_test.go
@@ -57,7 +57,7 @@
 	}
 	save(batch{hard: hardAt(1, 1), snapshot: snapAt(1), founding: []byte("f")})
 	save(batch{entries: []*pb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}})
-	save(batch{hard: hardAt(2, 3), entries: []*pb.Entry{entryAt(4, 2, "d")}}) // another leader's
+	save(batch{hard: hardAt(2, 3), entries: []*pb.Entry{entryAt(4, 2, "d")}}) // from another leader
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -83,8 +83,8 @@
 	_ = s.Close()
 }
 
-// TestADamagedStoreIsSetAside changes bytes all over the file, and cuts it: what comes is
-// the log as it was, or another seat that has never voted.
+// TestDamagedStoreIsSetAside changes random bytes of the file, or truncates it. Opening it has
+// to return the log as it was, or a new replica that has never voted.
 func TestADamagedStoreIsSetAside(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log.db")
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestKilledAtEveryBoundary runs the store in a process that is killed at each boundary
-// of its writes in turn: what it had said was written is there.
+// TestKilledAtEveryStep runs the store in a process that is killed at each step of its writes
+// in turn. What the process had reported as written has to be there.
 func TestKilledAtEveryBoundary(t *testing.T) {
 	if path := os.Getenv("KITELOFT_STORE"); path != "" {
 		writeUntilKilled(path)
@@ -194,7 +194,7 @@
 	}
 	s.hook = func(string) error {
 		if at == 0 {
-			p, _ := os.FindProcess(os.Getpid()) // it is there
+			p, _ := os.FindProcess(os.Getpid()) // never fails on Unix
 			_ = p.Kill()
 			select {}
 		}
--- a/internal/fleet/accord/word.go
+++ b/internal/fleet/accord/word.go
@@ -11,42 +11,42 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// kind is what a word is for.
+// messageKind is the purpose of a message. Mixers exchange its number.
 type kind uint8
 
 const (
-	kindRaft    kind = iota + 1 // a message of the consensus, to a seat
-	kindRenew                   // asks for a lease, through any voter
+	kindRaft    kind = iota + 1 // a Raft message to a replica
+	kindRenew                   // a request for a lease, through any voter
 	kindGrant                   // a lease
 	kindAsk                     // an operator's request, through any voter
-	kindAnswer                  // its answer
-	kindCheck                   // can you act on this document?
-	kindChecked                 // yes, or why not
-	kindHello                   // a voter's seat, before there is a log
-	kindFound                   // the seats with which the log begins
-	kindInvite                  // please take a seat
+	kindAnswer                  // the answer to an operator's request
+	kindCheck                   // asks a voter to validate a document
+	kindChecked                 // the result of a validation
+	kindHello                   // a voter's replica ID, before it has a log
+	kindFound                   // the state with which the log begins
+	kindInvite                  // asks a mixer to become a voter
 )
 
-// word is what one mixer says to another. Fields that a program does not know are passed
-// over.
+// message is a message from one mixer to another. Which fields are set depends on its kind.
+// It is encoded as a protobuf message; unknown fields are ignored.
 type word struct {
 	kind    kind
-	id      uint64        // of a request; a lease's number
-	who     string        // on whose behalf, where it goes through another
-	seat    uint64        // Hello: the sender's; Renew: the process's instance
-	stage   uint64        // that the sender acts on, or knows
-	left    time.Duration // Grant
-	number  uint64        // Renew: the version that can't be acted on
-	why     string        // and why; Checked likewise
+	id      uint64        // of a request; leases: the sequence number
+	who     string        // the mixer that made the request, in requests and their answers
+	seat    uint64        // hello: the sender's replica; lease request: the process's instance
+	stage   uint64        // revision that the sender follows or knows
+	left    time.Duration // lease grant: its duration, sent in microseconds
+	number  uint64        // lease request: number of the version that the sender can't apply
+	why     string        // the reason for that, or for a failed validation
 	leader  string        // as far as the sender knows
-	flag    bool          // Renew: let go; Hello: has a log; Checked: passed
-	body    []byte        // a message, a state, a document, a request, an answer
-	members []string      // Grant: the voters
+	flag    bool          // lease request: release; hello: has a log; validation: passed
+	body    []byte        // a Raft message, a state, a document, a request or an answer
+	members []string      // lease grant: the voters
 }
 
 const (
-	maxWho     = 128
-	maxWhy     = 4 << 10
+	maxWho     = 128     // bytes
+	maxWhy     = 4 << 10 // bytes
 	maxMembers = 64
 )
 
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/accord/world_test.go
@@ -20,10 +20,11 @@
 	ms        = time.Millisecond
 	testLease = 3 * time.Second
 	testTrial = 200 * ms
-	markers   = 24 // nodes of which each version allows one
+	markers   = 24 // node names; each document allows one of them
 )
 
-// world is several accords on one clock, on a network and disks that a test spoils.
+// cluster simulates several participants on one clock, with a network and disks in which
+// tests inject faults.
 type world struct {
 	t      testing.TB
 	rng    *rand.Rand
@@ -33,22 +34,23 @@
 	procs  []*proc
 	voters []string
 	loss   float64
-	delay  time.Duration // most, one way
+	delay  time.Duration // maximum, one way
 	cut    map[[2]string]bool
 	loose  bool
 	log    zerolog.Logger
-	marks  map[uint64]string // of each number that anybody ever held as agreed
+	marks  map[uint64]string // by the number of each version that any mixer ever knew as agreed
 	wrong  []string
-	apart  time.Duration // the longest for which two markers were allowed at once
-	named  bool          // a version that names the markers is in force; before, all are allowed
+	apart  time.Duration // the longest time for which two markers were allowed at once
+	named  bool          // a version that names the markers is in force; before that, all are allowed
 	clash  time.Duration // since when two markers are allowed at once; 0: they are not
-	leased int           // looks at which a mixer had a lease
-	looks  int
-	rests  time.Duration // between two looks at all; 0: one after each event
+	leased int           // observations of a mixer with a lease
+	looks  int           // observations of a mixer
+	rests  time.Duration // minimum time between two observations; 0: one after each event
 	looked time.Duration
 }
 
-// proc is one process, as its core and its link; a is nil while it is dead.
+// process is a simulated mixer process, with its core, its network and its storage. Its
+// participant is nil while it is dead.
 type proc struct {
 	w      *world
 	name   string
@@ -58,14 +60,14 @@
 	paused time.Duration
 	held   []func()
 
-	known   version.State // on its disk
+	known   version.State // stored
 	disk    loaded
-	files   int           // counts the logs that it has had
-	slow    time.Duration // a write takes so long
+	files   int           // number of logs that it has had
+	slow    time.Duration // duration of a write
 	full    bool          // writes fail
-	writing func()        // what is being written
+	writing func()        // completes the write in progress
 
-	said, heard, bytes int // words, and bytes of those said
+	said, heard, bytes int // messages sent and received, and bytes sent
 }
 
 func newWorld(t testing.TB, seed uint64, mixers, voters int) *world {
@@ -85,7 +87,7 @@
 	w.events.Add(w.now+d, do)
 }
 
-// read turns a document into rules; "bad" is one that nobody can act on.
+// read parses a document. One that contains "bad" is rejected.
 func read(text string) (version.Rules, error) {
 	base := version.Rules{Attempts: 4, Copies: true, ColdShare: 1}
 	var d version.Document
@@ -120,7 +122,7 @@
 	}
 }
 
-// kill ends a process at once. What it was writing is there or it is not.
+// kill ends a process at once. Its write in progress is completed or lost at random.
 func (w *world) kill(i int) {
 	p := w.procs[i]
 	p.a, p.life = nil, p.life+1
@@ -130,8 +132,8 @@
 	p.writing = nil
 }
 
-// run goes on for a while. After each event each process looks at what it may act on, as
-// a core does before it sends.
+// run advances the simulation. After each event each process refreshes its rules, as a core
+// does before it sends.
 func (w *world) run(d time.Duration) { w.events.Run(&w.now, d, w.look) }
 
 func (w *world) look() {
@@ -191,17 +193,17 @@
 
 func marker(i int) string { return fmt.Sprintf("m%02d", i) }
 
-// document allows one marker and bars all others.
+// document returns the document that allows marker i and excludes all others.
 func document(i int) string {
 	d := version.Document{Nodes: map[string]bool{}}
 	for j := range markers {
 		d.Nodes[marker(j)] = i == j
 	}
-	text, _ := json.Marshal(d) // of a map and booleans
+	text, _ := json.Marshal(d) // can't fail for a map of booleans
 	return string(text)
 }
 
-// ask asks a mixer, as an operator's tool does.
+// ask sends a request to mixer i, as the operators' tool does, and waits for the response.
 func (w *world) ask(i int, q Question) (x Answer, ok bool) {
 	done := false
 	body, _ := json.Marshal(q)
@@ -227,7 +229,8 @@
 	return x
 }
 
-// until runs until a condition holds and returns how long that took.
+// until runs the simulation until a condition holds and returns how long that took. The test
+// fails if it takes longer than most.
 func (w *world) until(what string, most time.Duration, ok func() bool) time.Duration {
 	w.t.Helper()
 	begun := w.now
@@ -245,7 +248,7 @@
 	return w.now - begun
 }
 
-// all reports whether all that are there act on a version by a lease.
+// all reports whether all running mixers follow a version under a lease.
 func (w *world) all(number uint64) bool {
 	for _, p := range w.procs {
 		if p.a != nil && (p.acts.Number != number || !p.acts.Leased || p.a.lease.State().Phase != version.Steady) {
@@ -271,14 +274,15 @@
 	}
 }
 
-// name has a first version in force.
+// enforceFirstVersion brings a first version into force at all mixers.
 func (w *world) name() {
 	w.t.Helper()
 	w.until("a first version is agreed", 30*time.Second, func() bool { x, ok := w.propose(len(w.procs)-1, 0); return ok && w.settles(x.Number) })
 	w.named = true
 }
 
-// settles runs until a version is in force with all, or withdrawn.
+// settles runs the simulation until a version is in force at all mixers or withdrawn, and
+// reports whether it is in force.
 func (w *world) settles(number uint64) bool {
 	w.until("a version settles", 30*time.Second, func() bool {
 		st := w.procs[len(w.procs)-1].a.lease.State()
@@ -296,7 +300,7 @@
 	return w.ask(at, Question{Op: OpPropose, Version: version.Version{From: from.State.Latest, Mark: fmt.Sprintf("mark%d-%d", i, w.n), Text: document(i)}})
 }
 
-// ---- the core, the link and the disk of a process ----
+// The methods below implement Core, Fleet, persistence and logWriter.
 
 func (p *proc) Now() time.Duration { return p.w.now }
 
@@ -307,7 +311,7 @@
 
 func (p *proc) Post(fn func()) { p.After(0, fn) }
 
-// do runs something in the process, once it goes on if it stands still.
+// do calls fn in the process; if that is paused, when it resumes.
 func (p *proc) do(life int, fn func()) {
 	switch {
 	case p.life != life || p.a == nil:
@@ -386,7 +390,7 @@
 	p.writing = func() { d.keep(b) }
 	p.w.after(p.slow, func() {
 		if p.files != d.file || p.life != life {
-			return // kill has said what is there of it
+			return // kill has decided whether it was completed
 		}
 		if p.writing = nil; p.full {
 			p.do(life, func() { done(fmt.Errorf("no space left")) })
