--- a/internal/fleet/version/every_test.go
+++ b/internal/fleet/version/every_test.go
@@ -141,7 +141,7 @@
 	for i, l := range s.mixers {
 		r, _ := l.Acts(s.now)
 		if keys := Beyond(r, force); len(keys) > 0 {
-			return fmt.Sprintf("mixer %d goes beyond version %d in %v", i, s.state.InForce().Number, keys)
+			return fmt.Sprintf("mixer %d exceeds version %d in %v", i, s.state.InForce().Number, keys)
 		}
 	}
 	return ""
@@ -279,7 +279,7 @@
 			c.units = c.longer
 		}
 		n, why := explore(c.units, c.leaders, c.withdraw, NewGranter)
-		t.Logf("%d further leaders, withdrawn: %v: %d states within %d units, of which a lease is 2", c.leaders, c.withdraw, n, c.units)
+		t.Logf("%d leader changes, withdrawn: %v: %d states within %d units (a lease is 2)", c.leaders, c.withdraw, n, c.units)
 		if why != "" {
 			t.Errorf("after %d states: %s", n, why)
 		}
@@ -291,7 +291,7 @@
 func TestTheExplorationFindsAFault(t *testing.T) {
 	n, why := explore(3, 1, false, func(lease, trial, began time.Duration) *Granter { return NewGranter(lease, trial, began-2*lease) })
 	t.Logf("after %d states: %s", n, why)
-	if !strings.Contains(why, "beyond") && !strings.Contains(why, "the other to") {
-		t.Errorf("a seeded fault is not found: %q", why)
+	if !strings.Contains(why, "exceeds") && !strings.Contains(why, "the other to") {
+		t.Errorf("the injected fault was not found: %q", why)
 	}
 }
--- a/internal/fleet/version/lists_test.go
+++ b/internal/fleet/version/lists_test.go
@@ -35,19 +35,19 @@
 		t.Errorf("%+v, %v", got, changed)
 	}
 	if _, changed := l.Heard(5*sec, Line{ID: "a", Started: 1, Life: Leaving, Told: 5 * sec}); changed {
-		t.Error("a later telling of the same counts")
+		t.Error("a later report of the same life changed the view")
 	}
 	if got, changed := l.Heard(6*sec, Line{ID: "a", Started: 1, Life: Leaving, Told: 3 * sec}); !changed || got.Told != 3*sec {
-		t.Error("an earlier telling does not count")
+		t.Error("an earlier report time was not taken")
 	}
 	if changed, _ := l.Own(7*sec, false, 11, []Line{line("a", 1, Active)}); len(changed) != 0 {
-		t.Errorf("it is back without a start: %v", changed)
+		t.Errorf("a leaving node became active without a new start: %v", changed)
 	}
 	if changed, _ := l.Own(8*sec, false, 12, []Line{line("a", 2, Active)}); len(changed) != 1 || changed[0].Started != 2 {
-		t.Errorf("its successor: %v", changed)
+		t.Errorf("a later start was not taken: %v", changed)
 	}
 	if _, changed := l.Heard(9*sec, Line{ID: "a", Started: 1, Life: Gone, Told: 9 * sec}); changed {
-		t.Error("a word on the start before counts")
+		t.Error("a report about an earlier start changed the view")
 	}
 }
 
@@ -60,33 +60,33 @@
 	}
 	l := four()
 	if changed, doubts := l.Own(2*sec, true, 11, rest("a", "b", "c")); doubts != "" || !cmp.Equal(names(changed), []string{"d"}) || changed[0].Life != Gone || changed[0].Told != 2*sec {
-		t.Errorf("one of four: %v, %q", changed, doubts)
+		t.Errorf("one of four nodes omitted: %v, %q", changed, doubts)
 	}
 	if changed, _ := l.Own(3*sec, true, 12, rest("a", "b", "c", "d")); !cmp.Equal(names(changed), []string{"d"}) || changed[0].Life != Active {
 		t.Errorf("back on the list: %v", changed)
 	}
 	if changed, doubts := l.Own(4*sec, true, 13, nil); len(changed) != 0 || !strings.Contains(doubts, "4 of 4") {
-		t.Errorf("empty at once: %v, %q", changed, doubts)
+		t.Errorf("all nodes omitted at once: %v, %q", changed, doubts)
 	}
 	if changed, _ := l.Own(5*sec, true, 14, rest("a", "b", "c", "d")); len(changed) != 0 || len(l.Due(30*sec)) != 0 {
-		t.Error("they were never gone")
+		t.Error("nodes that were never dropped changed")
 	}
 	if changed, doubts := l.Own(40*sec, true, 3, rest("a", "b", "c")); len(changed) != 0 || !strings.Contains(doubts, "from revision 14 to 3") {
-		t.Errorf("an older list: %v, %q", changed, doubts)
+		t.Errorf("a list of an older revision: %v, %q", changed, doubts)
 	}
 	if due := l.Due(40*sec + omitHold); !cmp.Equal(names(due), []string{"d"}) || due[0].Told != 40*sec {
-		t.Errorf("it stays so: %v", due)
+		t.Errorf("after the hold: %v", due)
 	}
 	l.Hold = true
 	if changed, _ := l.Own(60*sec, true, 15, rest("a", "b")); len(changed) != 0 || len(l.Due(200*sec)) != 0 {
-		t.Error("an operator's word does not count")
+		t.Error("an omitted node was dropped despite HoldOmissions")
 	}
 	l.Hold = false
 	if due := l.Due(200 * sec); !cmp.Equal(names(due), []string{"c"}) {
-		t.Errorf("the word is taken back: %v", due)
+		t.Errorf("after HoldOmissions was unset: %v", due)
 	}
 	if l.Due(200*sec + 2*forgetLine); len(l.Said()) != 2 {
-		t.Errorf("remembered: %v", l.Said())
+		t.Errorf("entries kept after the retention: %v", l.Said())
 	}
 }
 
--- a/internal/fleet/version/rules_test.go
+++ b/internal/fleet/version/rules_test.go
@@ -70,7 +70,7 @@
 		a, b, c := drawDocument(t, "a").Over(base), drawDocument(t, "b").Over(base), drawDocument(t, "c").Over(base)
 		m := Meet(a, b)
 		if keys := append(Beyond(m, a), Beyond(m, b)...); len(keys) > 0 {
-			t.Fatalf("the meeting of two goes beyond one: %v", keys)
+			t.Fatalf("the combination exceeds one of the two: %v", keys)
 		}
 		if diff := cmp.Diff(m, Meet(b, a)); diff != "" {
 			t.Fatal(diff)
@@ -85,11 +85,11 @@
 			node, isNode := strings.CutPrefix(key, "nodes.")
 			_, named := a.Barred[node]
 			if zone, ok := strings.CutPrefix(key, "zones_left."); !(isNode && !named || ok && !a.Left[zone]) {
-				t.Fatalf("a mixer without a lease that knows a goes beyond b in %s", key)
+				t.Fatalf("a mixer without a lease that knows a exceeds b in %s", key)
 			}
 		}
 		if len(Contradict(a, b)) == 0 && len(Beyond(a, b)) > 0 {
-			t.Fatal("one goes beyond the other and they don't contradict")
+			t.Fatal("one exceeds the other, yet they don't conflict")
 		}
 	})
 }
@@ -134,13 +134,13 @@
 func TestOneVersionAtATime(t *testing.T) {
 	s := must(t, State{}, propose(0, "m1", `{"attempts":3}`, "x"))
 	if _, _, err := s.Apply(propose(0, "m2", `{}`)); err == nil {
-		t.Error("two on their way")
+		t.Error("two versions are being rolled out")
 	}
 	if again, n, err := s.Apply(propose(0, "m1", `{}`)); err != nil || n != 1 || again.Stage != s.Stage {
-		t.Errorf("said again: %d, %v", n, err)
+		t.Errorf("a repeated proposal: %d, %v", n, err)
 	}
 	if _, _, err := s.Apply(Command{Kind: Forward, Stage: s.Stage - 1}); err == nil {
-		t.Error("a step of an old stage counts")
+		t.Error("a command for an old revision took effect")
 	}
 	for range 3 {
 		s = must(t, s, Command{Kind: Forward, Stage: s.Stage})
@@ -149,12 +149,12 @@
 		t.Fatalf("%+v", s)
 	}
 	if _, _, err := s.Apply(propose(0, "m3", `{}`)); err == nil || !strings.Contains(err.Error(), "the latest is 1") {
-		t.Errorf("made from an old version: %v", err)
+		t.Errorf("derived from an old version: %v", err)
 	}
 	s = must(t, s, propose(1, "m4", `{"attempts":2}`, "x"))
 	s = must(t, s, Command{Kind: Withdraw, Number: 2})
 	if s.Phase != Steady || s.Old.Number != 1 || s.Latest != 2 {
-		t.Fatalf("withdrawn before it was in force: %+v", s)
+		t.Fatalf("withdrawn before it came into force: %+v", s)
 	}
 	s = must(t, s, propose(2, "m5", `{"attempts":2}`, "x"))
 	s = must(t, must(t, s, Command{Kind: Forward, Stage: s.Stage}), Command{Kind: Forward, Stage: s.Stage + 1})
@@ -163,7 +163,7 @@
 	}
 	s = must(t, s, Command{Kind: Withdraw, Stage: s.Stage, Why: "x died"})
 	if s.Phase != Fall || s.InForce().Number != 3 {
-		t.Fatalf("taken back while in force: %+v", s)
+		t.Fatalf("withdrawn while in force: %+v", s)
 	}
 	s = must(t, s, Command{Kind: Forward, Stage: s.Stage})
 	if v, ok := s.Find(3); s.Old.Number != 1 || !ok || v.Outcome != "withdrawn: x died" {
@@ -174,7 +174,7 @@
 		s = must(t, s, Command{Kind: Withdraw, Number: n + 1})
 	}
 	if len(s.History) != mostHistory {
-		t.Errorf("%d versions are remembered", len(s.History))
+		t.Errorf("%d versions in the history", len(s.History))
 	}
 }
 
@@ -194,7 +194,7 @@
 			t.Fatalf("%+v: %v, want %q", c, err, want)
 		}
 		if next.Stage != s.Stage || next.Latest != s.Latest {
-			t.Fatalf("a refusal is a change: %+v", next)
+			t.Fatalf("a refusal changed the state: %+v", next)
 		}
 		return next
 	}
@@ -207,14 +207,14 @@
 	s = refused(s, check, "attempts")
 	s = refused(s, propose(1, "c", `{}`), "attempts")
 	if again, n, err := s.Apply(Command{Kind: Refuse, Version: Version{From: 0, Mark: "a"}, Why: "x"}); err != nil || n != 1 || again.Latest != 1 {
-		t.Errorf("refused after it was taken: %d, %v", n, err)
+		t.Errorf("refused after it was accepted: %d, %v", n, err)
 	}
 	s = refused(s, propose(2, "d", `{}`), "the latest is 1")
 	s = settle(must(t, s, propose(1, "e", `{}`)))
 	s = refused(s, propose(2, "d", `{}`), "the latest is 1")
 	s = refused(s, propose(1, "b", `{}`), "the latest is 2")
 	if len(s.Refused) != 1 {
-		t.Errorf("%d refusals are remembered, one could still be said again", len(s.Refused))
+		t.Errorf("%d refusals kept, want 1: only one could still be retried", len(s.Refused))
 	}
 	s = refused(s, propose(2, strings.Repeat("m", mostMark+1), `{}`), "mark")
 	s = refused(s, propose(2, "", `{}`), "mark")
@@ -224,7 +224,7 @@
 		s = refused(s, propose(3, "r"+strconv.Itoa(i), `{}`), "on its way")
 	}
 	if _, _, err := s.Apply(propose(3, "one more", `{}`)); err != ErrOpen {
-		t.Errorf("more than can be remembered: %v", err)
+		t.Errorf("one more refusal than can be kept: %v", err)
 	}
 	must(t, settle(s), propose(3, "one more", `{}`))
 }
@@ -240,10 +240,10 @@
 		t.Errorf("%v", first)
 	}
 	if slices.Equal(first, Tenth("m2", names, spared)) {
-		t.Error("always the same ones")
+		t.Error("two versions have the same canaries")
 	}
 	if len(Tenth("m", names[:1], spared)) != 1 || len(Tenth("m", nil, spared)) != 0 {
-		t.Error("small fleets")
+		t.Error("wrong number of canaries in a fleet of one or none")
 	}
 }
 
