--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -24,7 +24,7 @@
 	if !ok || x.Number != 1 {
 		t.Fatalf("%+v", x)
 	}
-	t.Logf("a version: all act on it after %v", w.until("all act on it", 5*time.Second, func() bool { return w.all(1) }))
+	t.Logf("a version: all mixers follow it after %v", w.until("all mixers follow it", 5*time.Second, func() bool { return w.all(1) }))
 	if got := w.must(6, Question{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.Steady {
 		t.Errorf("%+v", got.State)
 	}
@@ -32,10 +32,10 @@
 		t.Errorf("%+v", got.Holders)
 	}
 	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{From: 0, Mark: "x", Text: "{}"}}); ok || !strings.Contains(got.Error, "the latest is 1") {
-		t.Errorf("made from an old version: %+v", got)
+		t.Errorf("derived from an old version: %+v", got)
 	}
 	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{From: 1, Mark: "x", Text: `{"bad":1}`}}); ok || !strings.Contains(got.Error, "unknown key") {
-		t.Errorf("one that can't be acted on: %+v", got)
+		t.Errorf("a version that can't be applied: %+v", got)
 	}
 	if got, _ := w.ask(4, Question{Op: "dance"}); !strings.Contains(got.Error, "dance") {
 		t.Errorf("%+v", got)
@@ -67,11 +67,11 @@
 			w.run(time.Duration(w.rng.IntN(3000)) * ms)
 			if i%6 == 5 {
 				w.heal()
-				w.until("all act on the same again", 30*time.Second, func() bool { return w.same() })
+				w.until("all mixers follow one version again", 30*time.Second, func() bool { return w.same() })
 			}
 		}
 		if w.sound(); w.apart > 0 {
-			t.Errorf("seed %d: contradicting versions were acted on %v apart", seed, w.apart)
+			t.Errorf("seed %d: conflicting versions were followed for %v", seed, w.apart)
 		}
 		if share := float64(w.leased) / float64(w.looks); share < 0.5 {
 			t.Errorf("seed %d: mixers had a lease %.0f%% of the time", seed, 100*share)
@@ -102,9 +102,9 @@
 		}
 		worst = max(worst, w.apart)
 	}
-	t.Logf("without leases contradicting versions were acted on %v apart", worst)
+	t.Logf("without leases conflicting versions were followed for %v", worst)
 	if worst < testLease {
-		t.Errorf("without leases, contradicting versions were acted on at most %v apart", worst)
+		t.Errorf("without leases, conflicting versions were followed for %v at most", worst)
 	}
 }
 
@@ -189,7 +189,7 @@
 		if _, ok := w.propose(4, i); !ok {
 			t.Fatal("not agreed")
 		}
-		w.until("all act on it", 10*time.Second, func() bool { return w.all(uint64(i + 1)) })
+		w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(uint64(i + 1)) })
 	}
 	lost := (w.leader() + 1) % 3
 	old := w.procs[lost].a.seat.id
@@ -201,11 +201,11 @@
 		s := w.procs[w.leader()].a.seat
 		return len(s.conf.GetVoters()) == 3 && len(s.conf.GetLearners()) == 0 && !slices.Contains(s.conf.GetVoters(), old)
 	})
-	t.Logf("a voter without its disk votes again after %v", took)
+	t.Logf("a voter that lost its disk votes again after %v", took)
 	if _, ok := w.propose(lost, 3); !ok {
-		t.Error("not agreed by way of the new seat")
+		t.Error("not agreed through the new replica")
 	}
-	w.until("all act on it", 10*time.Second, func() bool { return w.all(4) })
+	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(4) })
 	w.sound()
 }
 
@@ -224,7 +224,7 @@
 	if _, ok := w.propose(3, 0); !ok {
 		t.Error("not agreed by the new voters")
 	}
-	w.until("all act on it", 10*time.Second, func() bool { return w.all(1) })
+	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(1) })
 	if x, ok := w.ask(1, Question{Op: OpAdd, Name: "n9"}); ok || !strings.Contains(x.Error, "n9 is not there") {
 		t.Errorf("%+v", x)
 	}
@@ -242,11 +242,11 @@
 	if x, ok := w.ask(4, q); ok || !strings.Contains(x.Error, "on its way") {
 		t.Fatalf("%+v", x)
 	}
-	w.until("all act on it", 10*time.Second, func() bool { return w.all(1) })
+	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(1) })
 	w.kill(w.leader())
 	w.until("another leads", 20*time.Second, func() bool { return w.leader() >= 0 })
 	if x, ok := w.ask(5, q); ok || !strings.Contains(x.Error, "on its way") {
-		t.Errorf("taken after its author was told that it is not: %+v", x)
+		t.Errorf("accepted after its author was told of the refusal: %+v", x)
 	}
 	q.Version.Mark = "anew"
 	if x := w.must(5, q); x.Number != 2 {
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -162,6 +162,6 @@
 		{ClientId: 1, Input: asks{}, Call: 20, Output: hears{number: 1}, Return: 30},
 	}
 	if porcupine.CheckOperations(register(1), ops) {
-		t.Error("a read of what was no more is not found")
+		t.Error("a stale read was not found")
 	}
 }
--- a/internal/fleet/accord/large_test.go
+++ b/internal/fleet/accord/large_test.go
@@ -11,7 +11,7 @@
 // after the leader's crash.
 func TestAFleetOf300(t *testing.T) {
 	if raceOn {
-		t.Skip("the detector is slow, and a world has one goroutine")
+		t.Skip("the race detector is slow, and the simulation has one goroutine")
 	}
 	type load struct{ leader, voter, other, bytes float64 } // messages per second, sent and received
 	cost := map[int]load{}
@@ -36,14 +36,14 @@
 			l.other = max(l.other, of(i))
 		}
 		cost[size] = l
-		t.Logf("%d mixers at rest, words a second: %.0f at the leader (%.1f KB), %.0f at another voter, %.1f at most at one that does not vote",
+		t.Logf("%d idle mixers, messages per second: %.0f at the leader (%.1f KB), %.0f at another voter, %.1f at most at one that does not vote",
 			size, l.leader, l.bytes/1024, l.voter, l.other)
 
 		x, ok := w.propose(size-1, 0)
 		if !ok {
 			t.Fatalf("%+v", x)
 		}
-		took := w.until("all act on it", 10*time.Second, func() bool { return w.all(x.Number) })
+		took := w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(x.Number) })
 		w.named = true
 		w.kill(lead)
 		gone := w.now
@@ -53,13 +53,13 @@
 		if !ok {
 			t.Fatalf("%+v", x)
 		}
-		after := w.until("all act on the next", 15*time.Second, func() bool { return w.all(x.Number) })
+		after := w.until("all mixers follow the next version", 15*time.Second, func() bool { return w.all(x.Number) })
 		w.start(lead)
 		w.until("the old leader too", 15*time.Second, func() bool { return w.all(x.Number) })
-		t.Logf("%d mixers: all act on a version after %v; the leader killed: another leads after %v, all act on the next %v later", size, took, anew, after)
+		t.Logf("%d mixers: all follow a version after %v; the leader killed: another leads after %v, all follow the next version %v later", size, took, anew, after)
 		w.sound()
 	}
 	if a, b := cost[9], cost[300]; b.other > 1.2*a.other || b.leader > 300.0/9*1.2*a.leader {
-		t.Errorf("words grow with the fleet: %+v at nine, %+v at 300", a, b)
+		t.Errorf("message rates grow faster than the fleet: %+v at nine, %+v at 300", a, b)
 	}
 }
--- a/internal/fleet/accord/store_test.go
+++ b/internal/fleet/accord/store_test.go
@@ -129,20 +129,20 @@
 		case damaged != nil:
 			aside++
 			if l.seat == seat || len(l.entries) != 0 || l.hard.GetTerm() != 0 {
-				t.Errorf("damage %d: %v, and yet it has the old seat, %v", i, damaged, texts(l))
+				t.Errorf("damage %d: %v, and yet the replica is the old one: %v", i, damaged, texts(l))
 			}
 		case l.seat != seat || l.hard.GetTerm() != 1:
-			t.Errorf("damage %d: not noticed: %+v", i, l)
+			t.Errorf("damage %d: not detected: %+v", i, l)
 		default:
 			if diff := cmp.Diff(want, texts(l)); diff != "" {
-				t.Errorf("damage %d: not noticed: %s", i, diff)
+				t.Errorf("damage %d: not detected: %s", i, diff)
 			}
 		}
 		_ = s.Close()
 	}
-	t.Logf("%d of 150 damages mattered, and were noticed", aside)
+	t.Logf("%d of 150 damages had an effect and were detected", aside)
 	if aside < 20 {
-		t.Errorf("only %d of 150 damages mattered", aside)
+		t.Errorf("only %d of 150 damages had an effect", aside)
 	}
 }
 
--- a/internal/fleet/accord/word_test.go
+++ b/internal/fleet/accord/word_test.go
@@ -21,7 +21,7 @@
 		t.Error(diff)
 	}
 	if _, err := decode(nil); err == nil {
-		t.Error("nothing is a word")
+		t.Error("an empty message was accepted")
 	}
 }
 
@@ -35,7 +35,7 @@
 		}
 		again, err := decode(w.encode())
 		if err != nil {
-			t.Fatalf("what was read can't be read again: %v", err)
+			t.Fatalf("a decoded message can't be decoded again after encoding: %v", err)
 		}
 		if diff := cmp.Diff(w.encode(), again.encode()); diff != "" {
 			t.Error(diff)
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/accord/world_test.go
@@ -157,7 +157,7 @@
 				continue
 			}
 			if old := w.marks[v.Number]; old != "" && old != v.Mark {
-				w.wrong = append(w.wrong, fmt.Sprintf("%v: version %d is %s and %s", w.now, v.Number, old, v.Mark))
+				w.wrong = append(w.wrong, fmt.Sprintf("%v: version %d has the idempotency keys %s and %s", w.now, v.Number, old, v.Mark))
 			}
 			w.marks[v.Number] = v.Mark
 		}
