--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -188,14 +188,14 @@
 		err = a.takeSeat()
 	}
 	if err != nil {
-		a.log.Error().Err(err).Msg("accord: no other seat; this mixer does not vote")
+		a.log.Error().Err(err).Msg("accord: no new replica could be opened; this mixer does not vote")
 	}
 }
 
 // Start starts the timers. It must be called on the core's goroutine.
 func (a *Accord) Start() {
 	a.log.Info().Strs("voters", a.c.Voters).Bool("votes", a.seat != nil).Uint64("stage", a.lease.State().Stage).
-		Uint64("version", a.lease.State().InForce().Number).Msg("accord begins")
+		Uint64("version", a.lease.State().InForce().Number).Msg("accord: started")
 	a.Look()
 	a.tick()
 }
@@ -250,7 +250,7 @@
 		if !leased {
 			line = a.log.Warn()
 		}
-		line.Bool("lease", leased).Uint64("stage", st.Stage).Uint64("version", st.InForce().Number).Msg("accord: what this mixer acts on")
+		line.Bool("lease", leased).Uint64("stage", st.Stage).Uint64("version", st.InForce().Number).Msg("accord: the lease was gained or lost")
 	}
 	a.acts, a.since = Acts{rules, st.Stage, st.InForce().Number, leased, st.Plan}, now
 	if a.Acted != nil {
@@ -289,7 +289,7 @@
 	}
 	rules, err := a.c.Read(text)
 	if err != nil {
-		a.log.Error().Err(err).Msg("accord: a version can't be acted on")
+		a.log.Error().Err(err).Msg("accord: a version can't be applied")
 	}
 	return rules
 }
@@ -447,7 +447,7 @@
 	if len(w.body) > 0 {
 		st = version.State{}
 		if err := json.Unmarshal(w.body, &st); err != nil {
-			a.log.Error().Err(err).Msg("accord: a state can't be read")
+			a.log.Error().Err(err).Msg("accord: a received state can't be decoded")
 			return
 		}
 	}
@@ -457,7 +457,7 @@
 	refused, _ := a.lease.Refuses()
 	if a.lease.Granted(a.core.Now(), version.Grant{Seq: w.id, Left: w.left, State: st}) {
 		if n, why := a.lease.Refuses(); n != 0 && n != refused {
-			a.log.Error().Uint64("version", n).Str("why", why).Msg("accord: this mixer can't act on a version")
+			a.log.Error().Uint64("version", n).Str("why", why).Msg("accord: this mixer can't apply a version")
 		}
 		a.keep()
 		a.Look()
--- a/internal/fleet/accord/disk.go
+++ b/internal/fleet/accord/disk.go
@@ -43,7 +43,7 @@
 		}
 		err = errors.Join(err, os.Rename(path, path+".bad"))
 	}
-	f.log.Warn().Err(err).Str("file", path).Msg("what was agreed can't be read and is set aside")
+	f.log.Warn().Err(err).Str("file", path).Msg("accord: the stored state can't be read and is set aside")
 	return version.State{}
 }
 
@@ -55,7 +55,7 @@
 	path := filepath.Join(f.path, logFile)
 	s, l, damaged, err := openStore(path)
 	if damaged != nil {
-		f.log.Error().Err(damaged).Str("file", path).Msg("accord: the log is damaged and set aside; this mixer takes another seat")
+		f.log.Error().Err(damaged).Str("file", path).Msg("accord: the log is damaged and set aside; this mixer opens a new replica")
 	}
 	if err != nil {
 		return nil, l, err
--- a/internal/fleet/accord/found.go
+++ b/internal/fleet/accord/found.go
@@ -64,7 +64,7 @@
 	slices.SortFunc(g.Seats, func(a, b Seat) int { return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
 	text, err := json.Marshal(g)
 	if err != nil {
-		a.log.Error().Err(err).Msg("accord: the founding could not be encoded") // a bug
+		a.log.Error().Err(err).Msg("accord: the bootstrap state could not be encoded") // a bug
 		return
 	}
 	a.seat.found(text)
--- a/internal/fleet/accord/seat.go
+++ b/internal/fleet/accord/seat.go
@@ -87,7 +87,7 @@
 
 func (s *seat) restore(l loaded) {
 	s.mem = raft.NewMemoryStorage()
-	err := errors.New("no snapshot")
+	err := errors.New("entries without a snapshot")
 	if !raft.IsEmptySnap(l.snapshot) {
 		if err = s.mem.ApplySnapshot(l.snapshot); err == nil {
 			err = s.take(l.snapshot)
@@ -162,7 +162,7 @@
 			return
 		}
 		s.founding = text
-		s.a.log.Info().Int("voters", len(a.Seats)).Uint64("stage", a.State.Stage).Msg("accord: the log is founded")
+		s.a.log.Info().Int("voters", len(a.Seats)).Uint64("stage", a.State.Stage).Msg("accord: the log is bootstrapped")
 		s.restore(loaded{hard: hard, snapshot: snap})
 		s.drive()
 	})
@@ -186,7 +186,7 @@
 func (s *seat) fail(err error) {
 	if !s.gone {
 		s.gone = true
-		s.a.log.Error().Err(err).Msg("accord: this seat can't be used any more")
+		s.a.log.Error().Err(err).Msg("accord: this replica can't be used any more")
 		s.a.core.After(0, s.a.reseat)
 	}
 }
@@ -268,7 +268,7 @@
 func (s *seat) failing(err error) {
 	if !s.said {
 		s.said = true
-		s.a.log.Error().Err(err).Msg("accord: the log can't be written; this voter says nothing until it can")
+		s.a.log.Error().Err(err).Msg("accord: the log can't be written; this voter sends no messages until it can")
 	}
 }
 
--- a/internal/fleet/accord/store.go
+++ b/internal/fleet/accord/store.go
@@ -55,7 +55,7 @@
 	keyFound   = []byte("founding")
 )
 
-var errSum = errors.New("a record's sum is wrong")
+var errSum = errors.New("wrong checksum")
 
 // withChecksum returns a record's stored form: a checksum over key and value, 8 bytes,
 // and then the value.
@@ -177,7 +177,7 @@
 		}
 		if l.seat == 0 {
 			if l.hard.GetTerm() > 0 || len(l.entries) > 0 {
-				return errors.New("a log without a seat")
+				return errors.New("a log without a replica identifier")
 			}
 			l.seat = rand.Uint64()>>1 | 1
 			return meta.Put(keySeat, sealed(keySeat, binary.BigEndian.AppendUint64(nil, l.seat)))
--- a/internal/fleet/accord/word.go
+++ b/internal/fleet/accord/word.go
@@ -50,7 +50,7 @@
 	maxMembers = 64
 )
 
-var errWord = errors.New("a word that can't be read")
+var errWord = errors.New("malformed message")
 
 func (w word) encode() []byte {
 	b := fields.AppendUint(nil, 1, uint64(w.kind))
