--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -185,12 +185,12 @@
 	}
 	return 0
 }
-func (c *client) Close(transport.End)   {}
-func (c *client) CloseIfGone()          {}
-func (c *client) Quiet() bool           { return true }
-func (c *client) Waited() time.Duration { return 0 }
-func (c *client) Idle() bool            { return true }
-func (c *client) Finish(transport.End)  {}
+func (c *client) Close(transport.End)       {}
+func (c *client) CloseIfReset()             {}
+func (c *client) InputDrained() bool        { return true }
+func (c *client) InputDelay() time.Duration { return 0 }
+func (c *client) Flushed() bool             { return true }
+func (c *client) Finish(transport.End)      {}
 
 // space has room for all connections.
 type space struct{}
--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -42,7 +42,7 @@
 	t := &team{link: f}
 	if cfg.Lists {
 		t.roll = roll.New(core, topic{f, aboutLists}, dir, cfg.Name, cfg.Settings.Zones, cfg.Seed, log)
-		dir.Sieve = t.roll.Sieve
+		dir.Filter = t.roll.Filter
 		core.Use(nodes, t.roll)
 	}
 	checks := broker.Prober(nodes)
--- a/cmd/kiteloft/main.go
+++ b/cmd/kiteloft/main.go
@@ -108,7 +108,7 @@
 	log = log.With().Str("mixer", cfg.Name).Logger()
 	// The poller says something of each accept that fails, thousands of times a second: our own
 	// lines would be dropped for it.
-	transport.LogTo(front.Sampled(log.With().Str("from", "netpoll").Logger()))
+	transport.SetLogOutput(front.Sampled(log.With().Str("from", "netpoll").Logger()))
 	if err := serve(cfg, getenv, sig, log); err != nil {
 		log.Error().Err(err).Msg("mixer failed")
 		return 1
@@ -238,7 +238,7 @@
 	links := node.New(core, net, node.Limits{ConnectTimeout: set.ConnectTimeout, ConnIdle: set.ConnIdle,
 		StreamsPerConn: set.StreamsPerConn}, map[string]node.Protocol{"": node.Frames, nodeflight.Scheme: nodeflight.Protocol}, log)
 	dir := discovery.New(core, net.Direct(), cfg.Discovery, set.Zones, log)
-	dir.Mixers, dir.Pushed = set.Module.Aggregators, !set.Module.AskDiscovery
+	dir.MixerCount, dir.PushedToAgent = set.Module.Aggregators, !set.Module.AskDiscovery
 	core.Use(links, dir)
 	core.Count(&count.set)
 	links.Counts, dir.Counts = &count.set, &count.set
@@ -302,7 +302,7 @@
 	log.Info().Str("listen", ln.Addr().String()).Int("nodes", len(cfg.Known.Members)).Msg("mixer serves")
 
 	go func() {
-		r := reloads{held: cfg, getenv: getenv, log: log, move: func(addr string) { core.Post(func() { dir.Move(addr) }) }}
+		r := reloads{held: cfg, getenv: getenv, log: log, move: func(addr string) { core.Post(func() { dir.ChangeAddress(addr) }) }}
 		for ending := false; !ending; {
 			select {
 			case <-sig.again:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -91,21 +91,21 @@
 	starts starts
 	log    zerolog.Logger
 	Counts *counts.Set // nil: nothing is counted
-	// Sieve is handed each list of our own watch and returns the one that is believed; nil:
+	// Filter is handed each list of our own watch and returns the one that is believed; nil:
 	// the list is.
-	Sieve func(List) List
-	// Mixers is how many ask the same discovery; 0: one.
-	Mixers int
-	// Pushed says that lists are pushed to an agent beside us, which is watched from the
+	Filter func(List) List
+	// MixerCount is how many ask the same discovery; 0: one.
+	MixerCount int
+	// PushedToAgent says that lists are pushed to an agent beside us, which is watched from the
 	// start: the module does not ask for it.
-	Pushed   bool
-	told     record
-	revision int64
-	watch    *call // nil: no watch is under way
-	lost     bool
-	silent   bool          // the watch before this one fell silent
-	moves    int           // changes of addr
-	eager    time.Duration // until when a failed watch is begun again at once
+	PushedToAgent bool
+	told          record
+	revision      int64
+	watch         *call // nil: no watch is under way
+	lost          bool
+	silent        bool          // the watch before this one fell silent
+	moves         int           // changes of addr
+	eager         time.Duration // until when a failed watch is begun again at once
 }
 
 // call is a connection with at most one request out.
@@ -136,26 +136,26 @@
 // Start hands the core the list that the mixer was started with: it may be out of date,
 // and what it lacks counts as told soon, whether or not a call succeeds.
 func (c *Client) Start(known List) {
-	c.told.current, c.told.pushed = c.core.Now(), c.Pushed
-	c.Take(known)
-	if c.Pushed {
+	c.told.current, c.told.pushed = c.core.Now(), c.PushedToAgent
+	c.FilterAndPublish(known)
+	if c.PushedToAgent {
 		c.begin(false)
 	}
 }
 
-// Take hands a list to the core.
-func (c *Client) Take(l List) {
+// FilterAndPublish hands a list to the core.
+func (c *Client) FilterAndPublish(l List) {
 	c.revision = l.Revision
-	if c.Sieve != nil {
+	if c.Filter != nil {
 		told := l.Told
-		l = c.Sieve(l)
+		l = c.Filter(l)
 		l.Told = told
 	}
-	c.Hear(l)
+	c.Publish(l)
 }
 
-// Hear hands on a list that is not of our own watch.
-func (c *Client) Hear(l List) {
+// Publish hands on a list that is not of our own watch.
+func (c *Client) Publish(l List) {
 	c.starts.take(c.core.Now(), l)
 	members := make([]broker.Member, 0, len(l.Members))
 	for _, e := range l.Members {
@@ -191,10 +191,10 @@
 	c.watch.ask()
 }
 
-// Move follows the list at another address from now on. What the old one told
+// ChangeAddress follows the list at another address from now on. What the old one told
 // stands until the new one tells otherwise. A new address may count revisions its
 // own way, so it is asked for the whole list first.
-func (c *Client) Move(addr string) {
+func (c *Client) ChangeAddress(addr string) {
 	if addr == c.addr {
 		return
 	}
@@ -215,8 +215,8 @@
 	target, wait := path, time.Duration(0)
 	if k.watch && !k.whole {
 		if k.goesOn {
-			wait = min(max(holdLeast, time.Duration(k.c.Mixers)*holdSpread), hold)
-			if k.c.Pushed {
+			wait = min(max(holdLeast, time.Duration(k.c.MixerCount)*holdSpread), hold)
+			if k.c.PushedToAgent {
 				wait = holdLeast // nobody else asks the agent
 			}
 		}
@@ -323,7 +323,7 @@
 	switch {
 	case k.move != k.c.moves: // a single call that went to the old address
 		k.c.Read()
-	case k.watch && (k.c.Pushed || k.c.core.Now() < k.c.eager):
+	case k.watch && (k.c.PushedToAgent || k.c.core.Now() < k.c.eager):
 		// Guards the told-times after a move, and those of an agent: the module's own
 		// pauses are longer than what is allowed then.
 		whole := k.whole || k.c.core.Now() < k.c.eager
@@ -386,7 +386,7 @@
 			return
 		}
 		l.Told = k.c.told.heard(k.c.core.Now(), k.came)
-		k.c.Take(l)
+		k.c.FilterAndPublish(l)
 		return
 	}
 	l.Told = k.c.told.heard(k.c.core.Now(), k.came)
@@ -410,7 +410,7 @@
 	k.end()
 	if k.move == k.c.moves && l.Revision >= k.c.revision && (l.Complete || len(l.Members) > 0) {
 		l.Told = k.c.told.heard(k.c.core.Now(), k.came)
-		k.c.Take(l)
+		k.c.FilterAndPublish(l)
 	}
 }
 
@@ -418,7 +418,7 @@
 // only if the next call comes within 200 ms.
 func (c *Client) take(l List, k *call) {
 	if l.Complete || len(l.Members) > 0 || !k.goesOn {
-		c.Take(l) // the first answer tells the module that it is subscribed, even without news
+		c.FilterAndPublish(l) // the first answer tells the module that it is subscribed, even without news
 	}
 	c.revision = max(c.revision, l.Revision)
 	k.goesOn = true
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -34,7 +34,7 @@
 	}
 	// It is named for the first time, so that it counts as just started.
 	var c core
-	New(&c, nil, "", []string{"a", "b"}, zerolog.Nop()).Take(l)
+	New(&c, nil, "", []string{"a", "b"}, zerolog.Nop()).FilterAndPublish(l)
 	want := []broker.Member{
 		{Addr: "10.1.0.18:8000", Server: decide.Server{ID: "s-1", Zone: 1, Cell: 3, State: decide.Stopping, Hint: 1.5}},
 		{Addr: "10.1.0.19:8000", Server: decide.Server{ID: "s-2", Zone: 2, Cell: 4, Hint: 1, Started: time.Second}},
@@ -84,7 +84,7 @@
 func TestSilentNewAddressIsAskedAgainInTime(t *testing.T) {
 	c, n := &turns{now: time.Second}, &cutOff{}
 	d := New(c, n, "old", nil, zerolog.Nop())
-	d.Move("new")
+	d.ChangeAddress("new")
 	c.pass(moveTime - 100*time.Millisecond)
 	if n.dials < 2 {
 		t.Errorf("a new address that says nothing was asked %d times within %v", n.dials, moveTime)
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -32,21 +32,21 @@
 			d := New(c, nil, "", nil, zerolog.Nop())
 			old := Entry{ID: "old", Phase: "active", UpSinceMS: stamp(40*time.Second, tt.before)}
 			first := Entry{ID: "first", Phase: "active", UpSinceMS: stamp(98*time.Second, tt.before)}
-			d.Take(List{Revision: 1, Complete: true, Members: []Entry{old, first}})
+			d.FilterAndPublish(List{Revision: 1, Complete: true, Members: []Entry{old, first}})
 			if ages := c.ages(); ages["first"] > listDelay || ages["old"] < 50*time.Second {
 				t.Errorf("at the start the servers are %v old", ages)
 			}
 			for i, id := range []string{"a", "b"} {
 				c.now += 10 * time.Second
 				started := c.now - time.Second // a second until the list has it
-				d.Take(List{Revision: int64(2 + i), Members: []Entry{{ID: id, Phase: "active", UpSinceMS: stamp(started, tt.after)}}})
+				d.FilterAndPublish(List{Revision: int64(2 + i), Members: []Entry{{ID: id, Phase: "active", UpSinceMS: stamp(started, tt.after)}}})
 				if age := c.ages()[id]; age < 0 || age > listDelay {
 					t.Errorf("%s is taken to be %v old, it is 1s", id, age)
 				}
 			}
 			// Named again, nobody gets younger or older.
 			c.now += 3 * time.Second
-			d.Take(List{Revision: 4, Members: []Entry{old}})
+			d.FilterAndPublish(List{Revision: 4, Members: []Entry{old}})
 			if age := c.ages()["old"]; age < 70*time.Second {
 				t.Errorf("the old one is taken to be %v old", age)
 			}
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -52,7 +52,7 @@
 	core    Core
 	c       Config
 	net     *transport.Net
-	packets *transport.Packets
+	packets *transport.PacketConn
 	streams *transport.Listener
 	m       *member.Machine
 	log     zerolog.Logger
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -50,7 +50,7 @@
 // Directory is our own watch of discovery.
 type Directory interface {
 	broker.Directory
-	Hear(l discovery.List)
+	Publish(l discovery.List)
 }
 
 // Roll implements broker.Directory.
@@ -181,8 +181,8 @@
 	r.fleet.Say(to, text)
 }
 
-// Sieve is handed each list of our own watch, and returns what is believed.
-func (r *Roll) Sieve(l discovery.List) discovery.List {
+// Filter is handed each list of our own watch, and returns what is believed.
+func (r *Roll) Filter(l discovery.List) discovery.List {
 	now := r.core.Now()
 	lines := make([]version.Line, 0, len(l.Members))
 	for _, e := range l.Members {
@@ -239,7 +239,7 @@
 // tell hands on what is believed since somebody else said it.
 func (r *Roll) tell(list []version.Line) {
 	if len(list) > 0 {
-		r.dir.Hear(discovery.List{Revision: r.lists.Revision(), Members: r.entries(list)})
+		r.dir.Publish(discovery.List{Revision: r.lists.Revision(), Members: r.entries(list)})
 	}
 }
 
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -53,7 +53,7 @@
 		f.mixers = append(f.mixers, m)
 	}
 	for _, m := range f.mixers {
-		m.Hear(m.roll.Sieve(f.list)) // what it was started with
+		m.Publish(m.roll.Filter(f.list)) // what it was started with
 		m.seen = f.list.Revision
 		m.roll.Start()
 		m.roll.Watch(true)
@@ -102,7 +102,7 @@
 	}
 	m.f.calls++
 	m.seen = revision
-	m.Hear(m.roll.Sieve(discovery.List{Revision: revision, Members: []discovery.Entry{e}}))
+	m.Publish(m.roll.Filter(discovery.List{Revision: revision, Members: []discovery.Entry{e}}))
 }
 
 // ---- the core ----
@@ -161,15 +161,15 @@
 	m.after(50*ms, func() { // the whole list comes first
 		if m.watching && turn == m.turn && !m.deaf {
 			m.seen = m.f.list.Revision
-			m.Hear(m.roll.Sieve(m.f.list))
+			m.Publish(m.roll.Filter(m.f.list))
 		}
 	})
 }
 
 func (m *mixer) Read() {}
 
-// Hear is what the core is told.
-func (m *mixer) Hear(l discovery.List) {
+// Publish is what the core is told.
+func (m *mixer) Publish(l discovery.List) {
 	for _, e := range l.Members {
 		if _, knew := m.knew[e.ID]; !knew && e.Phase != "active" {
 			m.knew[e.ID] = m.f.now
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -12,12 +12,12 @@
 
 // The letters of frames.
 const (
-	Call    = '1' // mixer: parts, each a line and the query's text
-	GiveUp  = '2' // mixer: the id of a part
-	Probe   = '3' // both
-	LoadAsk = '4' // both
-	Result  = '5' // stock node: a line, then the value
-	Refusal = 'X' // stock node: words; the connection is closed
+	Call        = '1' // mixer: parts, each a line and the query's text
+	GiveUp      = '2' // mixer: the id of a part
+	Probe       = '3' // both
+	LoadRequest = '4' // both
+	Result      = '5' // stock node: a line, then the value
+	Refusal     = 'X' // stock node: words; the connection is closed
 )
 
 // MaxLength is the longest frame taken: what its peer may make us hold.
@@ -31,8 +31,8 @@
 
 // Frame is one frame.
 type Frame struct {
-	Letter byte
-	Rest   []byte
+	Type    byte
+	Payload []byte
 }
 
 // Parser takes a stream of frames.
@@ -78,10 +78,10 @@
 
 // Part is one part of a call.
 type Part struct {
-	ID    string
-	Shard int
-	List  string // as d=240,k=5c0f
-	Text  []byte // the query's, unchanged
+	ID         string
+	Shard      int
+	Parameters string // as d=240,k=5c0f
+	Text       []byte // the query's, unchanged
 }
 
 // AppendCall adds a frame with one call to b.
@@ -91,7 +91,7 @@
 	for _, p := range parts {
 		b = append(append(b, p.ID...), ' ')
 		b = append(strconv.AppendInt(b, int64(p.Shard), 10), ' ')
-		b = append(append(b, p.List...), ' ')
+		b = append(append(b, p.Parameters...), ' ')
 		b = append(strconv.AppendInt(b, int64(len(p.Text)), 10), '\n')
 		b = append(b, p.Text...)
 	}
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -24,8 +24,8 @@
 }
 
 func TestFramesInPieces(t *testing.T) {
-	text := AppendCall(nil, []Part{{ID: "9b1f.3", Shard: 3, List: "d=240", Text: []byte("c41e77d0")},
-		{ID: "9b1f.9", Shard: 9, List: "d=240,k=5c0f", Text: []byte("x\ny")}})
+	text := AppendCall(nil, []Part{{ID: "9b1f.3", Shard: 3, Parameters: "d=240", Text: []byte("c41e77d0")},
+		{ID: "9b1f.9", Shard: 9, Parameters: "d=240,k=5c0f", Text: []byte("x\ny")}})
 	text = Append(text, Probe, nil)
 	want := []Frame{{Call, []byte("9b1f.3 3 d=240 8\nc41e77d09b1f.9 9 d=240,k=5c0f 3\nx\ny")}, {Probe, []byte{}}}
 	for n := 1; n <= len(text); n++ {
@@ -67,7 +67,7 @@
 
 // FuzzParser checks that the size of the pieces changes nothing.
 func FuzzParser(f *testing.F) {
-	f.Add(Append(AppendCall(nil, []Part{{ID: "a.1", List: "d=1"}}), Probe, nil), 3)
+	f.Add(Append(AppendCall(nil, []Part{{ID: "a.1", Parameters: "d=1"}}), Probe, nil), 3)
 	f.Add([]byte{0, 0, 0, 0}, 1)
 	f.Fuzz(func(t *testing.T, text []byte, n int) {
 		if n < 1 || len(text) > 1<<16 {
@@ -79,7 +79,7 @@
 			t.Errorf("errors %v and %v, frames differ: %s", err1, err2, diff)
 		}
 		for _, fr := range whole {
-			_, _ = ParseReply(fr.Rest)
+			_, _ = ParseReply(fr.Payload)
 		}
 	})
 }
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -93,7 +93,7 @@
 	key     string
 	again   bool
 	context *tracing.Context
-	msgs    h2.Messages
+	msgs    h2.MessageParser
 	msg     []byte
 	handle  *broker.Handle
 	done    bool // its status is on its way
@@ -143,15 +143,15 @@
 		}
 		return
 	}
-	k := &call{c: c.client, s: s, begun: c.f.core.Now(), msgs: h2.Messages{Max: maxMessage},
-		timeout: h2.Get(fields, "grpc-timeout"), key: h2.Get(fields, "idempotency-key")}
-	again := h2.Get(fields, "grpc-previous-rpc-attempts")
+	k := &call{c: c.client, s: s, begun: c.f.core.Now(), msgs: h2.MessageParser{MaxBytes: maxMessage},
+		timeout: h2.FieldValue(fields, "grpc-timeout"), key: h2.FieldValue(fields, "idempotency-key")}
+	again := h2.FieldValue(fields, "grpc-previous-rpc-attempts")
 	k.again = again != "" && again != "0"
-	k.context = tracing.ReadContext(h2.Get(fields, "traceparent"), h2.Get(fields, "tracestate"))
+	k.context = tracing.ReadContext(h2.FieldValue(fields, "traceparent"), h2.FieldValue(fields, "tracestate"))
 	s.User = k
 	c.calls[k], c.asked = struct{}{}, true
-	method, ok := strings.CutPrefix(h2.Get(fields, ":path"), service)
-	if h2.Get(fields, ":method") != "POST" || !strings.HasPrefix(h2.Get(fields, "content-type"), "application/grpc") {
+	method, ok := strings.CutPrefix(h2.FieldValue(fields, ":path"), service)
+	if h2.FieldValue(fields, ":method") != "POST" || !strings.HasPrefix(h2.FieldValue(fields, "content-type"), "application/grpc") {
 		k.status(h2.Status{Code: codes.InvalidArgument, Message: "a call is a POST of application/grpc"})
 		return
 	}
@@ -201,7 +201,7 @@
 func (k *call) whole() {
 	switch {
 	case k.done || k.handle != nil:
-	case k.msg == nil || k.msgs.Rest():
+	case k.msg == nil || k.msgs.Partial():
 		k.malformed(errors.New("the message is missing or cut"))
 	case k.method == "DoGet":
 		var t flight.Ticket
@@ -341,7 +341,7 @@
 	k.s.Reset(http2.ErrCodeNo)
 }
 
-func (k *call) end() { k.done, k.doneAt, k.msgs = true, k.c.f.core.Now(), h2.Messages{} }
+func (k *call) end() { k.done, k.doneAt, k.msgs = true, k.c.f.core.Now(), h2.MessageParser{} }
 
 // Closed implements h2.Handler: the client has cancelled the call.
 func (c streams) Closed(s *h2.Stream, _ http2.ErrCode, _ bool) {
@@ -369,7 +369,7 @@
 		return
 	}
 	c.h2.Ping()
-	c.f.core.After(front.ResetWait, c.conn.CloseIfGone)
+	c.f.core.After(front.ResetWait, c.conn.CloseIfReset)
 }
 
 // Ended implements transport.Handler.
@@ -384,7 +384,7 @@
 func (f *Front) sweep() {
 	now, keep := f.core.Now(), front.Keep(f.room)
 	for c := range f.clients {
-		c.conn.CloseIfGone()
+		c.conn.CloseIfReset()
 		for k := range c.calls {
 			switch {
 			case k.done && !k.s.Open():
@@ -398,8 +398,8 @@
 				k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
 			}
 		}
-		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, Unread: !c.half && !c.conn.Quiet()})
-		switch rests := may == gate.Allowed && c.conn.Idle(); {
+		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, Unread: !c.half && !c.conn.InputDrained()})
+		switch rests := may == gate.Allowed && c.conn.Flushed(); {
 		case rests && (f.closing || c.half):
 			c.conn.Close(transport.LocalDone)
 		case c.endBy > 0 && now > c.endBy:
--- a/internal/front/platform/evidence.go
+++ b/internal/front/platform/evidence.go
@@ -13,9 +13,9 @@
 
 var idField = []byte("req-id:")
 
-// Ignored implements transport.Ignorer: it notes that a request came on a connection that
+// LateData implements transport.LateDataHandler: it notes that a request came on a connection that
 // was being closed, so that its client has to ask again.
-func (c *client) Ignored(b []byte) {
+func (c *client) LateData(b []byte) {
 	i := bytes.Index(bytes.ToLower(b), idField)
 	if i < 0 {
 		return
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -22,8 +22,8 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	maxBuffered = http1.MaxHead + 2*http1.MaxBody // bytes of requests that wait for an answer before them
-	drainQuiet  = 100 * time.Millisecond          // how long a connection rests before it is closed at the end
+	maxBuffered = http1.MaxHeadBytes + 2*http1.MaxBodyBytes // bytes of requests that wait for an answer before them
+	drainQuiet  = 100 * time.Millisecond                    // how long a connection rests before it is closed at the end
 	version     = "HTTP/1.1 "
 	// mostDeadlineMS is the longest deadline that is taken for one: a day.
 	mostDeadlineMS = 24 * 3600 * 1000
@@ -117,7 +117,7 @@
 func (f *Front) makeRoom() {
 	var oldest *client
 	for c := range f.clients {
-		if c.closing && c.conn.Idle() {
+		if c.closing && c.conn.Flushed() {
 			c.conn.Close(transport.LocalDone)
 			return
 		}
@@ -136,7 +136,7 @@
 		return
 	}
 	c.parser.Write(b)
-	c.arrived.add(len(b), c.f.core.Instant()-c.conn.Waited())
+	c.arrived.add(len(b), c.f.core.Instant()-c.conn.InputDelay())
 	c.next()
 	c.readAhead()
 	// Guards memory against a client that pipelines without end. What was read whole is owed
@@ -173,7 +173,7 @@
 				c.begun = c.f.core.Now()
 			}
 			c.rest = c.f.core.Now()
-			if c.parser.Expects() {
+			if c.parser.ExpectsContinue() {
 				c.conn.Write([]byte(version + "100 Continue\r\n\r\n"))
 			}
 			return
@@ -388,8 +388,8 @@
 	c.conn.Close(transport.PeerClosed)
 }
 
-// Left implements transport.Leaver.
-func (c *client) Left() { c.HalfClosed() }
+// ReadEOF implements transport.ReadEOFHandler.
+func (c *client) ReadEOF() { c.HalfClosed() }
 
 // Ended implements transport.Handler.
 func (c *client) Ended(e transport.End) {
@@ -418,7 +418,7 @@
 func (c *client) mayEnd() bool {
 	state := gate.Connection{Open: c.open != nil, Partial: c.partial()}
 	// The system is asked last.
-	state.Unread = !state.Open && !state.Partial && !c.conn.Quiet()
+	state.Unread = !state.Open && !state.Partial && !c.conn.InputDrained()
 	return !c.closing && gate.Close(state) == gate.Allowed
 }
 
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -48,13 +48,13 @@
 	ends []transport.End
 }
 
-func (l *line) Write(b []byte) int64   { l.said += string(b); return 0 }
-func (l *line) Close(e transport.End)  { l.ends = append(l.ends, e) }
-func (l *line) CloseIfGone()           {}
-func (l *line) Quiet() bool            { return !l.loud }
-func (l *line) Waited() time.Duration  { return 0 }
-func (l *line) Idle() bool             { return true }
-func (l *line) Finish(e transport.End) { l.ends = append(l.ends, e) }
+func (l *line) Write(b []byte) int64      { l.said += string(b); return 0 }
+func (l *line) Close(e transport.End)     { l.ends = append(l.ends, e) }
+func (l *line) CloseIfReset()             {}
+func (l *line) InputDrained() bool        { return !l.loud }
+func (l *line) InputDelay() time.Duration { return 0 }
+func (l *line) Flushed() bool             { return true }
+func (l *line) Finish(e transport.End)    { l.ends = append(l.ends, e) }
 
 // space is room for all, or hardly any.
 type space struct{ crowded bool }
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -44,12 +44,12 @@
 type Conn interface {
 	Write(b []byte) int64
 	Close(e transport.End)
-	CloseIfGone()
-	Idle() bool
-	// Waited is how long the bytes of the present Data have waited for us.
-	Waited() time.Duration
-	// Quiet reports whether nothing that the client has sent waits for us.
-	Quiet() bool
+	CloseIfReset()
+	Flushed() bool
+	// InputDelay is how long the bytes of the present Data have waited for us.
+	InputDelay() time.Duration
+	// InputDrained reports whether nothing that the client has sent waits for us.
+	InputDrained() bool
 	// Finish says our last words; Close has to follow if the peer does not leave.
 	Finish(e transport.End)
 }
--- a/internal/h2/grpc.go
+++ b/internal/h2/grpc.go
@@ -26,21 +26,21 @@
 	return slices.SortedFunc(maps.Values(c.streams), func(a, b *Stream) int { return int(a.ID) - int(b.ID) })
 }
 
-// Messages cuts a stream's data into gRPC messages of at most Max bytes.
-type Messages struct {
-	Max int
-	buf []byte
+// MessageParser cuts a stream's data into gRPC messages of at most Max bytes.
+type MessageParser struct {
+	MaxBytes int
+	buf      []byte
 }
 
 // Add takes bytes and returns the messages that are whole now.
-func (m *Messages) Add(b []byte) (list [][]byte, err error) {
+func (m *MessageParser) Add(b []byte) (list [][]byte, err error) {
 	m.buf = append(m.buf, b...)
 	for len(m.buf) >= messageHead {
 		n := binary.BigEndian.Uint32(m.buf[1:])
 		if m.buf[0] != 0 {
 			return list, ErrCompressed
 		}
-		if uint64(n) > uint64(m.Max) {
+		if uint64(n) > uint64(m.MaxBytes) {
 			return list, ErrTooLong
 		}
 		end := messageHead + int(n)
@@ -53,8 +53,8 @@
 	return list, nil
 }
 
-// Rest reports whether a message has begun and not ended.
-func (m *Messages) Rest() bool { return len(m.buf) > 0 }
+// Partial reports whether a message has begun and not ended.
+func (m *MessageParser) Partial() bool { return len(m.buf) > 0 }
 
 // AppendMessage adds a gRPC message to b.
 func AppendMessage(b, msg []byte) []byte {
@@ -153,8 +153,8 @@
 	return b.String()
 }
 
-// Get returns the value of a header field, or "".
-func Get(fields []hpack.HeaderField, name string) string {
+// FieldValue returns the value of a header field, or "".
+func FieldValue(fields []hpack.HeaderField, name string) string {
 	for _, f := range fields {
 		if f.Name == name {
 			return f.Value
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -182,7 +182,7 @@
 func TestMessagesInPieces(t *testing.T) {
 	text := AppendMessage(AppendMessage(nil, []byte("abc")), nil)
 	for n := 1; n <= len(text); n++ {
-		m := Messages{Max: 3}
+		m := MessageParser{MaxBytes: 3}
 		var got []string
 		for b := text; len(b) > 0; b = b[min(n, len(b)):] {
 			list, err := m.Add(b[:min(n, len(b))])
@@ -193,13 +193,13 @@
 				got = append(got, string(one))
 			}
 		}
-		if diff := cmp.Diff([]string{"abc", ""}, got); diff != "" || m.Rest() {
+		if diff := cmp.Diff([]string{"abc", ""}, got); diff != "" || m.Partial() {
 			t.Errorf("in pieces of %d: %s", n, diff)
 		}
 	}
 	for bad, want := range map[string]error{"\x01\x00\x00\x00\x01a": ErrCompressed, "\x00\x00\x00\x00\x04abcd": ErrTooLong,
 		"\x00\xff\xff\xff\xff": ErrTooLong} {
-		m := Messages{Max: 3}
+		m := MessageParser{MaxBytes: 3}
 		if _, err := m.Add([]byte(bad)); !errors.Is(err, want) {
 			t.Errorf("%q gave %v", bad, err)
 		}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -11,10 +11,10 @@
 
 // Limits of what is taken.
 const (
-	MaxHead  = 16 << 10 // bytes of start line and header fields
-	MaxBody  = 64 << 10 // bytes of a client's body
-	maxLine  = 256      // bytes of a chunk's size line
-	maxTrail = 4 << 10  // bytes of trailer fields
+	MaxHeadBytes = 16 << 10 // bytes of start line and header fields
+	MaxBodyBytes = 64 << 10 // bytes of a client's body
+	maxLine      = 256      // bytes of a chunk's size line
+	maxTrail     = 4 << 10  // bytes of trailer fields
 )
 
 // Error is input that can't be taken. Status is the answer it deserves.
@@ -73,7 +73,7 @@
 
 // NewRequestParser returns a parser of requests, whose bodies hold at most
 // MaxBody bytes.
-func NewRequestParser() *Parser { return &Parser{maxBody: MaxBody} }
+func NewRequestParser() *Parser { return &Parser{maxBody: MaxBodyBytes} }
 
 // NewResponseParser returns a parser of responses with bodies of at most max
 // bytes.
@@ -91,9 +91,9 @@
 // Started reports whether a message has begun and not ended.
 func (p *Parser) Started() bool { return len(p.buf) > 0 || p.state != inHead }
 
-// Expects reports, once a message, whether its sender waits to be told to go on
+// ExpectsContinue reports, once a message, whether its sender waits to be told to go on
 // with the body.
-func (p *Parser) Expects() bool {
+func (p *Parser) ExpectsContinue() bool {
 	e := p.expects && p.state != inHead && len(p.msg.Body) == 0 && len(p.buf) == 0
 	p.expects = p.expects && !e
 	return e
@@ -223,12 +223,12 @@
 	}
 	end, after := headEnd(p.buf, max(0, p.scanned-3))
 	if end < 0 {
-		if p.scanned = len(p.buf); p.scanned > MaxHead {
+		if p.scanned = len(p.buf); p.scanned > MaxHeadBytes {
 			return false, false, &Error{431, "header fields too long"}
 		}
 		return false, false, nil
 	}
-	if end > MaxHead {
+	if end > MaxHeadBytes {
 		return false, false, &Error{431, "header fields too long"}
 	}
 	text := string(p.buf[:end])
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -60,8 +60,8 @@
 		{"chunk size too large", head + "Transfer-Encoding: chunked\r\n\r\nfffffffff\r\n", 400},
 		{"chunk longer than its size", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 400},
 		{"chunk size without end", head + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("0", 400), 400},
-		{"header too long", head + "A: " + strings.Repeat("x", MaxHead) + "\r\n\r\n", 431},
-		{"header without end", strings.Repeat("x", MaxHead+1), 431},
+		{"header too long", head + "A: " + strings.Repeat("x", MaxHeadBytes) + "\r\n\r\n", 431},
+		{"header without end", strings.Repeat("x", MaxHeadBytes+1), 431},
 		{"trailers too long", head + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat("A: b\r\n", 2000), 431},
 	}
 	for _, tt := range tests {
@@ -76,8 +76,8 @@
 }
 
 func TestABodyOfTheMostBytesIsTaken(t *testing.T) {
-	got, err := feed(NewRequestParser(), "POST /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"+strings.Repeat("x", MaxBody), 999)
-	if err != nil || len(got) != 1 || len(got[0].Body) != MaxBody {
+	got, err := feed(NewRequestParser(), "POST /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"+strings.Repeat("x", MaxBodyBytes), 999)
+	if err != nil || len(got) != 1 || len(got[0].Body) != MaxBodyBytes {
 		t.Errorf("%d messages, error %v", len(got), err)
 	}
 }
@@ -111,7 +111,7 @@
 			t.Errorf("errors %v and %v, messages differ: %s", err1, err2, diff)
 		}
 		for _, m := range whole {
-			if len(m.Body) > MaxBody {
+			if len(m.Body) > MaxBodyBytes {
 				t.Errorf("a body of %d bytes", len(m.Body))
 			}
 		}
--- a/internal/node/flight/flight.go
+++ b/internal/node/flight/flight.go
@@ -52,7 +52,7 @@
 type part struct {
 	t     *node.Ticket // nil: a probe
 	s     *h2.Stream
-	msgs  h2.Messages
+	msgs  h2.MessageParser
 	list  [][]byte // messages received
 	bytes int      // their size
 	ended bool     // its outcome is known
@@ -75,7 +75,7 @@
 		if t.Second {
 			tk.From, tk.Whole = t.From, &t.Whole
 		}
-		p := &part{t: t, msgs: h2.Messages{Max: maxMessage}}
+		p := &part{t: t, msgs: h2.MessageParser{MaxBytes: maxMessage}}
 		t.User = p
 		fields := head("DoGet", h2.FormatTimeout(s.l.Left(t)))
 		if t.Key != "" {
@@ -134,7 +134,7 @@
 		s.l.Probed(decide.Moot)
 		return
 	}
-	p := &part{msgs: h2.Messages{Max: maxMessage}}
+	p := &part{msgs: h2.MessageParser{MaxBytes: maxMessage}}
 	p.s = s.h2.Open(head("GetFlightInfo", "250m"), h2.AppendMessage(nil, b))
 	p.s.User = p
 }
@@ -160,7 +160,7 @@
 	s.heard(p)
 	status, given := h2.ParseStatus(fields)
 	switch {
-	case !end && h2.Get(fields, ":status") != "" && h2.Get(fields, ":status") != "200":
+	case !end && h2.FieldValue(fields, ":status") != "" && h2.FieldValue(fields, ":status") != "200":
 		s.failed(p, decide.Failed)
 		st.Reset(http2.ErrCodeCancel)
 	case !end:
@@ -213,7 +213,7 @@
 
 // served ends a part with the value from its stream, which has ended with status OK.
 func (s *session) served(p *part) {
-	if p.t == nil || p.msgs.Rest() {
+	if p.t == nil || p.msgs.Partial() {
 		s.failed(p, decide.Failed)
 		return
 	}
--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -50,7 +50,7 @@
 func (s *frameSession) Send(call []*Ticket) {
 	parts := make([]frames.Part, 0, len(call))
 	for _, t := range call {
-		parts = append(parts, frames.Part{ID: t.ID, Shard: t.Shard, List: list(t, s.l.Left(t)), Text: t.Text})
+		parts = append(parts, frames.Part{ID: t.ID, Shard: t.Shard, Parameters: list(t, s.l.Left(t)), Text: t.Text})
 	}
 	end := s.l.Write(frames.AppendCall(nil, parts))
 	for _, t := range call {
@@ -84,9 +84,9 @@
 		if err != nil || !ok {
 			return err
 		}
-		switch f.Letter {
+		switch f.Type {
 		case frames.Result:
-			r, err := frames.ParseReply(f.Rest)
+			r, err := frames.ParseReply(f.Payload)
 			if err == nil && !utf8.Valid(r.Value) {
 				err = errors.New("a value that is no text") // it could not be passed on to a client unchanged
 			}
@@ -102,14 +102,14 @@
 			}
 		case frames.Probe:
 			o := decide.Failed
-			if string(f.Rest) == "S" {
+			if string(f.Payload) == "S" {
 				o = decide.OK
 			}
 			s.l.Probed(o)
 		case frames.Refusal:
-			s.l.Complain(string(f.Rest))
+			s.l.Complain(string(f.Payload))
 		default:
-			return fmt.Errorf("a frame of letter %q", f.Letter)
+			return fmt.Errorf("a frame of letter %q", f.Type)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -297,7 +297,7 @@
 // stalled reports whether bytes that were written have not been sent, as the node does not
 // read. What is written behind them may reach the node too late: after the drain grace or the
 // repeat window, or after its query was answered.
-func (l *Link) stalled() bool { return l.conn != nil && !l.conn.Idle() }
+func (l *Link) stalled() bool { return l.conn != nil && !l.conn.Flushed() }
 
 // takes reports whether the connection has room for a call. It does not take a part whose
 // id is out there, or was cancelled a moment ago: answers to the two could not be told apart.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -34,17 +34,17 @@
 	Ended(e End)
 }
 
-// Leaver is a Handler for which a peer that sends nothing more has gone. It is told together with
+// ReadEOFHandler is a Handler for which a peer that sends nothing more has gone. It is told together with
 // the last bytes that came, so that nothing begins for them meanwhile.
-type Leaver interface{ Left() }
+type ReadEOFHandler interface{ ReadEOF() }
 
 // Truncated is a Handler that wants to know when bytes of the peer's were dropped, because it
 // sent more than is held for one connection: nothing more comes after what came before.
 type Truncated interface{ Truncated() }
 
-// Ignorer is a Handler that wants to know what came, at first, once it had said its last
+// LateDataHandler is a Handler that wants to know what came, at first, once it had said its last
 // words: evidence for whoever looks for a lost request.
-type Ignorer interface{ Ignored(b []byte) }
+type LateDataHandler interface{ LateData(b []byte) }
 
 const mostIgnored = 512 // bytes of it that are told
 
@@ -157,11 +157,11 @@
 		// own nothing does.
 		if !c.muted.Load() {
 			c.h.Data(b)
-		} else if h, ok := c.h.(Ignorer); ok {
-			h.Ignored(b[:min(len(b), mostIgnored)])
+		} else if h, ok := c.h.(LateDataHandler); ok {
+			h.LateData(b[:min(len(b), mostIgnored)])
 		}
-		if h, ok := c.h.(Leaver); ok && left && !c.muted.Load() {
-			h.Left()
+		if h, ok := c.h.(ReadEOFHandler); ok && left && !c.muted.Load() {
+			h.ReadEOF()
 		}
 		if h, ok := c.h.(Truncated); ok && cut && !c.muted.Load() {
 			h.Truncated()
@@ -191,12 +191,12 @@
 	return unread, info.State == closeWait || info.State == closed
 }
 
-// Waited is how long the bytes of the present Data have waited for the owner since they came.
-func (c *Conn) Waited() time.Duration { return c.waited }
+// InputDelay is how long the bytes of the present Data have waited for the owner since they came.
+func (c *Conn) InputDelay() time.Duration { return c.waited }
 
 // tellIgnored hands what is passed over, at first, to a handler that wants to know.
 func (c *Conn) tellIgnored(r netpoll.Reader, n int) {
-	h, ok := c.h.(Ignorer)
+	h, ok := c.h.(LateDataHandler)
 	if !ok {
 		return
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	b := append([]byte(nil), p...)
-	c.post.Post(func() { h.Ignored(b) })
+	c.post.Post(func() { h.LateData(b) })
 }
 
 // take counts how many of n bytes may wait for the owner's goroutine. It guards
@@ -278,9 +278,9 @@
 	return err == nil && info.State == closeWait
 }
 
-// CloseIfGone ends a half-closed connection that has been reset since. Netpoll
+// CloseIfReset ends a half-closed connection that has been reset since. Netpoll
 // no longer watches it, so the owner asks now and then.
-func (c *Conn) CloseIfGone() {
+func (c *Conn) CloseIfReset() {
 	c.mu.Lock()
 	gone := c.raw && !c.closed && !finSeen(c.fd)
 	c.mu.Unlock()
@@ -417,17 +417,17 @@
 	return c.written >= offset
 }
 
-// Idle reports whether nothing waits to be written.
-func (c *Conn) Idle() bool {
+// Flushed reports whether nothing waits to be written.
+func (c *Conn) Flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.writing && len(c.pending) == 0
 }
 
-// Quiet reports whether nothing that the peer has sent waits for the owner, as far as can
+// InputDrained reports whether nothing that the peer has sent waits for the owner, as far as can
 // be known: a request that was read before the connection was shut is owed an answer, one
 // that was not may be sent anew.
-func (c *Conn) Quiet() bool {
+func (c *Conn) InputDrained() bool {
 	if c.unhandled.Load() > 0 || c.nc.Reader().Len() > 0 {
 		return false
 	}
--- a/internal/transport/end.go
+++ b/internal/transport/end.go
@@ -11,21 +11,21 @@
 
 // The ways in which a connection can end.
 const (
-	Open         End = iota // it has not ended
-	Refused                 // the peer's machine refused it
-	NeverUp                 // it did not come up within the time to connect
-	NoDescriptor            // we had no descriptor left for it
-	NotDialed               // the queue of waiting dials was full, or the address is no address
-	LocalLack               // our own machine lacked an address, a route or memory for it
-	PeerClosed              // the peer ended it in order
-	PeerReset               // the peer's machine reset it
-	WriteFailed             // a write to it failed
-	PeerStalled             // the peer stopped reading and too much waited for it
-	PeerFlooded             // the peer sent more than we hold for one connection
-	BadInput                // what the peer sent could not be used
-	LocalIdle               // we closed it because it stood idle
-	LocalDone               // we closed it, having no more use for it
-	LocalStop               // we closed it because the program ends
+	Open           End = iota // it has not ended
+	Refused                   // the peer's machine refused it
+	ConnectTimeout            // it did not come up within the time to connect
+	NoDescriptor              // we had no descriptor left for it
+	NotDialed                 // the queue of waiting dials was full, or the address is no address
+	LocalFailure              // our own machine lacked an address, a route or memory for it
+	PeerClosed                // the peer ended it in order
+	PeerReset                 // the peer's machine reset it
+	WriteFailed               // a write to it failed
+	PeerStalled               // the peer stopped reading and too much waited for it
+	PeerFlooded               // the peer sent more than we hold for one connection
+	BadInput                  // what the peer sent could not be used
+	LocalIdle                 // we closed it because it stood idle
+	LocalDone                 // we closed it, having no more use for it
+	LocalStop                 // we closed it because the program ends
 )
 
 var endNames = [...]string{"open", "refused", "never-up", "no-descriptor", "not-dialed", "local-lack", "peer-closed", "peer-reset",
@@ -44,9 +44,9 @@
 // written; if it had not, the attempt never ran, however the connection ended.
 func Outcome(e End, written bool) decide.Outcome {
 	switch {
-	case e == NoDescriptor, e == NotDialed, e == LocalLack:
+	case e == NoDescriptor, e == NotDialed, e == LocalFailure:
 		return decide.Moot // it says nothing of the node
-	case !written, e == Refused, e == NeverUp:
+	case !written, e == Refused, e == ConnectTimeout:
 		return decide.ConnectFailed
 	case e == BadInput, e == PeerFlooded:
 		// The node spoilt its answer: it may have run, and the network is not to blame.
--- a/internal/transport/faults_test.go
+++ b/internal/transport/faults_test.go
@@ -89,22 +89,22 @@
 	}
 	defer func() { _ = file.Close() }()
 	c := &Conn{nc: unpolled{}, fd: int(file.Fd()), net: NewNet(newOwner(t), Limits{Conns: 10}, nil)}
-	if !c.Quiet() {
+	if !c.InputDrained() {
 		t.Error("nothing has come, and it is not quiet")
 	}
 	const request = "a request"
 	if _, err := io.WriteString(peer, request); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the bytes are there", func() bool { return !c.Quiet() })
+	wait(t, "the bytes are there", func() bool { return !c.InputDrained() })
 	if n, err := unix.Read(c.fd, make([]byte, 100)); n != len(request) || err != nil {
 		t.Fatal(n, err)
 	}
-	if c.Quiet() {
+	if c.InputDrained() {
 		t.Error("it is quiet while the poller holds a request")
 	}
 	c.in.Add(int64(len(request))) // the owner has it
-	if !c.Quiet() {
+	if !c.InputDrained() {
 		t.Error("it is not quiet though all has been looked at")
 	}
 }
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -72,8 +72,8 @@
 
 var logTo atomic.Pointer[io.Writer]
 
-// LogTo says where netpoll's own log lines go. Until then they are dropped.
-func LogTo(w io.Writer) { logTo.Store(&w) }
+// SetLogOutput says where netpoll's own log lines go. Until then they are dropped.
+func SetLogOutput(w io.Writer) { logTo.Store(&w) }
 
 func (logs) Write(b []byte) (int, error) {
 	if w := logTo.Load(); w != nil {
@@ -186,7 +186,7 @@
 		n.silent = slices.DeleteFunc(n.silent, func(c *Conn) bool { return c.in.Load() > 0 || c.ended() })
 	}
 	for n.open.Load() > n.max-n.max/reserve {
-		i := slices.IndexFunc(n.silent, func(c *Conn) bool { return c.in.Load() == 0 && !c.ended() && c.Quiet() })
+		i := slices.IndexFunc(n.silent, func(c *Conn) bool { return c.in.Load() == 0 && !c.ended() && c.InputDrained() })
 		if i < 0 {
 			return false
 		}
@@ -246,7 +246,7 @@
 			left = max(time.Millisecond, d.timeout-time.Since(begun))
 		}
 		nc, err = netpoll.DialConnection("tcp", d.addr, left)
-		if err == nil || dialEnd(err) != LocalLack && dialEnd(err) != NoDescriptor || time.Since(begun)+lackPause >= d.timeout {
+		if err == nil || dialEnd(err) != LocalFailure && dialEnd(err) != NoDescriptor || time.Since(begun)+lackPause >= d.timeout {
 			return nc, err
 		}
 	}
@@ -259,9 +259,9 @@
 		return NoDescriptor
 	case errors.Is(err, unix.EADDRNOTAVAIL), errors.Is(err, unix.ENETUNREACH), errors.Is(err, unix.ENOBUFS),
 		errors.Is(err, unix.ENOMEM), errors.Is(err, unix.EAGAIN):
-		return LocalLack
+		return LocalFailure
 	case errors.As(err, &timeout) && timeout.Timeout(), errors.Is(err, context.DeadlineExceeded):
-		return NeverUp
+		return ConnectTimeout
 	}
 	return Refused
 }
--- a/internal/transport/packets.go
+++ b/internal/transport/packets.go
@@ -13,9 +13,9 @@
 // mostPackets is how many datagrams may wait for the owner's goroutine.
 const mostPackets = 512
 
-// Packets sends and takes datagrams at one address. What comes is posted to the owner,
+// PacketConn sends and takes datagrams at one address. What comes is posted to the owner,
 // as far as that keeps up; the rest is dropped and counted.
-type Packets struct {
+type PacketConn struct {
 	conn    *net.UDPConn
 	raw     func(func(fd uintptr) bool) error
 	post    Poster
@@ -25,7 +25,7 @@
 
 // ListenPackets listens at an address. Netpoll serves streams only, so one goroutine
 // reads, for as long as the socket is open. Datagrams over most bytes are dropped.
-func ListenPackets(post Poster, addr string, most int, take func(from netip.AddrPort, b []byte)) (*Packets, error) {
+func ListenPackets(post Poster, addr string, most int, take func(from netip.AddrPort, b []byte)) (*PacketConn, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
@@ -39,12 +39,12 @@
 		_ = conn.Close() // the first error counts
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	p := &Packets{conn: conn, raw: raw.Write, post: post}
+	p := &PacketConn{conn: conn, raw: raw.Write, post: post}
 	go p.read(most, take)
 	return p, nil
 }
 
-func (p *Packets) read(most int, take func(netip.AddrPort, []byte)) {
+func (p *PacketConn) read(most int, take func(netip.AddrPort, []byte)) {
 	buf := make([]byte, most+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -70,7 +70,7 @@
 
 // Send sends a datagram. It never waits: what the kernel does not take is lost, as any
 // datagram may be.
-func (p *Packets) Send(to netip.AddrPort, b []byte) {
+func (p *PacketConn) Send(to netip.AddrPort, b []byte) {
 	addr := &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().Unmap().As4()}
 	_ = p.raw(func(fd uintptr) bool { // fails only once the socket is closed
 		_ = unix.Sendto(int(fd), b, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, addr)
@@ -79,10 +79,10 @@
 }
 
 // Dropped is how many datagrams were too large or too many, so far.
-func (p *Packets) Dropped() int64 { return p.dropped.Load() }
+func (p *PacketConn) Dropped() int64 { return p.dropped.Load() }
 
 // Addr is the address listened at.
-func (p *Packets) Addr() net.Addr { return p.conn.LocalAddr() }
+func (p *PacketConn) Addr() net.Addr { return p.conn.LocalAddr() }
 
 // Close ends it.
-func (p *Packets) Close() { _ = p.conn.Close() } // nobody reads it any more
+func (p *PacketConn) Close() { _ = p.conn.Close() } // nobody reads it any more
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -97,9 +97,9 @@
 	for e := Open + 1; int(e) < len(endNames); e++ {
 		unsent, want := decide.ConnectFailed, decide.Reset
 		switch e {
-		case NoDescriptor, NotDialed, LocalLack:
+		case NoDescriptor, NotDialed, LocalFailure:
 			unsent, want = decide.Moot, decide.Moot
-		case Refused, NeverUp:
+		case Refused, ConnectTimeout:
 			want = decide.ConnectFailed
 		}
 		if got := Outcome(e, false); got != unsent || !got.NeverRan() {
@@ -129,7 +129,7 @@
 		_, _ = io.WriteString(peer, "hello")
 		_ = peer.CloseWrite()
 		wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
-		c.CloseIfGone() // it is not
+		c.CloseIfReset() // it is not
 		if h.data != "hello" {
 			t.Errorf("data %q", h.data)
 		}
@@ -147,7 +147,7 @@
 		wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
 		c.Write([]byte("H"))
 		wait(t, "the reset is seen", func() bool {
-			c.CloseIfGone()
+			c.CloseIfReset()
 			var n int
 			h.with(func() { n = len(h.ends) })
 			return n > 0
@@ -169,17 +169,17 @@
 	t.Cleanup(func() { _ = ln.Close() })
 	peer := connect(t, ln)
 	c := <-conns
-	if !c.Quiet() {
+	if !c.InputDrained() {
 		t.Error("nothing was sent, and something waits")
 	}
 	_, _ = io.WriteString(peer, "hello")
-	wait(t, "it is known", func() bool { return !c.Quiet() })
+	wait(t, "it is known", func() bool { return !c.InputDrained() })
 	wait(t, "it has been read", func() bool { return len(held) > 0 })
-	if c.Quiet() {
+	if c.InputDrained() {
 		t.Error("what was read and not looked at is not known")
 	}
 	(<-held)()
-	if !c.Quiet() || h.data != "hello" {
+	if !c.InputDrained() || h.data != "hello" {
 		t.Errorf("the owner has looked at %q, and still something waits", h.data)
 	}
 }
@@ -239,7 +239,7 @@
 		s := strings.Repeat(string(rune('a'+i%26)), 64<<10)
 		want.WriteString(s)
 		c.Write([]byte(s))
-		if !c.Idle() {
+		if !c.Flushed() {
 			after++
 		}
 	}
@@ -247,7 +247,7 @@
 	if _, err := io.ReadFull(peer, got); err != nil || string(got) != want.String() {
 		t.Errorf("peer read something else, %v", err)
 	}
-	wait(t, "nothing waits", c.Idle)
+	wait(t, "nothing waits", c.Flushed)
 }
 
 // TestAHalfClosedPeerThatDoesNotRead is closed in the end, and its descriptor's
@@ -256,7 +256,7 @@
 	c, h, peer := accepted(t)
 	_ = peer.CloseWrite()
 	wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
-	for c.Idle() {
+	for c.Flushed() {
 		c.Write([]byte(strings.Repeat("x", 64<<10)))
 	}
 	c.Close(LocalStop)
