--- a/cmd/kiteloft/accord_test.go
+++ b/cmd/kiteloft/accord_test.go
@@ -217,7 +217,7 @@
 	var both sync.WaitGroup
 	for k := range 2 {
 		both.Go(func() {
-			_, got[k] = c.Ask(3+k, accord.Question{Op: accord.OpPropose, Version: version.Version{From: from, Mark: fmt.Sprint("both", k), Text: allow(c.next)}})
+			_, got[k] = c.Ask(3+k, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: from, Mark: fmt.Sprint("both", k), Text: allow(c.next)}})
 		})
 	}
 	both.Wait()
@@ -231,7 +231,7 @@
 	// A proposal and its withdrawal within a second.
 	x, err := c.Ask(4, accord.Question{Op: accord.OpShow})
 	must(err)
-	x, err = c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{From: x.State.Latest, Mark: "soon withdrawn", Text: allow(c.next)}})
+	x, err = c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: "soon withdrawn", Text: allow(c.next)}})
 	must(err)
 	_, err = c.Ask(3, accord.Question{Op: accord.OpWithdraw, Number: x.Number})
 	must(err)
@@ -243,7 +243,7 @@
 		x, err := c.Ask(4, accord.Question{Op: accord.OpShow})
 		must(err)
 		key := strings.Trim(strings.Split(doc, ":")[0], `{"`)
-		if _, err := c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{From: x.State.Latest, Mark: doc, Text: doc}}); err == nil || !strings.Contains(err.Error(), key+":") {
+		if _, err := c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: doc, Text: doc}}); err == nil || !strings.Contains(err.Error(), key+":") {
 			t.Errorf("%s: %v", doc, err)
 		}
 	}
@@ -251,15 +251,15 @@
 	// Whoever tries a version first dies of it.
 	x, err = c.Ask(4, accord.Question{Op: accord.OpShow})
 	must(err)
-	x, err = c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{From: x.State.Latest, Mark: "deadly", Text: strings.Replace(x.State.Old.Text, "{", `{"attempts":3,`, 1)}})
+	x, err = c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: "deadly", Text: strings.Replace(x.State.Old.Text, "{", `{"attempts":3,`, 1)}})
 	must(err)
-	victim, err := strconv.Atoi(strings.TrimPrefix(x.State.New.Tries[0], "n"))
+	victim, err := strconv.Atoi(strings.TrimPrefix(x.State.New.Canaries[0], "n"))
 	must(err)
 	c.lose(victim)
 	back := c.wait("the version is withdrawn", func() bool {
 		y, err := c.Ask((victim+1)%5, accord.Question{Op: accord.OpShow})
 		v, _ := y.State.Find(x.Number)
-		return err == nil && strings.HasPrefix(v.Outcome, "withdrawn") && y.State.Phase == version.Steady
+		return err == nil && strings.HasPrefix(v.Outcome, "withdrawn") && y.State.Phase == version.PhaseSteady
 	})
 	t.Logf("a version whose first user died was withdrawn after %v", back)
 	must(c.Start(victim))
--- a/cmd/kiteloft/builds_test.go
+++ b/cmd/kiteloft/builds_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	with := func(key, mark string) version.Version {
-		return version.Version{From: x.State.Latest, Mark: mark, Text: strings.Replace(x.State.Old.Text, "{", key, 1)}
+		return version.Version{BaseNumber: x.State.Latest, Mark: mark, Text: strings.Replace(x.State.Old.Text, "{", key, 1)}
 	}
 	y, err := c.Ask(0, accord.Question{Op: accord.OpPropose, Version: with(`{"storm_retries":0.5,`, "a new key")})
 	if err != nil {
@@ -44,7 +44,7 @@
 	c.wait("the version that one can't act on is withdrawn", func() bool {
 		z, err := c.Ask(0, accord.Question{Op: accord.OpShow})
 		v, _ := z.State.Find(y.Number)
-		if err != nil || z.State.Phase != version.Steady || v.Outcome == "" {
+		if err != nil || z.State.Phase != version.PhaseSteady || v.Outcome == "" {
 			return false
 		}
 		if !strings.Contains(v.Outcome, "n4") || !strings.Contains(v.Outcome, "storm_retries: unknown key") {
@@ -64,7 +64,7 @@
 	c.wait("all act on it", func() bool {
 		for i := range c.size {
 			z, err := c.Ask(i, accord.Question{Op: accord.OpLocal})
-			if err != nil || z.State.Phase != version.Steady || z.State.Old.Number != y.Number || !z.Holders[0].Leased {
+			if err != nil || z.State.Phase != version.PhaseSteady || z.State.Old.Number != y.Number || !z.Holders[0].Leased {
 				return false
 			}
 		}
--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -77,7 +77,7 @@
 	roll   *roll.Roll     // nil: each follows discovery for itself
 	survey *survey.Survey // nil: nothing is said of zones
 	steer  *steer.Steer   // what zones are to get; there where the survey is
-	acts   accord.Acts
+	acts   accord.ActiveRules
 }
 
 // What mixers talk about, each with the other alone: the first byte of what is said.
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	t.accord = a
-	a.Acted = func(x accord.Acts) {
+	a.Acted = func(x accord.ActiveRules) {
 		t.acts = x
 		t.steer.Agreed(x.Plan)
 		t.limit(core, cfg)
@@ -151,7 +151,7 @@
 }
 
 // limits are agreed rules as the core takes them.
-func limits(x accord.Acts, cfg config.Config) broker.Limits {
+func limits(x accord.ActiveRules, cfg config.Config) broker.Limits {
 	r := x.Rules
 	l := broker.Limits{Version: x.Number, Copies: r.Copies, FurtherRatio: r.FurtherRatio, FurtherSpare: r.FurtherSpare, ColdShare: r.ColdShare,
 		Barred: r.Barred, Left: map[int]bool{}, Storm: storm.Shares{Retries: r.StormRetries, Good: r.StormGood}}
--- a/cmd/kiteloft/fleet_test.go
+++ b/cmd/kiteloft/fleet_test.go
@@ -473,7 +473,7 @@
 		if time.Since(begun) > answerTime {
 			for i := range f.size {
 				if x, err := f.Ask(i, accord.Question{Op: accord.OpLocal}); f.Alive(i) && err == nil {
-					f.t.Logf("n%d: leader %s, stage %d %v, %+v", i, x.Leader, x.State.Stage, x.State.Phase, x.Holders)
+					f.t.Logf("n%d: leader %s, stage %d %v, %+v", i, x.Leader, x.State.Revision, x.State.Phase, x.Holders)
 				}
 			}
 			f.t.Fatalf("waited in vain until %s", what)
@@ -490,7 +490,7 @@
 	}
 	f.tries++
 	mark := fmt.Sprintf("try %d", f.tries)
-	x, err = f.Ask(at, accord.Question{Op: accord.OpPropose, Version: version.Version{From: x.State.Latest, Mark: mark, Text: text}})
+	x, err = f.Ask(at, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: mark, Text: text}})
 	if err == nil {
 		f.latest = x.Number
 	}
@@ -505,7 +505,7 @@
 			continue
 		}
 		x, err := f.Ask(j, accord.Question{Op: accord.OpLocal})
-		if err != nil || !x.Holders[0].Leased || x.State.Phase != version.Steady || x.State.Old.Text != text {
+		if err != nil || !x.Holders[0].Leased || x.State.Phase != version.PhaseSteady || x.State.Old.Text != text {
 			return false
 		}
 	}
@@ -524,7 +524,7 @@
 		f.wait(what+": all act on it", func() bool {
 			x, err := f.Ask(at, accord.Question{Op: accord.OpShow})
 			v, _ := x.State.Find(f.latest)
-			withdrawn = err == nil && strings.HasPrefix(v.Outcome, "withdrawn") && x.State.Phase == version.Steady
+			withdrawn = err == nil && strings.HasPrefix(v.Outcome, "withdrawn") && x.State.Phase == version.PhaseSteady
 			return withdrawn || f.acted(text)
 		})
 		if !withdrawn {
--- a/cmd/loft/settings.go
+++ b/cmd/loft/settings.go
@@ -185,7 +185,7 @@
 	if n == 0 {
 		fmt.Fprintln(out, "  nothing changes")
 	}
-	if keys := version.Contradict(old, next); len(keys) > 0 {
+	if keys := version.ConflictingKeys(old, next); len(keys) > 0 {
 		fmt.Fprintf(out, "contradict, and so wait until all mixers have gone to the safe side: %s\n", strings.Join(keys, ", "))
 	}
 	return nil
@@ -252,9 +252,9 @@
 	if err != nil {
 		return err
 	}
-	v.From, v.By = x.State.Latest, os.Getenv("USER")
+	v.BaseNumber, v.Author = x.State.Latest, os.Getenv("USER")
 	if from != nil {
-		v.From = *from
+		v.BaseNumber = *from
 	}
 	if v.Mark == "" {
 		var b [8]byte
@@ -268,7 +268,7 @@
 		}
 		return at(err)
 	}
-	fmt.Fprintf(out, "version %d is proposed; first it is tried by %s\n", x.Number, strings.Join(x.State.New.Tries, ", "))
+	fmt.Fprintf(out, "version %d is proposed; first it is tried by %s\n", x.Number, strings.Join(x.State.New.Canaries, ", "))
 	return nil
 }
 
@@ -286,7 +286,7 @@
 		return err
 	}
 	st := x.State
-	if st.Phase != version.Steady && c.To == nil {
+	if st.Phase != version.PhaseSteady && c.To == nil {
 		if _, err := c.Member.ask(accord.Question{Op: accord.OpWithdraw, Number: st.New.Number, Why: c.Why}); err != nil {
 			return err
 		}
@@ -328,7 +328,7 @@
 			return errNothing
 		}
 	}
-	fmt.Fprintf(out, "// version %d, made from %d by %s: %s\n", v.Number, v.From, cmp.Or(v.By, "nobody"), cmp.Or(v.Why, "no reason"))
+	fmt.Fprintf(out, "// version %d, made from %d by %s: %s\n", v.Number, v.BaseNumber, cmp.Or(v.Author, "nobody"), cmp.Or(v.Why, "no reason"))
 	var b bytes.Buffer
 	if err := stdjson.Indent(&b, []byte(cmp.Or(v.Text, "{}")), "", "  "); err != nil {
 		return err
@@ -351,13 +351,13 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "version\tfrom\tby\toutcome\twhy")
 	line := func(v version.Version, outcome string) {
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\n", v.Number, v.From, v.By, outcome, v.Why)
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\n", v.Number, v.BaseNumber, v.Author, outcome, v.Why)
 	}
 	for _, v := range st.History {
 		line(v, v.Outcome)
 	}
 	line(st.Old, "in force")
-	if st.Phase != version.Steady {
+	if st.Phase != version.PhaseSteady {
 		line(st.New, cmp.Or(st.New.Outcome, "on its way: "+st.Phase.String()))
 	}
 	return w.Flush()
@@ -379,10 +379,10 @@
 			if v, ok := x.State.Find(c.Number); ok && strings.HasPrefix(v.Outcome, "withdrawn") {
 				return fmt.Errorf("version %d was %s", c.Number, v.Outcome)
 			}
-			if x.State.Phase == version.Steady && x.State.Old.Number > c.Number {
+			if x.State.Phase == version.PhaseSteady && x.State.Old.Number > c.Number {
 				return fmt.Errorf("version %d was replaced by version %d", c.Number, x.State.Old.Number)
 			}
-			if x.State.Phase == version.Steady && x.State.Old.Number == c.Number && len(behind(x)) == 0 {
+			if x.State.Phase == version.PhaseSteady && x.State.Old.Number == c.Number && len(behind(x)) == 0 {
 				fmt.Fprintf(out, "all %d mixers act on version %d\n", len(x.Holders), c.Number)
 				return nil
 			}
@@ -400,12 +400,12 @@
 func behind(x accord.Answer) (list []string) {
 	for _, h := range x.Holders {
 		switch {
-		case h.Refuses > 0:
-			list = append(list, fmt.Sprintf("%s can't act on version %d: %s", h.Name, h.Refuses, h.Why))
+		case h.RefusedVersion > 0:
+			list = append(list, fmt.Sprintf("%s can't act on version %d: %s", h.Name, h.RefusedVersion, h.Why))
 		case !h.Leased:
 			list = append(list, h.Name+" is there and has no lease")
-		case h.Stage < x.State.Stage:
-			list = append(list, fmt.Sprintf("%s is at stage %d of %d, for %v at most", h.Name, h.Stage, x.State.Stage, time.Duration(h.LeftMS)*time.Millisecond))
+		case h.Revision < x.State.Revision:
+			list = append(list, fmt.Sprintf("%s is at stage %d of %d, for %v at most", h.Name, h.Revision, x.State.Revision, time.Duration(h.LeftMS)*time.Millisecond))
 		}
 	}
 	return list
@@ -431,10 +431,10 @@
 		return lines(out, x.Holders)
 	}
 	st := x.State
-	fmt.Fprintf(out, "version %d in force, %v, stage %d; leases of %s by %s; voters %s\n", st.InForce().Number, st.Phase, st.Stage,
+	fmt.Fprintf(out, "version %d in force, %v, stage %d; leases of %s by %s; voters %s\n", st.InForce().Number, st.Phase, st.Revision,
 		time.Duration(x.LeaseMS)*time.Millisecond, cmp.Or(x.Leader, "nobody known"), strings.Join(x.Voters, " "))
-	if st.Last != "" {
-		fmt.Fprintln(out, "last:", st.Last)
+	if st.LastChange != "" {
+		fmt.Fprintln(out, "last:", st.LastChange)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "mixer\tvotes\tacts on\tstage\tsince\tlease for\trefuses")
@@ -443,14 +443,14 @@
 		switch {
 		case !h.Leased:
 			acts = "the safe side"
-		case h.Stage != st.Stage:
+		case h.Revision != st.Revision:
 			acts = "an older stage"
 		}
 		refuses := ""
-		if h.Refuses > 0 {
-			refuses = fmt.Sprintf("%d: %s", h.Refuses, h.Why)
+		if h.RefusedVersion > 0 {
+			refuses = fmt.Sprintf("%d: %s", h.RefusedVersion, h.Why)
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%v\t%v\t%s\n", h.Name, h.Votes, acts, h.Stage, (time.Duration(h.SinceMS) * time.Millisecond).Round(100*time.Millisecond),
+		fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%v\t%v\t%s\n", h.Name, h.Votes, acts, h.Revision, (time.Duration(h.SinceMS) * time.Millisecond).Round(100*time.Millisecond),
 			time.Duration(h.LeftMS)*time.Millisecond, refuses)
 	}
 	return w.Flush()
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -47,15 +47,15 @@
 func Document(text string, set settings.Settings) (version.Rules, error) {
 	base := Base(set)
 	if text == "" {
-		return version.Document{}.Over(base), nil
+		return version.Document{}.ApplyTo(base), nil
 	}
 	d, err := readDocument(text, base, set.Zones)
-	return d.Over(base), err
+	return d.ApplyTo(base), err
 }
 
 func readDocument(text string, base version.Rules, zones []string) (d version.Document, err error) {
-	if len(text) > version.MostText {
-		return d, fmt.Errorf("%d bytes, %d at most", len(text), version.MostText)
+	if len(text) > version.MaxDocumentBytes {
+		return d, fmt.Errorf("%d bytes, %d at most", len(text), version.MaxDocumentBytes)
 	}
 	var keys map[string]jsoniter.RawMessage
 	if err := json.Unmarshal([]byte(text), &keys); err != nil {
@@ -84,7 +84,9 @@
 		}
 		return nil
 	}
-	half := func(key string, x *float64, whole float64) error { return between(key, x, whole*version.Kept, whole) }
+	half := func(key string, x *float64, whole float64) error {
+		return between(key, x, whole*version.MinBudgetShare, whole)
+	}
 	whole := func(key string, x *int, least, most int) error {
 		if x != nil && (*x < least || *x > most) {
 			return fmt.Errorf("%s: %d is not between %d and %d", key, *x, least, most)
@@ -94,7 +96,7 @@
 	if d.Copies != nil && *d.Copies && !base.Copies {
 		return d, errors.New("copies: the settings do not allow any")
 	}
-	list := []error{whole("attempts", d.Attempts, version.LeastAttempts, base.Attempts), whole("max_open", d.MaxOpen, 1, base.MaxOpen),
+	list := []error{whole("attempts", d.Attempts, version.MinAttempts, base.Attempts), whole("max_open", d.MaxOpen, 1, base.MaxOpen),
 		half("further_ratio", d.FurtherRatio, base.FurtherRatio), half("further_spare", d.FurtherSpare, base.FurtherSpare),
 		half("cold_share", d.ColdShare, base.ColdShare), between("storm_retries", d.StormRetries, storm.LeastRetries, storm.MostRetries),
 		between("storm_good", d.StormGood, storm.LeastGood, storm.MostGood)}
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -59,7 +59,7 @@
 	Lease     time.Duration
 	Trial     time.Duration // how long the canaries of a version must keep their leases with it
 	Seed      uint64
-	Read      version.Reader
+	Read      version.RulesParser
 	// IgnoreLeases makes this mixer follow the latest document without a lease. Tests use it
 	// to show which conflicts leases prevent.
 	Loose bool
@@ -80,12 +80,12 @@
 }
 
 // ActiveRules are the rules that a mixer follows now.
-type Acts struct {
-	Rules  version.Rules
-	Stage  uint64
-	Number uint64 // number of the version in force, as far as this mixer knows
-	Leased bool
-	Plan   string // as far as this mixer knows; "": there is none
+type ActiveRules struct {
+	Rules    version.Rules
+	Revision uint64
+	Number   uint64 // number of the version in force, as far as this mixer knows
+	Leased   bool
+	Plan     string // as far as this mixer knows; "": there is none
 }
 
 // Participant is a mixer's part in the agreement. Its methods must be called on the core's
@@ -98,14 +98,14 @@
 	rng   *rand.Rand
 
 	// OnChange is called with the rules that this mixer follows, whenever they change.
-	Acted func(Acts)
+	Acted func(ActiveRules)
 	// ZoneReport returns the encoded judgement of the zones; nil: there is none.
 	Zones func() []byte
 	// ZoneOrder executes an operator's order on a zone, at the leader; nil: not supported.
 	Order func(zone, order, why string, done func(error))
 
 	lease  *version.Lease
-	acts   Acts
+	acts   ActiveRules
 	begun  bool
 	since  time.Duration // when active last changed
 	voters []string      // as last reported
@@ -194,7 +194,7 @@
 
 // Start starts the timers. It must be called on the core's goroutine.
 func (a *Accord) Start() {
-	a.log.Info().Strs("voters", a.c.Voters).Bool("votes", a.seat != nil).Uint64("stage", a.lease.State().Stage).
+	a.log.Info().Strs("voters", a.c.Voters).Bool("votes", a.seat != nil).Uint64("stage", a.lease.State().Revision).
 		Uint64("version", a.lease.State().InForce().Number).Msg("accord: started")
 	a.Look()
 	a.tick()
@@ -204,7 +204,7 @@
 // otherwise with its first lease, and after two lease durations at the latest, so that the
 // mixer also serves when no voter can be reached.
 func (a *Accord) Ready(fn func()) {
-	if a.ready = fn; a.lease.State().Stage > 0 || a.acts.Leased {
+	if a.ready = fn; a.lease.State().Revision > 0 || a.acts.Leased {
 		a.isReady()
 		return
 	}
@@ -236,12 +236,12 @@
 // anything is sent, as a lease may have expired while the process was paused.
 func (a *Accord) Look() {
 	now := a.core.Now()
-	rules, leased := a.lease.Acts(now)
+	rules, leased := a.lease.ActiveRules(now)
 	st := a.lease.State()
 	if a.c.Loose {
 		rules, leased = a.loose(), true
 	}
-	if a.begun && leased == a.acts.Leased && st.Stage == a.acts.Stage {
+	if a.begun && leased == a.acts.Leased && st.Revision == a.acts.Revision {
 		return
 	}
 	a.begun = true
@@ -250,9 +250,9 @@
 		if !leased {
 			line = a.log.Warn()
 		}
-		line.Bool("lease", leased).Uint64("stage", st.Stage).Uint64("version", st.InForce().Number).Msg("accord: the lease was gained or lost")
+		line.Bool("lease", leased).Uint64("stage", st.Revision).Uint64("version", st.InForce().Number).Msg("accord: the lease was gained or lost")
 	}
-	a.acts, a.since = Acts{rules, st.Stage, st.InForce().Number, leased, st.Plan}, now
+	a.acts, a.since = ActiveRules{rules, st.Revision, st.InForce().Number, leased, st.Plan}, now
 	if a.Acted != nil {
 		a.Acted(a.acts)
 	}
@@ -264,27 +264,27 @@
 // AgreedState returns the latest agreed state that this mixer knows. At the leader it is
 // complete.
 func (a *Accord) Agreed() version.State {
-	if a.seat != nil && a.seat.agreed.State.Stage > a.lease.State().Stage {
+	if a.seat != nil && a.seat.agreed.State.Revision > a.lease.State().Revision {
 		return a.seat.agreed.State
 	}
 	return a.lease.State()
 }
 
-// ProposeZonePlan proposes a zone plan, at the leader. Its number seq must be one more than
+// SetZonePlan proposes a zone plan, at the leader. Its number seq must be one more than
 // that of the plan that it replaces. Done is called once, with nil if the plan was agreed.
-func (a *Accord) Replan(seq uint64, plan, why string, done func(error)) {
+func (a *Accord) SetZonePlan(seq uint64, plan, why string, done func(error)) {
 	if a.seat == nil || a.seat.led == nil || !a.seat.led.sure {
 		done(errNoLead)
 		return
 	}
-	a.seat.propose(version.Command{Kind: version.Replan, Seq: seq, Plan: plan, Why: why}, func(_ uint64, err error) { done(err) })
+	a.seat.propose(version.Command{Kind: version.SetZonePlan, Seq: seq, Plan: plan, Why: why}, func(_ uint64, err error) { done(err) })
 }
 
 // latestRules returns the rules of the latest document that this mixer has received.
 func (a *Accord) loose() version.Rules {
 	st := a.lease.State()
 	text := st.Old.Text
-	if st.Phase != version.Steady {
+	if st.Phase != version.PhaseSteady {
 		text = st.New.Text
 	}
 	rules, err := a.c.Read(text)
@@ -310,7 +310,7 @@
 
 // renewLease requests a lease if one is due.
 func (a *Accord) renew() {
-	r, due := a.lease.Ask(a.core.Now())
+	r, due := a.lease.NextRequest(a.core.Now())
 	if !due {
 		return
 	}
@@ -451,12 +451,12 @@
 			return
 		}
 	}
-	if st.Stage != w.stage {
+	if st.Revision != w.stage {
 		return // granted for a state that this mixer does not have
 	}
-	refused, _ := a.lease.Refuses()
-	if a.lease.Granted(a.core.Now(), version.Grant{Seq: w.id, Left: w.left, State: st}) {
-		if n, why := a.lease.Refuses(); n != 0 && n != refused {
+	refused, _ := a.lease.RefusedVersion()
+	if a.lease.HandleGrant(a.core.Now(), version.LeaseGrant{Seq: w.id, TTL: w.left, State: st}) {
+		if n, why := a.lease.RefusedVersion(); n != 0 && n != refused {
 			a.log.Error().Uint64("version", n).Str("why", why).Msg("accord: this mixer can't apply a version")
 		}
 		a.keep()
@@ -486,10 +486,10 @@
 		a.voters = a.seat.voters()
 	}
 	now := a.core.Now()
-	if a.seat.led != nil && g.State.Stage > a.lease.State().Stage {
-		a.fleet.Announce(newsKey, fmt.Appendf(nil, "%d", g.State.Stage))
+	if a.seat.led != nil && g.State.Revision > a.lease.State().Revision {
+		a.fleet.Announce(newsKey, fmt.Appendf(nil, "%d", g.State.Revision))
 	}
-	a.lease.Hurry(g.State.Stage, now)
+	a.lease.ExpediteRenewal(g.State.Revision, now)
 }
 
 // HandleAnnouncement handles an announcement by another mixer: at a new revision, the lease
@@ -502,13 +502,13 @@
 	if _, err := fmt.Sscanf(string(body), "%d", &stage); err != nil {
 		return
 	}
-	a.lease.Hurry(stage, a.core.Now())
+	a.lease.ExpediteRenewal(stage, a.core.Now())
 	a.renew()
 }
 
 // Leave gives up the lease and closes the storage. The Participant can't be used after it.
 func (a *Accord) Leave() {
-	a.toLeader(renewal(a.lease.LetGo()), 0)
+	a.toLeader(renewal(a.lease.Release()), 0)
 	a.ended = true
 	if a.seat != nil {
 		a.seat.gone = true
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -25,16 +25,16 @@
 		t.Fatalf("%+v", x)
 	}
 	t.Logf("a version: all mixers follow it after %v", w.until("all mixers follow it", 5*time.Second, func() bool { return w.all(1) }))
-	if got := w.must(6, Question{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.Steady {
+	if got := w.must(6, Question{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.PhaseSteady {
 		t.Errorf("%+v", got.State)
 	}
 	if got := w.must(2, Question{Op: OpVersions}); len(got.Holders) != 7 || got.Holders[3].Version != 1 || !got.Holders[0].Votes {
 		t.Errorf("%+v", got.Holders)
 	}
-	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{From: 0, Mark: "x", Text: "{}"}}); ok || !strings.Contains(got.Error, "the latest is 1") {
+	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{BaseNumber: 0, Mark: "x", Text: "{}"}}); ok || !strings.Contains(got.Error, "the latest is 1") {
 		t.Errorf("derived from an old version: %+v", got)
 	}
-	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{From: 1, Mark: "x", Text: `{"bad":1}`}}); ok || !strings.Contains(got.Error, "unknown key") {
+	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{BaseNumber: 1, Mark: "x", Text: `{"bad":1}`}}); ok || !strings.Contains(got.Error, "unknown key") {
 		t.Errorf("a version that can't be applied: %+v", got)
 	}
 	if got, _ := w.ask(4, Question{Op: "dance"}); !strings.Contains(got.Error, "dance") {
@@ -238,7 +238,7 @@
 	if x, ok := w.propose(5, 0); !ok {
 		t.Fatalf("%+v", x)
 	}
-	q := Question{Op: OpPropose, Version: version.Version{From: 1, Mark: "late", Text: document(1)}}
+	q := Question{Op: OpPropose, Version: version.Version{BaseNumber: 1, Mark: "late", Text: document(1)}}
 	if x, ok := w.ask(4, q); ok || !strings.Contains(x.Error, "on its way") {
 		t.Fatalf("%+v", x)
 	}
--- a/internal/fleet/accord/ask.go
+++ b/internal/fleet/accord/ask.go
@@ -37,15 +37,15 @@
 
 // Holder is a mixer and the revision that it may follow.
 type Holder struct {
-	Name    string `json:"name"`
-	Stage   uint64 `json:"stage"`
-	Leased  bool   `json:"leased"`
-	LeftMS  int64  `json:"left_ms"`  // until its lease has expired, at the latest
-	SinceMS int64  `json:"since_ms"` // since it reported Revision
-	Refuses uint64 `json:"refuses,omitempty"`
-	Why     string `json:"why,omitempty"`
-	Version uint64 `json:"version"` // number of the version in force at Revision, if that is the latest revision
-	Votes   bool   `json:"votes,omitempty"`
+	Name           string `json:"name"`
+	Revision       uint64 `json:"stage"`
+	Leased         bool   `json:"leased"`
+	LeftMS         int64  `json:"left_ms"`  // until its lease has expired, at the latest
+	SinceMS        int64  `json:"since_ms"` // since it reported Revision
+	RefusedVersion uint64 `json:"refuses,omitempty"`
+	Why            string `json:"why,omitempty"`
+	Version        uint64 `json:"version"` // number of the version in force at Revision, if that is the latest revision
+	Votes          bool   `json:"votes,omitempty"`
 }
 
 // Response is the answer to a Request.
@@ -126,10 +126,10 @@
 // localStatus returns what this mixer itself knows and follows.
 func (a *Accord) local() Answer {
 	now := a.core.Now()
-	refuses, why := a.lease.Refuses()
-	return Answer{Mixer: a.c.Name, Leader: a.leader, State: a.lease.State(), Voters: a.voters, Holders: []Holder{{Name: a.c.Name, Stage: a.acts.Stage,
-		Leased: a.acts.Leased, LeftMS: max(0, a.lease.Until()-now).Milliseconds(), SinceMS: (now - a.since).Milliseconds(),
-		Refuses: refuses, Why: why, Version: a.acts.Number, Votes: a.seat != nil}}}
+	refuses, why := a.lease.RefusedVersion()
+	return Answer{Mixer: a.c.Name, Leader: a.leader, State: a.lease.State(), Voters: a.voters, Holders: []Holder{{Name: a.c.Name, Revision: a.acts.Revision,
+		Leased: a.acts.Leased, LeftMS: max(0, a.lease.ExpiresAt()-now).Milliseconds(), SinceMS: (now - a.since).Milliseconds(),
+		RefusedVersion: refuses, Why: why, Version: a.acts.Number, Votes: a.seat != nil}}}
 }
 
 // handleRequest executes an operator's request at the leader. Done gets the encoded
@@ -140,7 +140,7 @@
 	reply := func(err error) {
 		// These errors don't tell whether the request was executed: an earlier attempt at it may
 		// have succeeded, here or at another leader. A retry with its idempotency key finds out.
-		if slices.Contains([]error{errUnsure, errBusy, errNoLead, version.ErrOpen}, err) {
+		if slices.Contains([]error{errUnsure, errBusy, errNoLead, version.ErrTooManyRefusals}, err) {
 			done(nil)
 			return
 		}
@@ -190,9 +190,9 @@
 	now, voters := l.s.a.core.Now(), l.s.voters()
 	st := l.s.agreed.State
 	for _, h := range l.g.Holders(now) {
-		x := Holder{Name: h.Name, Stage: h.Stage, Leased: true, LeftMS: (h.Until - now).Milliseconds(), SinceMS: (now - h.Since).Milliseconds(),
-			Refuses: h.Refuses, Why: h.Why, Votes: slices.Contains(voters, h.Name)}
-		if h.Stage == st.Stage {
+		x := Holder{Name: h.Name, Revision: h.Revision, Leased: true, LeftMS: (h.ExpiresAt - now).Milliseconds(), SinceMS: (now - h.ReportedAt).Milliseconds(),
+			RefusedVersion: h.RefusedVersion, Why: h.Why, Votes: slices.Contains(voters, h.Name)}
+		if h.Revision == st.Revision {
 			x.Version = st.InForce().Number
 		}
 		list = append(list, x)
--- a/internal/fleet/accord/found.go
+++ b/internal/fleet/accord/found.go
@@ -22,7 +22,7 @@
 		return
 	}
 	a.helloA = now + helloTime
-	w := word{kind: kindHello, seat: a.seat.id, stage: a.lease.State().Stage}
+	w := word{kind: kindHello, seat: a.seat.id, stage: a.lease.State().Revision}
 	if w.stage > 0 {
 		if text, err := json.Marshal(a.lease.State()); err == nil {
 			w.body = text
@@ -54,12 +54,12 @@
 		// A fleet that has lost all of its logs continues from the latest state that any of
 		// its voters has stored.
 		var st version.State
-		if h.stage > g.State.Stage && json.Unmarshal(h.state, &st) == nil {
+		if h.stage > g.State.Revision && json.Unmarshal(h.state, &st) == nil {
 			g.State = st
 		}
 	}
-	if g.State.Stage > 0 {
-		g.State.Stage++ // what follows must not be taken for the former state
+	if g.State.Revision > 0 {
+		g.State.Revision++ // what follows must not be taken for the former state
 	}
 	slices.SortFunc(g.Seats, func(a, b Seat) int { return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
 	text, err := json.Marshal(g)
@@ -84,7 +84,7 @@
 		a.say(from, word{kind: kindFound, body: a.seat.founding})
 		return
 	}
-	a.say(from, word{kind: kindHello, seat: a.seat.id, flag: true, stage: a.lease.State().Stage})
+	a.say(from, word{kind: kindHello, seat: a.seat.id, flag: true, stage: a.lease.State().Revision})
 }
 
 // handleInvite opens a replica, as an operator wants this mixer to become a voter.
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -70,7 +70,7 @@
 	in := asks{propose: w.rng.IntN(2) == 0, from: o.last}
 	q := Question{Op: OpShow}
 	if in.propose {
-		q = Question{Op: OpPropose, Version: version.Version{From: in.from, Mark: fmt.Sprintf("%d-%d", o.id, o.n), Text: document(o.n % markers)}}
+		q = Question{Op: OpPropose, Version: version.Version{BaseNumber: in.from, Mark: fmt.Sprintf("%d-%d", o.id, o.n), Text: document(o.n % markers)}}
 	}
 	body, _ := json.Marshal(q)
 	begun, over := w.now, false
--- a/internal/fleet/accord/lead.go
+++ b/internal/fleet/accord/lead.go
@@ -98,7 +98,7 @@
 		l.s.confirm(l.asked)
 	}
 	if l.sure && !l.stepping {
-		if c, ok := l.g.Next(now, l.s.agreed.State); ok {
+		if c, ok := l.g.NextCommand(now, l.s.agreed.State); ok {
 			l.stepping = true
 			l.s.propose(c, func(uint64, error) { l.stepping = false })
 		}
@@ -143,7 +143,7 @@
 }
 
 // grantLease answers a request for a lease, or returns false if none is granted now.
-func (l *lead) grant(r version.Request) (word, bool) {
+func (l *lead) grant(r version.LeaseRequest) (word, bool) {
 	if !l.sure {
 		return word{}, false
 	}
@@ -152,9 +152,9 @@
 	if !ok {
 		return word{}, false
 	}
-	w := word{kind: kindGrant, id: g.Seq, who: r.Name, left: g.Left, stage: st.Stage, leader: l.s.a.c.Name, members: l.s.voters()}
-	if r.Stage != st.Stage || r.Refuses != 0 {
-		st.Refused = nil // only the voters need them
+	w := word{kind: kindGrant, id: g.Seq, who: r.Name, left: g.TTL, stage: st.Revision, leader: l.s.a.c.Name, members: l.s.voters()}
+	if r.Revision != st.Revision || r.RefusedVersion != 0 {
+		st.Refusals = nil // only the voters need them
 		text, err := json.Marshal(st)
 		if err != nil {
 			return word{}, false
@@ -201,7 +201,7 @@
 			}
 		}
 		voters := l.s.voters()
-		v.Tries = version.Tenth(v.Mark, slices.Compact(names), func(n string) bool { return slices.Contains(voters, n) })
+		v.Canaries = version.PickCanaries(v.Mark, slices.Compact(names), func(n string) bool { return slices.Contains(voters, n) })
 		l.s.propose(version.Command{Kind: version.Propose, Version: v}, done)
 	}
 	l.check = k
--- a/internal/fleet/accord/seat.go
+++ b/internal/fleet/accord/seat.go
@@ -162,7 +162,7 @@
 			return
 		}
 		s.founding = text
-		s.a.log.Info().Int("voters", len(a.Seats)).Uint64("stage", a.State.Stage).Msg("accord: the log is bootstrapped")
+		s.a.log.Info().Int("voters", len(a.Seats)).Uint64("stage", a.State.Revision).Msg("accord: the log is bootstrapped")
 		s.restore(loaded{hard: hard, snapshot: snap})
 		s.drive()
 	})
@@ -360,8 +360,8 @@
 			return // the empty entry of a new leader
 		}
 		next, number, err := s.agreed.State.Apply(x.Command)
-		if s.agreed.State = next; err == nil && next.Last != "" {
-			s.a.log.Info().Uint64("stage", next.Stage).Str("phase", next.Phase.String()).Uint64("version", number).Msg("accord: " + next.Last)
+		if s.agreed.State = next; err == nil && next.LastChange != "" {
+			s.a.log.Info().Uint64("stage", next.Revision).Str("phase", next.Phase.String()).Uint64("version", number).Msg("accord: " + next.LastChange)
 		}
 		if done := s.waiting[x.ID]; done != nil {
 			delete(s.waiting, x.ID)
--- a/internal/fleet/accord/word.go
+++ b/internal/fleet/accord/word.go
@@ -108,10 +108,10 @@
 	return w, nil
 }
 
-func renewal(r version.Request) word {
-	return word{kind: kindRenew, id: r.Seq, who: r.Name, seat: r.Instance, stage: r.Stage, number: r.Refuses, why: r.Why, flag: r.LetGo}
+func renewal(r version.LeaseRequest) word {
+	return word{kind: kindRenew, id: r.Seq, who: r.Name, seat: r.Instance, stage: r.Revision, number: r.RefusedVersion, why: r.Why, flag: r.Release}
 }
 
-func (w word) request() version.Request {
-	return version.Request{Name: w.who, Instance: w.seat, Seq: w.id, Stage: w.stage, Refuses: w.number, Why: w.why, LetGo: w.flag}
+func (w word) request() version.LeaseRequest {
+	return version.LeaseRequest{Name: w.who, Instance: w.seat, Seq: w.id, Revision: w.stage, RefusedVersion: w.number, Why: w.why, Release: w.flag}
 }
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/accord/world_test.go
@@ -55,7 +55,7 @@
 	w      *world
 	name   string
 	a      *Accord
-	acts   Acts
+	acts   ActiveRules
 	life   int
 	paused time.Duration
 	held   []func()
@@ -99,7 +99,7 @@
 			return base, err
 		}
 	}
-	return d.Over(base), nil
+	return d.ApplyTo(base), nil
 }
 
 func (w *world) start(i int) {
@@ -112,7 +112,7 @@
 		w.t.Fatal(err)
 	}
 	p.a = a
-	a.Acted = func(x Acts) { p.acts = x }
+	a.Acted = func(x ActiveRules) { p.acts = x }
 	a.Start()
 }
 
@@ -181,10 +181,10 @@
 				continue
 			}
 			st := p.a.lease.State()
-			line := fmt.Sprintf("  %s paused %v leased %v until %v stage %d %v old %d %s new %d %s", p.name, p.paused > w.now, p.acts.Leased, p.a.lease.Until()-w.now, st.Stage, st.Phase, st.Old.Number, st.Old.Mark, st.New.Number, st.New.Mark)
+			line := fmt.Sprintf("  %s paused %v leased %v until %v stage %d %v old %d %s new %d %s", p.name, p.paused > w.now, p.acts.Leased, p.a.lease.ExpiresAt()-w.now, st.Revision, st.Phase, st.Old.Number, st.Old.Mark, st.New.Number, st.New.Mark)
 			if x := p.a.seat; x != nil && x.rn != nil {
 				b := x.rn.BasicStatus()
-				line += fmt.Sprintf(" | seat %x term %d vote %x lead %x %v applied %d agreed stage %d founding %d saving %v", x.id, b.GetTerm(), b.GetVote(), b.Lead, b.RaftState, x.applied, x.agreed.State.Stage, len(x.founding), x.saving)
+				line += fmt.Sprintf(" | seat %x term %d vote %x lead %x %v applied %d agreed stage %d founding %d saving %v", x.id, b.GetTerm(), b.GetVote(), b.Lead, b.RaftState, x.applied, x.agreed.State.Revision, len(x.founding), x.saving)
 			}
 			w.wrong = append(w.wrong, line)
 		}
@@ -251,7 +251,7 @@
 // all reports whether all running mixers follow a version under a lease.
 func (w *world) all(number uint64) bool {
 	for _, p := range w.procs {
-		if p.a != nil && (p.acts.Number != number || !p.acts.Leased || p.a.lease.State().Phase != version.Steady) {
+		if p.a != nil && (p.acts.Number != number || !p.acts.Leased || p.a.lease.State().Phase != version.PhaseSteady) {
 			return false
 		}
 	}
@@ -286,7 +286,7 @@
 func (w *world) settles(number uint64) bool {
 	w.until("a version settles", 30*time.Second, func() bool {
 		st := w.procs[len(w.procs)-1].a.lease.State()
-		return st.Latest >= number && st.Phase == version.Steady && w.all(st.Old.Number)
+		return st.Latest >= number && st.Phase == version.PhaseSteady && w.all(st.Old.Number)
 	})
 	return w.all(number)
 }
@@ -297,7 +297,7 @@
 	if !ok {
 		return from, false
 	}
-	return w.ask(at, Question{Op: OpPropose, Version: version.Version{From: from.State.Latest, Mark: fmt.Sprintf("mark%d-%d", i, w.n), Text: document(i)}})
+	return w.ask(at, Question{Op: OpPropose, Version: version.Version{BaseNumber: from.State.Latest, Mark: fmt.Sprintf("mark%d-%d", i, w.n), Text: document(i)}})
 }
 
 // The methods below implement Core, Fleet, persistence and logWriter.
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -62,7 +62,7 @@
 	zones    []string
 	log      zerolog.Logger
 	rng      *rand.Rand
-	lists    *version.Lists
+	lists    *version.NodeView
 	wanted   bool // the module wants to follow the list
 	watching bool // we watch discovery ourselves
 	heard    time.Duration
@@ -90,7 +90,7 @@
 
 // New stands between the core and its own watch of discovery.
 func New(core Core, fleet Fleet, dir Directory, name string, zones []string, seed uint64, log zerolog.Logger) *Roll {
-	return &Roll{core: core, fleet: fleet, dir: dir, name: name, zones: zones, log: log, rng: rand.New(rand.NewPCG(seed, 11)), lists: version.NewLists()}
+	return &Roll{core: core, fleet: fleet, dir: dir, name: name, zones: zones, log: log, rng: rand.New(rand.NewPCG(seed, 11)), lists: version.NewNodeView()}
 }
 
 // Start begins, on the core's goroutine.
@@ -142,7 +142,7 @@
 
 func (r *Roll) look() {
 	now := r.core.Now()
-	r.tell(r.lists.Due(now))
+	r.tell(r.lists.DropOverdue(now))
 	if should := r.should(); r.wanted && should != r.watching {
 		r.watching = should
 		r.log.Info().Bool("watching", should).Msg("lists: discovery is watched by this mixer")
@@ -184,11 +184,11 @@
 // Filter is handed each list of our own watch, and returns what is believed.
 func (r *Roll) Filter(l discovery.List) discovery.List {
 	now := r.core.Now()
-	lines := make([]version.Line, 0, len(l.Members))
+	lines := make([]version.NodeEntry, 0, len(l.Members))
 	for _, e := range l.Members {
 		lines = append(lines, lineOf(e))
 	}
-	changed, doubts := r.lists.Own(now, l.Complete && r.began, l.Revision, lines)
+	changed, doubts := r.lists.ApplyList(now, l.Complete && r.began, l.Revision, lines)
 	if doubts != r.doubts {
 		if r.doubts = doubts; doubts != "" {
 			r.log.Warn().Str("why", doubts).Msg("lists: what discovery leaves out is not believed yet")
@@ -201,20 +201,20 @@
 		}
 		// What a list merely leaves out is for who reads it. What others can't know yet, we say.
 		// Who has just begun finds much in its first list that only it did not know.
-		if (x.Life != version.Gone || !missing(lines, x.ID)) && (!l.Complete || r.heard > 0 || r.mine()) {
+		if (x.Life != version.NodeGone || !missing(lines, x.ID)) && (!l.Complete || r.heard > 0 || r.mine()) {
 			r.announce(now, x)
 		}
 	}
 	out := discovery.List{Revision: l.Revision, Complete: l.Complete}
 	if l.Complete {
-		out.Members = r.entries(r.lists.All())
+		out.Members = r.entries(r.lists.Listed())
 	} else {
 		out.Members = r.entries(changed)
 	}
 	return out
 }
 
-func missing(lines []version.Line, id string) bool {
+func missing(lines []version.NodeEntry, id string) bool {
 	for _, x := range lines {
 		if x.ID == id {
 			return false
@@ -224,7 +224,7 @@
 }
 
 // announce says a line to all.
-func (r *Roll) announce(now time.Duration, x version.Line) {
+func (r *Roll) announce(now time.Duration, x version.NodeEntry) {
 	if !r.began {
 		return
 	}
@@ -237,7 +237,7 @@
 }
 
 // tell hands on what is believed since somebody else said it.
-func (r *Roll) tell(list []version.Line) {
+func (r *Roll) tell(list []version.NodeEntry) {
 	if len(list) > 0 {
 		r.dir.Publish(discovery.List{Revision: r.lists.Revision(), Members: r.entries(list)})
 	}
@@ -258,12 +258,12 @@
 
 func (r *Roll) take(list []said) {
 	now := r.core.Now()
-	var changed []version.Line
+	var changed []version.NodeEntry
 	for _, x := range list {
-		if x.ID == "" || x.Life > version.Gone {
+		if x.ID == "" || x.Life > version.NodeGone {
 			continue // by a newer program
 		}
-		if line, ok := r.lists.Heard(now, x.line(now)); ok {
+		if line, ok := r.lists.ApplyReport(now, x.line(now)); ok {
 			changed = append(changed, line)
 		}
 	}
@@ -280,7 +280,7 @@
 	if w.Ask {
 		back := word{Digest: r.lists.Digest(), Watching: r.watching}
 		if w.Digest != back.Digest {
-			for _, x := range r.lists.Said() {
+			for _, x := range r.lists.Entries() {
 				back.Lines = append(back.Lines, saidOf(now, x))
 			}
 			back.Lines = back.Lines[:min(len(back.Lines), mostWords)]
@@ -299,7 +299,7 @@
 			theirs[x.ID] = x
 		}
 		back := word{Digest: r.lists.Digest(), Watching: r.watching}
-		for _, x := range r.lists.Said() {
+		for _, x := range r.lists.Entries() {
 			if y := theirs[x.ID]; y.Started != x.Started || y.Life != x.Life || y.ID == "" {
 				back.Lines = append(back.Lines, saidOf(now, x))
 			}
@@ -310,7 +310,7 @@
 	}
 }
 
-func (r *Roll) entries(list []version.Line) (out []discovery.Entry) {
+func (r *Roll) entries(list []version.NodeEntry) (out []discovery.Entry) {
 	for _, x := range list {
 		var e discovery.Entry
 		if err := json.Unmarshal([]byte(x.Data), &e); err != nil || e.ID != x.ID {
@@ -324,8 +324,8 @@
 
 var phases = [...]string{"active", "leaving", "left"}
 
-func lineOf(e discovery.Entry) version.Line {
-	x := version.Line{ID: e.ID, Started: e.UpSinceMS}
+func lineOf(e discovery.Entry) version.NodeEntry {
+	x := version.NodeEntry{ID: e.ID, Started: e.UpSinceMS}
 	for i, p := range phases {
 		if p == e.Phase {
 			x.Life = version.Life(i)
@@ -337,7 +337,7 @@
 	return x
 }
 
-func saidOf(now time.Duration, x version.Line) said {
+func saidOf(now time.Duration, x version.NodeEntry) said {
 	s := said{ID: x.ID, Started: x.Started, Life: x.Life, Data: x.Data}
 	if x.Told > 0 {
 		s.AgeMS = max(0, now-x.Told).Milliseconds()
@@ -345,9 +345,9 @@
 	return s
 }
 
-func (s said) line(now time.Duration) version.Line {
-	x := version.Line{ID: s.ID, Started: s.Started, Life: s.Life, Data: s.Data}
-	if x.Life != version.Active {
+func (s said) line(now time.Duration) version.NodeEntry {
+	x := version.NodeEntry{ID: s.ID, Started: s.Started, Life: s.Life, Data: s.Data}
+	if x.Life != version.NodeActive {
 		x.Told = max(1, now-time.Duration(max(0, s.AgeMS))*time.Millisecond)
 	}
 	return x
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -48,7 +48,7 @@
 type Accord interface {
 	Leader() string
 	Agreed() version.State
-	Replan(seq uint64, plan, why string, done func(error))
+	SetZonePlan(seq uint64, plan, why string, done func(error))
 }
 
 // Fleet says how many mixers of this one's zone are there, itself among them.
@@ -208,7 +208,7 @@
 		}
 	}
 	s.proposing = true
-	s.accord.Replan(next.Seq, text, why, func(err error) {
+	s.accord.SetZonePlan(next.Seq, text, why, func(err error) {
 		s.proposing = false
 		done(err)
 	})
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -65,14 +65,14 @@
 	return "n9"
 }
 
-// Replan is the voters.
-func (x *stage) Replan(seq uint64, plan, why string, done func(error)) {
+// SetZonePlan is the voters.
+func (x *stage) SetZonePlan(seq uint64, plan, why string, done func(error)) {
 	x.After(80*ms, func() {
 		if x.fails {
 			done(errors.New("no majority"))
 			return
 		}
-		next, _, err := x.state.Apply(version.Command{Kind: version.Replan, Seq: seq, Plan: plan, Why: why})
+		next, _, err := x.state.Apply(version.Command{Kind: version.SetZonePlan, Seq: seq, Plan: plan, Why: why})
 		if err == nil {
 			x.state = next
 			x.After(100*ms, func() { x.st.Agreed(next.Plan) })
--- a/internal/fleet/version/every_test.go
+++ b/internal/fleet/version/every_test.go
@@ -40,8 +40,8 @@
 	state  State // replicated
 	seats  []seat
 	mixers [2]*Lease
-	asks   [2]*Request // in flight
-	grants [2]*Grant
+	asks   [2]*LeaseRequest // in flight
+	grants [2]*LeaseGrant
 	make   func(lease, trial, began time.Duration) *Granter
 	asked  [2]bool // within this unit
 	left   int     // leader changes still to come
@@ -87,31 +87,31 @@
 		}
 		return 0
 	}
-	num(int64(s.state.Stage), int64(s.state.Phase), int64(s.left), flag(s.proposed), flag(s.taken))
+	num(int64(s.state.Revision), int64(s.state.Phase), int64(s.left), flag(s.proposed), flag(s.taken))
 	for _, x := range s.seats {
 		if x.old { // it grants leases on its last state until they could not be valid; it issues no commands
-			num(-1, int64(x.state.Stage), rel(x.confirmed))
+			num(-1, int64(x.state.Revision), rel(x.confirmed))
 			continue
 		}
 		young := func(at time.Duration) int64 { return rel(max(at, s.now-unit)) } // the duration of a trial
 		num(-6, rel(x.g.began), young(x.g.since), int64(x.g.stage))
 		for _, k := range sorted(x.g.held) {
 			h := x.g.held[k]
-			num(-2, int64(h.Instance), int64(h.Stage), rel(max(h.Until, s.now)), young(h.Since))
+			num(-2, int64(h.Instance), int64(h.Revision), rel(max(h.ExpiresAt, s.now)), young(h.ReportedAt))
 		}
 	}
 	for i, l := range s.mixers {
-		num(-3, int64(l.state.Stage), rel(max(l.until, s.now)), flag(s.asked[i]))
+		num(-3, int64(l.state.Revision), rel(max(l.until, s.now)), flag(s.asked[i]))
 		for _, a := range l.sent {
 			if s.now-a.at < lease && s.grants[i] != nil && s.grants[i].Seq == a.seq || s.asks[i] != nil && s.asks[i].Seq == a.seq {
 				num(-4, int64(a.seq)-int64(l.seq), rel(a.at))
 			}
 		}
 		if r := s.asks[i]; r != nil {
-			num(-5, int64(r.Seq)-int64(l.seq), int64(r.Stage))
+			num(-5, int64(r.Seq)-int64(l.seq), int64(r.Revision))
 		}
 		if g := s.grants[i]; g != nil {
-			num(-6, int64(g.Seq)-int64(l.seq), int64(g.State.Stage), int64(g.Left/(unit/100)))
+			num(-6, int64(g.Seq)-int64(l.seq), int64(g.State.Revision), int64(g.TTL/(unit/100)))
 		}
 	}
 	return xxh3.Hash(b)
@@ -119,7 +119,7 @@
 
 // allows returns the nodes that a mixer would send to now.
 func (s *small) allows(i int) (list []string) {
-	r, _ := s.mixers[i].Acts(s.now)
+	r, _ := s.mixers[i].ActiveRules(s.now)
 	for _, node := range []string{"s-1", "s-2"} {
 		if barred, named := r.Barred[node]; named && !barred {
 			list = append(list, node)
@@ -139,8 +139,8 @@
 		return err.Error()
 	}
 	for i, l := range s.mixers {
-		r, _ := l.Acts(s.now)
-		if keys := Beyond(r, force); len(keys) > 0 {
+		r, _ := l.ActiveRules(s.now)
+		if keys := ExceededKeys(r, force); len(keys) > 0 {
 			return fmt.Sprintf("mixer %d exceeds version %d in %v", i, s.state.InForce().Number, keys)
 		}
 	}
@@ -163,7 +163,7 @@
 	for i := range s.mixers {
 		if !s.asked[i] {
 			add(func(c *small) bool { // sends a request; what was in flight is lost
-				r, ok := c.mixers[i].Ask(c.now)
+				r, ok := c.mixers[i].NextRequest(c.now)
 				c.asks[i], c.grants[i], c.asked[i] = &r, nil, true
 				return ok
 			})
@@ -186,12 +186,12 @@
 			}
 		}
 		if s.grants[i] != nil {
-			add(func(c *small) bool { c.mixers[i].Granted(c.now, *c.grants[i]); c.grants[i] = nil; return true })
+			add(func(c *small) bool { c.mixers[i].HandleGrant(c.now, *c.grants[i]); c.grants[i] = nil; return true })
 		}
 	}
 	add(func(c *small) bool { // the leader moves the rollout on
 		x := &c.seats[len(c.seats)-1]
-		cmd, ok := x.g.Next(c.now, c.state)
+		cmd, ok := x.g.NextCommand(c.now, c.state)
 		if !ok {
 			return false
 		}
@@ -233,7 +233,7 @@
 	s := &small{now: time.Hour, left: leaders, taken: !withdraw, make: newGranter}
 	s.state, _, _ = s.state.Apply(propose(0, "first", first, "m0"))
 	for range 3 {
-		s.state, _, _ = s.state.Apply(Command{Kind: Forward, Stage: s.state.Stage})
+		s.state, _, _ = s.state.Apply(Command{Kind: Advance, Revision: s.state.Revision})
 	}
 	for i := range s.mixers {
 		s.mixers[i] = NewLease(fmt.Sprintf("m%d", i), uint64(i), lease, s.state, read)
--- a/internal/fleet/version/grant.go
+++ b/internal/fleet/version/grant.go
@@ -10,36 +10,36 @@
 
 // MaxClockDrift is the largest relative difference in rate between two clocks. Whoever
 // waits for the expiry of another process's lease waits longer by this share.
-const Drift = 0.02
+const MaxClockDrift = 0.02
 
 // LeaseRequest asks for a lease, and reports which revision its sender follows until then.
-type Request struct {
-	Name     string
-	Instance uint64 // random, drawn when the process starts
-	Seq      uint64 // increases with each request of a process
-	Stage    uint64 // that the mixer follows
-	Refuses  uint64 // number of a version that the mixer can't apply; 0: none
-	Why      string
-	LetGo    bool // gives up the lease: the process ends
+type LeaseRequest struct {
+	Name           string
+	Instance       uint64 // random, drawn when the process starts
+	Seq            uint64 // increases with each request of a process
+	Revision       uint64 // that the mixer follows
+	RefusedVersion uint64 // number of a version that the mixer can't apply; 0: none
+	Why            string
+	Release        bool // gives up the lease: the process ends
 }
 
 // LeaseGrant is the answer to a LeaseRequest. The lease lasts for TTL from the moment at
 // which the request was sent, so that the clocks of both sides are never compared.
-type Grant struct {
+type LeaseGrant struct {
 	Seq   uint64 // of the request
-	Left  time.Duration
+	TTL   time.Duration
 	State State
 }
 
 // Holder is a mixer process with a lease, as its Granter knows it.
 type Holder struct {
-	Name     string
-	Instance uint64
-	Stage    uint64        // the oldest that it may still follow
-	Until    time.Duration // when its lease has certainly expired, unless it is renewed
-	Since    time.Duration // when it first reported Revision
-	Refuses  uint64
-	Why      string
+	Name           string
+	Instance       uint64
+	Revision       uint64        // the oldest that it may still follow
+	ExpiresAt      time.Duration // when its lease has certainly expired, unless it is renewed
+	ReportedAt     time.Duration // when it first reported Revision
+	RefusedVersion uint64
+	Why            string
 
 	seq uint64
 }
@@ -65,7 +65,7 @@
 }
 
 // expiryWait is how long a lease can be valid by its holder's clock.
-func (g *Granter) wait() time.Duration { return time.Duration(float64(g.lease) * (1 + Drift)) }
+func (g *Granter) wait() time.Duration { return time.Duration(float64(g.lease) * (1 + MaxClockDrift)) }
 
 func holderKey(name string, instance uint64) string { return fmt.Sprintf("%s\x00%d", name, instance) }
 
@@ -73,42 +73,42 @@
 // leader can have been elected yet. Leases end within one lease duration from it, so that
 // the next leader knows when all of this leader's leases have expired. It returns false
 // if no lease is granted now.
-func (g *Granter) Renew(now, confirmed time.Duration, r Request, s State) (Grant, bool) {
+func (g *Granter) Renew(now, confirmed time.Duration, r LeaseRequest, s State) (LeaseGrant, bool) {
 	g.look(now, s)
 	key := holderKey(r.Name, r.Instance)
 	h := g.held[key]
 	if h != nil && r.Seq <= h.seq {
-		return Grant{}, false // a duplicate, or overtaken by a later request
+		return LeaseGrant{}, false // a duplicate, or overtaken by a later request
 	}
-	if r.LetGo {
+	if r.Release {
 		delete(g.held, key)
-		return Grant{}, false
+		return LeaseGrant{}, false
 	}
 	left := confirmed + g.lease - now
 	if h == nil {
 		// A lease from an earlier leader needs no entry: until all of them have expired,
 		// settled reports false anyway.
-		h = &Holder{Name: r.Name, Instance: r.Instance, Stage: r.Stage, Since: now}
+		h = &Holder{Name: r.Name, Instance: r.Instance, Revision: r.Revision, ReportedAt: now}
 		if left <= 0 {
-			return Grant{}, false
+			return LeaseGrant{}, false
 		}
 		g.held[key] = h
 	}
 	h.seq = r.Seq
-	if r.Stage > h.Stage {
-		h.Stage, h.Since = r.Stage, now
+	if r.Revision > h.Revision {
+		h.Revision, h.ReportedAt = r.Revision, now
 	}
-	if h.Refuses, h.Why = r.Refuses, r.Why; left <= 0 {
-		return Grant{}, false
+	if h.RefusedVersion, h.Why = r.RefusedVersion, r.Why; left <= 0 {
+		return LeaseGrant{}, false
 	}
-	h.Until = now + g.wait()
-	return Grant{Seq: r.Seq, Left: left, State: s}, true
+	h.ExpiresAt = now + g.wait()
+	return LeaseGrant{Seq: r.Seq, TTL: left, State: s}, true
 }
 
 // Holders returns the holders of leases that may still be valid, by name and instance.
 func (g *Granter) Holders(now time.Duration) (list []Holder) {
 	for _, h := range g.held {
-		if h.Until > now {
+		if h.ExpiresAt > now {
 			list = append(list, *h)
 		}
 	}
@@ -120,8 +120,8 @@
 
 // observe records when a new revision was first seen.
 func (g *Granter) look(now time.Duration, s State) {
-	if s.Stage != g.stage {
-		g.stage, g.since = s.Stage, now
+	if s.Revision != g.stage {
+		g.stage, g.since = s.Revision, now
 	}
 }
 
@@ -137,32 +137,32 @@
 		return true
 	}
 	for _, h := range g.held {
-		if h.Until > now && h.Stage < stage {
+		if h.ExpiresAt > now && h.Revision < stage {
 			return false
 		}
 	}
 	return true
 }
 
-// Next returns the command that moves the rollout on, or false if none is due yet.
-func (g *Granter) Next(now time.Duration, s State) (Command, bool) {
+// NextCommand returns the command that moves the rollout on, or false if none is due yet.
+func (g *Granter) NextCommand(now time.Duration, s State) (Command, bool) {
 	g.look(now, s)
-	forward, withdraw := Command{Kind: Forward, Stage: s.Stage}, Command{Kind: Withdraw, Stage: s.Stage}
-	if s.Phase == Steady {
+	forward, withdraw := Command{Kind: Advance, Revision: s.Revision}, Command{Kind: Withdraw, Revision: s.Revision}
+	if s.Phase == PhaseSteady {
 		g.forget(now)
 		return Command{}, false
 	}
-	if s.Phase == Fall {
-		return forward, g.settled(now, s.Stage)
+	if s.Phase == PhaseRollback {
+		return forward, g.settled(now, s.Revision)
 	}
 	for _, h := range g.held {
-		if h.Refuses == s.New.Number && h.Until > now {
+		if h.RefusedVersion == s.New.Number && h.ExpiresAt > now {
 			withdraw.Why = fmt.Sprintf("%s can't act on it: %s", h.Name, h.Why)
 			return withdraw, true
 		}
 	}
-	if s.Phase == Settle {
-		return forward, g.settled(now, s.Stage)
+	if s.Phase == PhaseSettle {
+		return forward, g.settled(now, s.Revision)
 	}
 	return g.tried(now, s, forward, withdraw)
 }
@@ -172,25 +172,25 @@
 // which is then withdrawn.
 func (g *Granter) tried(now time.Duration, s State, forward, withdraw Command) (Command, bool) {
 	sound, waiting := 0, false
-	for _, name := range s.New.Tries {
+	for _, name := range s.New.Canaries {
 		var at *Holder
 		for _, h := range g.held {
 			if h.Name != name {
 				continue
 			}
-			if h.Until <= now && h.Stage >= s.Stage {
+			if h.ExpiresAt <= now && h.Revision >= s.Revision {
 				withdraw.Why = fmt.Sprintf("%s, which acts on it first, says nothing any more", name)
 				return withdraw, true
 			}
-			if h.Until > now && (at == nil || h.Since > at.Since) {
+			if h.ExpiresAt > now && (at == nil || h.ReportedAt > at.ReportedAt) {
 				at = h
 			}
 		}
 		switch {
 		case at == nil:
-		case at.Stage < s.Stage:
+		case at.Revision < s.Revision:
 			waiting = waiting || now < g.since+g.wait() // it may not receive our answers
-		case now-at.Since < g.trial:
+		case now-at.ReportedAt < g.trial:
 			waiting = true
 		default:
 			sound++
@@ -210,7 +210,7 @@
 // show which mixers crashed.
 func (g *Granter) forget(now time.Duration) {
 	for key, h := range g.held {
-		if h.Until <= now {
+		if h.ExpiresAt <= now {
 			delete(g.held, key)
 		}
 	}
--- a/internal/fleet/version/lists.go
+++ b/internal/fleet/version/lists.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// NodeLife is a node's position in its life cycle. For each start of a node it only moves
+// Life is a node's position in its life cycle. For each start of a node it only moves
 // forward.
 type Life uint8
 
 // The positions in a node's life cycle. Mixers exchange their numbers.
 const (
-	Active Life = iota
-	Leaving
-	Gone // not listed by discovery any more
+	NodeActive Life = iota
+	NodeLeaving
+	NodeGone // not listed by discovery any more
 )
 
 // NodeEntry is what discovery reported of a node to some mixer.
-type Line struct {
+type NodeEntry struct {
 	ID      string
 	Started int64 // start time by discovery's clock; a later one begins another life cycle
 	Life    Life
@@ -41,31 +41,31 @@
 // node from a list is weaker evidence: it counts only for the mixer that reads that list,
 // and not at once if the list's revision went back or the list omits most nodes. A NodeView
 // is not safe for concurrent use.
-type Lists struct {
+type NodeView struct {
 	nodes    map[string]*listed
 	revision int64
-	// HoldOmissions keeps omitted nodes for as long as it is set. An operator sets it.
+	// Hold keeps omitted nodes for as long as it is set. An operator sets it.
 	Hold bool
 }
 
 type listed struct {
-	Line
+	NodeEntry
 	missing time.Duration // since when this mixer's list omits it; 0: it does not
 	gone    bool          // because of the omission
 	at      time.Duration // when the omission was accepted, or Line last became another one
 }
 
 // NewNodeView returns an empty NodeView.
-func NewLists() *Lists { return &Lists{nodes: map[string]*listed{}} }
+func NewNodeView() *NodeView { return &NodeView{nodes: map[string]*listed{}} }
 
 // ApplyList merges a list from this mixer's own watch; full tells a whole list from a list
 // of changes. It returns the entries that changed in the view, those that fall due by time
 // included, and the reason why omissions are not accepted yet, or "".
-func (l *Lists) Own(now time.Duration, full bool, revision int64, lines []Line) (changed []Line, doubts string) {
+func (l *NodeView) ApplyList(now time.Duration, full bool, revision int64, lines []NodeEntry) (changed []NodeEntry, doubts string) {
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.ID] = true
-		if line.Told = 0; line.Life != Active {
+		if line.Told = 0; line.Life != NodeActive {
 			line.Told = now
 		}
 		if c, ok := l.join(now, line, true); ok {
@@ -75,7 +75,7 @@
 	if full {
 		omitted, running := 0, 0
 		for _, n := range l.nodes {
-			if n.Life == Gone || n.gone {
+			if n.Life == NodeGone || n.gone {
 				continue
 			}
 			if running++; !named[n.ID] {
@@ -93,7 +93,7 @@
 		}
 		for _, id := range sorted(l.nodes) {
 			n := l.nodes[id]
-			if named[id] || n.Life == Gone || n.gone {
+			if named[id] || n.Life == NodeGone || n.gone {
 				continue
 			}
 			if n.missing == 0 {
@@ -105,37 +105,39 @@
 		}
 	}
 	l.revision = max(l.revision, revision)
-	return append(changed, l.Due(now)...), doubts
+	return append(changed, l.DropOverdue(now)...), doubts
 }
 
 // dropOmitted marks a node as gone because this mixer's list omits it.
-func (l *Lists) drop(now time.Duration, n *listed) Line {
+func (l *NodeView) drop(now time.Duration, n *listed) NodeEntry {
 	n.gone, n.at = true, now
-	line := n.Line
-	line.Life, line.Told = Gone, n.missing
+	line := n.NodeEntry
+	line.Life, line.Told = NodeGone, n.missing
 	return line
 }
 
 // ApplyReport merges an entry that another mixer received, with its report time converted
 // to the local clock. It returns the resulting entry and whether it changed in the view.
-func (l *Lists) Heard(now time.Duration, line Line) (Line, bool) { return l.join(now, line, false) }
+func (l *NodeView) ApplyReport(now time.Duration, line NodeEntry) (NodeEntry, bool) {
+	return l.join(now, line, false)
+}
 
 // mergeEntry merges an entry, from this mixer's own list if own is set. It returns the
 // resulting entry and whether it changed in the view.
-func (l *Lists) join(now time.Duration, line Line, own bool) (Line, bool) {
+func (l *NodeView) join(now time.Duration, line NodeEntry, own bool) (NodeEntry, bool) {
 	n := l.nodes[line.ID]
 	if n == nil || line.Started > n.Started {
 		if len(l.nodes) >= mostLines {
 			l.forget(now, 0)
 		}
-		l.nodes[line.ID] = &listed{Line: line, at: now}
+		l.nodes[line.ID] = &listed{NodeEntry: line, at: now}
 		return line, true
 	}
 	if line.Started < n.Started {
-		return Line{}, false // about an earlier start
+		return NodeEntry{}, false // about an earlier start
 	}
 	changed := false
-	if own && line.Life != Gone {
+	if own && line.Life != NodeGone {
 		n.missing = 0
 		if n.gone { // listed again after an omission
 			n.gone, changed = false, true
@@ -146,24 +148,24 @@
 		if n.Told > 0 && n.Told < line.Told {
 			line.Told = n.Told // the report that it leaves came first
 		}
-		n.Line, n.at, changed = line, now, true
-	case line.Life == n.Life && line.Life != Active && line.Told < n.Told:
+		n.NodeEntry, n.at, changed = line, now, true
+	case line.Life == n.Life && line.Life != NodeActive && line.Told < n.Told:
 		n.Told, changed = line.Told, true
 	case line.Life == n.Life && own && line.Data != n.Data:
 		n.Data, changed = line.Data, true
 	}
 	if n.gone {
-		return Line{}, false // already gone for this mixer
+		return NodeEntry{}, false // already gone for this mixer
 	}
-	return n.Line, changed
+	return n.NodeEntry, changed
 }
 
 // DropOverdue drops the nodes that have been omitted for longer than omissionHold and
 // returns their entries. It also deletes nodes that have been gone for goneRetention.
-func (l *Lists) Due(now time.Duration) (changed []Line) {
+func (l *NodeView) DropOverdue(now time.Duration) (changed []NodeEntry) {
 	for _, id := range sorted(l.nodes) {
 		n := l.nodes[id]
-		if n.missing > 0 && !n.gone && n.Life != Gone && !l.Hold && now-n.missing >= omitHold {
+		if n.missing > 0 && !n.gone && n.Life != NodeGone && !l.Hold && now-n.missing >= omitHold {
 			changed = append(changed, l.drop(now, n))
 		}
 	}
@@ -171,19 +173,19 @@
 	return changed
 }
 
-func (l *Lists) forget(now, after time.Duration) {
+func (l *NodeView) forget(now, after time.Duration) {
 	for id, n := range l.nodes {
-		if (n.gone || n.Life == Gone) && now-n.at >= after {
+		if (n.gone || n.Life == NodeGone) && now-n.at >= after {
 			delete(l.nodes, id)
 		}
 	}
 }
 
 // Listed returns the nodes that are active or leaving, by ID.
-func (l *Lists) All() (list []Line) {
+func (l *NodeView) Listed() (list []NodeEntry) {
 	for _, id := range sorted(l.nodes) {
-		if n := l.nodes[id]; !n.gone && n.Life != Gone {
-			list = append(list, n.Line)
+		if n := l.nodes[id]; !n.gone && n.Life != NodeGone {
+			list = append(list, n.NodeEntry)
 		}
 	}
 	return list
@@ -191,16 +193,16 @@
 
 // Entries returns the entries of all nodes, by ID, including those that are gone, for
 // other mixers to merge.
-func (l *Lists) Said() (list []Line) {
+func (l *NodeView) Entries() (list []NodeEntry) {
 	for _, id := range sorted(l.nodes) {
-		list = append(list, l.nodes[id].Line)
+		list = append(list, l.nodes[id].NodeEntry)
 	}
 	return list
 }
 
 // Digest returns a hash over the ID, start and life of all nodes. It is equal on two mixers
 // that have merged the same entries.
-func (l *Lists) Digest() (sum uint64) {
+func (l *NodeView) Digest() (sum uint64) {
 	for _, n := range l.nodes {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(n.ID + "\x00" + strconv.FormatInt(n.Started, 10) + "\x00" + strconv.Itoa(int(n.Life)))) // never fails
@@ -210,4 +212,4 @@
 }
 
 // Revision returns the highest revision of this mixer's own lists.
-func (l *Lists) Revision() int64 { return l.revision }
+func (l *NodeView) Revision() int64 { return l.revision }
--- a/internal/fleet/version/rules.go
+++ b/internal/fleet/version/rules.go
@@ -52,18 +52,18 @@
 
 // MinBudgetShare is the share of each budget that a mixer without a lease uses, and the
 // smallest share that a document may set.
-const Kept = 0.5
+const MinBudgetShare = 0.5
 
 // MinAttempts is the number of attempts per part that a mixer without a lease uses at most,
 // and the smallest number that a document may set.
-const LeastAttempts = 2
+const MinAttempts = 2
 
 // Unlimited is the value of a field of Rules that the settings do not limit.
 const Unlimited = math.MaxInt32
 
 // ApplyTo returns a mixer's own settings overlaid with the document. Allowances of tenants
 // that the mixer does not know are ignored.
-func (d Document) Over(base Rules) Rules {
+func (d Document) ApplyTo(base Rules) Rules {
 	r := base
 	r.Allowances, r.Barred, r.Left = maps.Clone(base.Allowances), map[string]bool{}, map[string]bool{}
 	set(&r.Attempts, d.Attempts)
@@ -96,7 +96,7 @@
 }
 
 // MostRestrictive combines two sets of rules into the loosest one that exceeds neither.
-func Meet(a, b Rules) Rules {
+func MostRestrictive(a, b Rules) Rules {
 	return Rules{Attempts: min(a.Attempts, b.Attempts), Copies: a.Copies && b.Copies, FurtherRatio: min(a.FurtherRatio, b.FurtherRatio),
 		FurtherSpare: min(a.FurtherSpare, b.FurtherSpare), ColdShare: min(a.ColdShare, b.ColdShare), MaxOpen: min(a.MaxOpen, b.MaxOpen),
 		Allowances: merge(a.Allowances, b.Allowances, func(x, y float64) float64 { return min(x, y) }),
@@ -123,13 +123,13 @@
 // FallbackRules returns the rules of a mixer without a lease: the most restrictive of the
 // rules that it knows and of all that a document may set. Nodes that documents name are not
 // used, and zones that were left stay left.
-func Safe(base, known Rules) Rules {
-	r := Rules{Attempts: min(base.Attempts, known.Attempts, LeastAttempts), FurtherRatio: min(known.FurtherRatio, base.FurtherRatio*Kept),
-		FurtherSpare: min(known.FurtherSpare, base.FurtherSpare*Kept), ColdShare: min(known.ColdShare, base.ColdShare*Kept),
+func FallbackRules(base, known Rules) Rules {
+	r := Rules{Attempts: min(base.Attempts, known.Attempts, MinAttempts), FurtherRatio: min(known.FurtherRatio, base.FurtherRatio*MinBudgetShare),
+		FurtherSpare: min(known.FurtherSpare, base.FurtherSpare*MinBudgetShare), ColdShare: min(known.ColdShare, base.ColdShare*MinBudgetShare),
 		MaxOpen: known.MaxOpen, Allowances: maps.Clone(known.Allowances), Barred: map[string]bool{}, Left: maps.Clone(known.Left), HoldList: known.HoldList,
 		StormRetries: known.StormRetries, StormGood: known.StormGood}
 	for tenant, x := range base.Allowances {
-		r.Allowances[tenant] = min(known.Allowances[tenant], x*Kept)
+		r.Allowances[tenant] = min(known.Allowances[tenant], x*MinBudgetShare)
 	}
 	for node := range known.Barred {
 		r.Barred[node] = true
@@ -141,7 +141,7 @@
 // that b does not allow. Limits that concern a single mixer, as max_open and the storm
 // thresholds, are not compared. A zone that only one of them leaves is exceeded by the
 // rules that still send there.
-func Beyond(a, b Rules) (keys []string) {
+func ExceededKeys(a, b Rules) (keys []string) {
 	for _, k := range []struct {
 		key    string
 		beyond bool
@@ -171,8 +171,8 @@
 
 // ConflictingKeys returns the sorted keys in which two sets of rules must not be followed
 // by two mixers at the same time.
-func Contradict(a, b Rules) []string {
-	keys := append(Beyond(a, b), Beyond(b, a)...)
+func ConflictingKeys(a, b Rules) []string {
+	keys := append(ExceededKeys(a, b), ExceededKeys(b, a)...)
 	slices.Sort(keys)
 	return slices.Compact(keys)
 }
--- a/internal/fleet/version/rules_test.go
+++ b/internal/fleet/version/rules_test.go
@@ -30,7 +30,7 @@
 			return Rules{}, err
 		}
 	}
-	return d.Over(base), nil
+	return d.ApplyTo(base), nil
 }
 
 func drawDocument(t *rapid.T, name string) Document {
@@ -39,11 +39,11 @@
 		if !maybe(key + "?") {
 			return nil
 		}
-		return ptr(rapid.Float64Range(most*Kept, most).Draw(t, name+key))
+		return ptr(rapid.Float64Range(most*MinBudgetShare, most).Draw(t, name+key))
 	}
 	d := Document{FurtherRatio: half("ratio", 0.4), FurtherSpare: half("spare", 10), ColdShare: half("cold", 1), Nodes: map[string]bool{}}
 	if maybe("attempts?") {
-		d.Attempts = ptr(rapid.IntRange(LeastAttempts, 4).Draw(t, name+"attempts"))
+		d.Attempts = ptr(rapid.IntRange(MinAttempts, 4).Draw(t, name+"attempts"))
 	}
 	if maybe("copies?") {
 		d.Copies = ptr(maybe("copies"))
@@ -67,28 +67,28 @@
 // knows of.
 func TestTheSafeSide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawDocument(t, "a").Over(base), drawDocument(t, "b").Over(base), drawDocument(t, "c").Over(base)
-		m := Meet(a, b)
-		if keys := append(Beyond(m, a), Beyond(m, b)...); len(keys) > 0 {
+		a, b, c := drawDocument(t, "a").ApplyTo(base), drawDocument(t, "b").ApplyTo(base), drawDocument(t, "c").ApplyTo(base)
+		m := MostRestrictive(a, b)
+		if keys := append(ExceededKeys(m, a), ExceededKeys(m, b)...); len(keys) > 0 {
 			t.Fatalf("the combination exceeds one of the two: %v", keys)
 		}
-		if diff := cmp.Diff(m, Meet(b, a)); diff != "" {
+		if diff := cmp.Diff(m, MostRestrictive(b, a)); diff != "" {
 			t.Fatal(diff)
 		}
-		if diff := cmp.Diff(Meet(m, c), Meet(a, Meet(b, c))); diff != "" {
+		if diff := cmp.Diff(MostRestrictive(m, c), MostRestrictive(a, MostRestrictive(b, c))); diff != "" {
 			t.Fatal(diff)
 		}
-		if diff := cmp.Diff(a, Meet(a, a)); diff != "" {
+		if diff := cmp.Diff(a, MostRestrictive(a, a)); diff != "" {
 			t.Fatal(diff)
 		}
-		for _, key := range Beyond(Safe(base, a), b) {
+		for _, key := range ExceededKeys(FallbackRules(base, a), b) {
 			node, isNode := strings.CutPrefix(key, "nodes.")
 			_, named := a.Barred[node]
 			if zone, ok := strings.CutPrefix(key, "zones_left."); !(isNode && !named || ok && !a.Left[zone]) {
 				t.Fatalf("a mixer without a lease that knows a exceeds b in %s", key)
 			}
 		}
-		if len(Contradict(a, b)) == 0 && len(Beyond(a, b)) > 0 {
+		if len(ConflictingKeys(a, b)) == 0 && len(ExceededKeys(a, b)) > 0 {
 			t.Fatal("one exceeds the other, yet they don't conflict")
 		}
 	})
@@ -112,14 +112,14 @@
 		if err != nil || err2 != nil {
 			t.Fatal(err, err2)
 		}
-		if got := Contradict(a, b); !slices.Equal(got, c.want) {
+		if got := ConflictingKeys(a, b); !slices.Equal(got, c.want) {
 			t.Errorf("%s and %s: %v, want %v", c.a, c.b, got, c.want)
 		}
 	}
 }
 
 func propose(from uint64, mark, text string, tries ...string) Command {
-	return Command{Kind: Propose, Version: Version{From: from, Mark: mark, Text: text, Tries: tries}}
+	return Command{Kind: Propose, Version: Version{BaseNumber: from, Mark: mark, Text: text, Canaries: tries}}
 }
 
 func must(t *testing.T, s State, c Command) State {
@@ -136,16 +136,16 @@
 	if _, _, err := s.Apply(propose(0, "m2", `{}`)); err == nil {
 		t.Error("two versions are being rolled out")
 	}
-	if again, n, err := s.Apply(propose(0, "m1", `{}`)); err != nil || n != 1 || again.Stage != s.Stage {
+	if again, n, err := s.Apply(propose(0, "m1", `{}`)); err != nil || n != 1 || again.Revision != s.Revision {
 		t.Errorf("a repeated proposal: %d, %v", n, err)
 	}
-	if _, _, err := s.Apply(Command{Kind: Forward, Stage: s.Stage - 1}); err == nil {
+	if _, _, err := s.Apply(Command{Kind: Advance, Revision: s.Revision - 1}); err == nil {
 		t.Error("a command for an old revision took effect")
 	}
 	for range 3 {
-		s = must(t, s, Command{Kind: Forward, Stage: s.Stage})
+		s = must(t, s, Command{Kind: Advance, Revision: s.Revision})
 	}
-	if s.Phase != Steady || s.Old.Number != 1 {
+	if s.Phase != PhaseSteady || s.Old.Number != 1 {
 		t.Fatalf("%+v", s)
 	}
 	if _, _, err := s.Apply(propose(0, "m3", `{}`)); err == nil || !strings.Contains(err.Error(), "the latest is 1") {
@@ -153,19 +153,19 @@
 	}
 	s = must(t, s, propose(1, "m4", `{"attempts":2}`, "x"))
 	s = must(t, s, Command{Kind: Withdraw, Number: 2})
-	if s.Phase != Steady || s.Old.Number != 1 || s.Latest != 2 {
+	if s.Phase != PhaseSteady || s.Old.Number != 1 || s.Latest != 2 {
 		t.Fatalf("withdrawn before it came into force: %+v", s)
 	}
 	s = must(t, s, propose(2, "m5", `{"attempts":2}`, "x"))
-	s = must(t, must(t, s, Command{Kind: Forward, Stage: s.Stage}), Command{Kind: Forward, Stage: s.Stage + 1})
-	if s.Phase != Rise || s.InForce().Number != 3 {
+	s = must(t, must(t, s, Command{Kind: Advance, Revision: s.Revision}), Command{Kind: Advance, Revision: s.Revision + 1})
+	if s.Phase != PhaseRollout || s.InForce().Number != 3 {
 		t.Fatalf("%+v", s)
 	}
-	s = must(t, s, Command{Kind: Withdraw, Stage: s.Stage, Why: "x died"})
-	if s.Phase != Fall || s.InForce().Number != 3 {
+	s = must(t, s, Command{Kind: Withdraw, Revision: s.Revision, Why: "x died"})
+	if s.Phase != PhaseRollback || s.InForce().Number != 3 {
 		t.Fatalf("withdrawn while in force: %+v", s)
 	}
-	s = must(t, s, Command{Kind: Forward, Stage: s.Stage})
+	s = must(t, s, Command{Kind: Advance, Revision: s.Revision})
 	if v, ok := s.Find(3); s.Old.Number != 1 || !ok || v.Outcome != "withdrawn: x died" {
 		t.Fatalf("%+v", s)
 	}
@@ -182,8 +182,8 @@
 // do not know of each other. The one that is executed first decides for all of them.
 func TestRefusedForGood(t *testing.T) {
 	settle := func(s State) State {
-		for s.Phase != Steady {
-			s = must(t, s, Command{Kind: Forward, Stage: s.Stage})
+		for s.Phase != PhaseSteady {
+			s = must(t, s, Command{Kind: Advance, Revision: s.Revision})
 		}
 		return s
 	}
@@ -193,7 +193,7 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Fatalf("%+v: %v, want %q", c, err, want)
 		}
-		if next.Stage != s.Stage || next.Latest != s.Latest {
+		if next.Revision != s.Revision || next.Latest != s.Latest {
 			t.Fatalf("a refusal changed the state: %+v", next)
 		}
 		return next
@@ -203,27 +203,27 @@
 	s = settle(s)
 	s = refused(s, propose(1, "b", `{}`), "on its way")
 
-	check := Command{Kind: Refuse, Version: Version{From: 1, Mark: "c"}, Why: "n2: attempts: 9 is too many"}
+	check := Command{Kind: Refuse, Version: Version{BaseNumber: 1, Mark: "c"}, Why: "n2: attempts: 9 is too many"}
 	s = refused(s, check, "attempts")
 	s = refused(s, propose(1, "c", `{}`), "attempts")
-	if again, n, err := s.Apply(Command{Kind: Refuse, Version: Version{From: 0, Mark: "a"}, Why: "x"}); err != nil || n != 1 || again.Latest != 1 {
+	if again, n, err := s.Apply(Command{Kind: Refuse, Version: Version{BaseNumber: 0, Mark: "a"}, Why: "x"}); err != nil || n != 1 || again.Latest != 1 {
 		t.Errorf("refused after it was accepted: %d, %v", n, err)
 	}
 	s = refused(s, propose(2, "d", `{}`), "the latest is 1")
 	s = settle(must(t, s, propose(1, "e", `{}`)))
 	s = refused(s, propose(2, "d", `{}`), "the latest is 1")
 	s = refused(s, propose(1, "b", `{}`), "the latest is 2")
-	if len(s.Refused) != 1 {
-		t.Errorf("%d refusals kept, want 1: only one could still be retried", len(s.Refused))
+	if len(s.Refusals) != 1 {
+		t.Errorf("%d refusals kept, want 1: only one could still be retried", len(s.Refusals))
 	}
 	s = refused(s, propose(2, strings.Repeat("m", mostMark+1), `{}`), "mark")
 	s = refused(s, propose(2, "", `{}`), "mark")
 
 	s = must(t, s, propose(2, "f", `{}`))
-	for i := len(s.Refused); i < mostRefused; i++ {
+	for i := len(s.Refusals); i < mostRefused; i++ {
 		s = refused(s, propose(3, "r"+strconv.Itoa(i), `{}`), "on its way")
 	}
-	if _, _, err := s.Apply(propose(3, "one more", `{}`)); err != ErrOpen {
+	if _, _, err := s.Apply(propose(3, "one more", `{}`)); err != ErrTooManyRefusals {
 		t.Errorf("one more refusal than can be kept: %v", err)
 	}
 	must(t, settle(s), propose(3, "one more", `{}`))
@@ -235,14 +235,14 @@
 		names = append(names, fmt.Sprintf("n%02d", i))
 	}
 	spared := func(n string) bool { return n < "n25" }
-	first := Tenth("m", names, spared)
-	if len(first) != 4 || slices.ContainsFunc(first, spared) || !slices.Equal(first, Tenth("m", names, spared)) {
+	first := PickCanaries("m", names, spared)
+	if len(first) != 4 || slices.ContainsFunc(first, spared) || !slices.Equal(first, PickCanaries("m", names, spared)) {
 		t.Errorf("%v", first)
 	}
-	if slices.Equal(first, Tenth("m2", names, spared)) {
+	if slices.Equal(first, PickCanaries("m2", names, spared)) {
 		t.Error("two versions have the same canaries")
 	}
-	if len(Tenth("m", names[:1], spared)) != 1 || len(Tenth("m", nil, spared)) != 0 {
+	if len(PickCanaries("m", names[:1], spared)) != 1 || len(PickCanaries("m", nil, spared)) != 0 {
 		t.Error("wrong number of canaries in a fleet of one or none")
 	}
 }
@@ -255,7 +255,7 @@
 // TestZonePlansFollowEachOther: each plan has to follow the present one, and replacing it
 // does not affect the rollout of a version.
 func TestPlansFollowEachOther(t *testing.T) {
-	s := State{Phase: Trial, New: Version{Number: 3}, Latest: 3, Stage: 9}
+	s := State{Phase: PhaseTrial, New: Version{Number: 3}, Latest: 3, Revision: 9}
 	for _, c := range []struct {
 		seq  uint64
 		plan string
@@ -263,14 +263,14 @@
 		then string
 	}{
 		{2, "x", true, ""}, {1, "one", false, "one"}, {1, "one", false, "one"}, {1, "other", true, "one"},
-		{3, "three", true, "one"}, {2, "two", false, "two"}, {1, "one", true, "two"}, {3, strings.Repeat("x", MostText+1), true, "two"},
+		{3, "three", true, "one"}, {2, "two", false, "two"}, {1, "one", true, "two"}, {3, strings.Repeat("x", MaxDocumentBytes+1), true, "two"},
 	} {
-		next, _, err := s.Apply(Command{Kind: Replan, Seq: c.seq, Plan: c.plan, Why: "a test"})
+		next, _, err := s.Apply(Command{Kind: SetZonePlan, Seq: c.seq, Plan: c.plan, Why: "a test"})
 		if (err != nil) != c.err || next.Plan != c.then {
 			t.Errorf("plan %d %.9q: %v, then %.9q", c.seq, c.plan, err, next.Plan)
 		}
-		if another := next.PlanSeq != s.PlanSeq; (next.Stage != s.Stage) != another || next.Phase != Trial || next.New.Number != 3 {
-			t.Errorf("plan %d: stage %d after %d, %v", c.seq, next.Stage, s.Stage, next.Phase)
+		if another := next.PlanSeq != s.PlanSeq; (next.Revision != s.Revision) != another || next.Phase != PhaseTrial || next.New.Number != 3 {
+			t.Errorf("plan %d: stage %d after %d, %v", c.seq, next.Revision, s.Revision, next.Phase)
 		}
 		s = next
 	}
--- a/internal/fleet/version/state.go
+++ b/internal/fleet/version/state.go
@@ -16,11 +16,11 @@
 // The phases of a rollout. In every phase each mixer's rules stay within those of the
 // version in force and, from PhaseSettle on, also within those of the other version.
 const (
-	Steady Phase = iota // all mixers use the version in force
-	Trial               // the canaries (a tenth) use the most restrictive of both; all others use the old version, which is in force
-	Settle              // all mixers move to the most restrictive of both; the old version is in force until all have
-	Rise                // the new version is in force: the canaries use it, all others the most restrictive of both
-	Fall                // the new version is withdrawn while in force: lasts until all mixers use the most restrictive of both
+	PhaseSteady   Phase = iota // all mixers use the version in force
+	PhaseTrial                 // the canaries (a tenth) use the most restrictive of both; all others use the old version, which is in force
+	PhaseSettle                // all mixers move to the most restrictive of both; the old version is in force until all have
+	PhaseRollout               // the new version is in force: the canaries use it, all others the most restrictive of both
+	PhaseRollback              // the new version is withdrawn while in force: lasts until all mixers use the most restrictive of both
 )
 
 // phaseNames are the external names of the phases, in logs and answers to operators.
@@ -30,14 +30,14 @@
 
 // Version is one revision of the fleet's settings document.
 type Version struct {
-	Number  uint64   `json:"number"`
-	From    uint64   `json:"from"` // number of the version that it was derived from
-	Mark    string   `json:"mark"` // drawn by the author; identifies repeats of one proposal
-	Text    string   `json:"text"` // the document, as JSON
-	Why     string   `json:"why,omitempty"`
-	By      string   `json:"by,omitempty"`
-	Tries   []string `json:"tries,omitempty"` // names of the mixers that try it first
-	Outcome string   `json:"outcome,omitempty"`
+	Number     uint64   `json:"number"`
+	BaseNumber uint64   `json:"from"` // number of the version that it was derived from
+	Mark       string   `json:"mark"` // idempotency key, drawn by the author
+	Text       string   `json:"text"` // the document, as JSON
+	Why        string   `json:"why,omitempty"`
+	Author     string   `json:"by,omitempty"`
+	Canaries   []string `json:"tries,omitempty"` // names of the mixers that try it first
+	Outcome    string   `json:"outcome,omitempty"`
 }
 
 const (
@@ -51,21 +51,21 @@
 
 // ErrTooManyRefusals is returned for a proposal that can be neither accepted nor refused
 // now, because the list of refusals is full. The same proposal may be accepted later.
-var ErrOpen = errors.New("too many proposals were refused since the latest version")
+var ErrTooManyRefusals = errors.New("too many proposals were refused since the latest version")
 
 // MaxDocumentBytes is the maximum length of a settings document and of a zone plan.
-const MostText = mostText
+const MaxDocumentBytes = mostText
 
 // State is the state machine that the voters replicate. Only Apply changes it.
 type State struct {
-	Stage   uint64    `json:"stage"` // counts the changes; "stage" outside the program
-	Phase   Phase     `json:"phase"`
-	Old     Version   `json:"old"`            // in PhaseSteady the version in force
-	New     Version   `json:"new"`            // in all other phases the version being rolled out
-	Latest  uint64    `json:"latest"`         // number of the latest version accepted
-	History []Version `json:"history"`        // oldest first; without Old and New
-	Last    string    `json:"last,omitempty"` // describes the latest change
-	// ZonePlan is the fleet's plan for zones, encoded by package zone, and ZonePlanSeq its
+	Revision   uint64    `json:"stage"` // counts the changes; "stage" outside the program
+	Phase      Phase     `json:"phase"`
+	Old        Version   `json:"old"`            // in PhaseSteady the version in force
+	New        Version   `json:"new"`            // in all other phases the version being rolled out
+	Latest     uint64    `json:"latest"`         // number of the latest version accepted
+	History    []Version `json:"history"`        // oldest first; without Old and New
+	LastChange string    `json:"last,omitempty"` // describes the latest change
+	// Plan is the fleet's plan for zones, encoded by package zone, and PlanSeq its
 	// number. Plans need no rollout, as they can't conflict: a mixer that is behind uses the
 	// previous plan until its lease expires.
 	Plan    string `json:"plan,omitempty"`
@@ -73,43 +73,43 @@
 	// Refusals are the refused proposals that were derived from the latest version or a later
 	// one. A late duplicate of such a proposal must not be accepted after its author was
 	// told of the refusal.
-	Refused []Refusal `json:"refused,omitempty"`
+	Refusals []Refusal `json:"refused,omitempty"`
 }
 
 // Refusal records a proposal that was not accepted.
 type Refusal struct {
-	Mark string `json:"mark"`
-	From uint64 `json:"from"`
-	Why  string `json:"why"`
+	Mark       string `json:"mark"`
+	BaseNumber uint64 `json:"from"`
+	Why        string `json:"why"`
 }
 
-// CommandKind is what a command does.
+// Kind is what a Command does.
 type Kind uint8
 
 // The kinds of commands.
 const (
-	Propose  Kind = iota + 1 // proposes a new version
-	Forward                  // moves to the next phase
-	Withdraw                 // withdraws the version that is being rolled out
-	Refuse                   // records that the voters' validation refused a proposal
-	Replan                   // replaces the zone plan
+	Propose     Kind = iota + 1 // proposes a new version
+	Advance                     // moves to the next phase
+	Withdraw                    // withdraws the version that is being rolled out
+	Refuse                      // records that the voters' validation refused a proposal
+	SetZonePlan                 // replaces the zone plan
 )
 
 // Command is one entry of the replicated log. Whether it takes effect depends on the State
 // alone, so that all replicas decide alike: it does if the State is the one it was made for.
 type Command struct {
-	Kind    Kind    `json:"kind"`
-	Version Version `json:"version,omitzero"` // CommandPropose, CommandRefuse
-	Stage   uint64  `json:"stage,omitempty"`  // CommandAdvance, CommandWithdraw: of the state that it was made for
-	Number  uint64  `json:"number,omitempty"` // CommandWithdraw by an operator: the version, at any revision; 0: by Revision
-	Why     string  `json:"why,omitempty"`
-	Plan    string  `json:"plan,omitempty"` // CommandSetZonePlan
-	Seq     uint64  `json:"seq,omitempty"`  // CommandSetZonePlan: the plan's number, one more than the present plan's
+	Kind     Kind    `json:"kind"`
+	Version  Version `json:"version,omitzero"` // Propose, Refuse
+	Revision uint64  `json:"stage,omitempty"`  // Advance, Withdraw: of the state that it was made for
+	Number   uint64  `json:"number,omitempty"` // Withdraw by an operator: the version, at any revision; 0: by Revision
+	Why      string  `json:"why,omitempty"`
+	Plan     string  `json:"plan,omitempty"` // SetZonePlan
+	Seq      uint64  `json:"seq,omitempty"`  // SetZonePlan: the plan's number, one more than the present plan's
 }
 
 // InForce returns the version whose limits no mixer may exceed.
 func (s State) InForce() Version {
-	if s.Phase == Rise || s.Phase == Fall {
+	if s.Phase == PhaseRollout || s.Phase == PhaseRollback {
 		return s.New
 	}
 	return s.Old
@@ -135,9 +135,9 @@
 		return s.propose(c.Version, "")
 	case Refuse:
 		return s.propose(c.Version, cmp.Or(c.Why, "refused"))
-	case Forward:
-		if c.Stage != s.Stage || s.Phase == Steady {
-			return s, 0, fmt.Errorf("made for stage %d, it is %d", c.Stage, s.Stage)
+	case Advance:
+		if c.Revision != s.Revision || s.Phase == PhaseSteady {
+			return s, 0, fmt.Errorf("made for stage %d, it is %d", c.Revision, s.Revision)
 		}
 		return s.forward(), s.New.Number, nil
 	case Withdraw:
@@ -145,17 +145,17 @@
 			return s, c.Number, nil // a repeated command
 		}
 		switch {
-		case s.Phase == Steady || s.Phase == Fall:
+		case s.Phase == PhaseSteady || s.Phase == PhaseRollback:
 			return s, 0, fmt.Errorf("nothing is on its way")
 		case c.Number != 0 && c.Number != s.New.Number:
 			return s, 0, fmt.Errorf("version %d is on its way, not %d", s.New.Number, c.Number)
-		case c.Number == 0 && c.Stage != s.Stage:
-			return s, 0, fmt.Errorf("made for stage %d, it is %d", c.Stage, s.Stage)
+		case c.Number == 0 && c.Revision != s.Revision:
+			return s, 0, fmt.Errorf("made for stage %d, it is %d", c.Revision, s.Revision)
 		}
 		number := s.New.Number
 		return s.withdraw(c.Why), number, nil
 	}
-	if c.Kind == Replan {
+	if c.Kind == SetZonePlan {
 		return s.replan(c)
 	}
 	return s, 0, fmt.Errorf("a command of kind %d", c.Kind)
@@ -173,31 +173,31 @@
 			return s, old.Number, nil // a retry: its author has not received the answer
 		}
 	}
-	if i := slices.IndexFunc(s.Refused, func(r Refusal) bool { return r.Mark == v.Mark }); i >= 0 {
-		return s, 0, errors.New(s.Refused[i].Why)
+	if i := slices.IndexFunc(s.Refusals, func(r Refusal) bool { return r.Mark == v.Mark }); i >= 0 {
+		return s, 0, errors.New(s.Refusals[i].Why)
 	}
 	switch {
-	case v.From < s.Latest: // permanent without being recorded, as numbers only grow
-		return s, 0, fmt.Errorf("made from version %d, the latest is %d", v.From, s.Latest)
+	case v.BaseNumber < s.Latest: // permanent without being recorded, as numbers only grow
+		return s, 0, fmt.Errorf("made from version %d, the latest is %d", v.BaseNumber, s.Latest)
 	case len(v.Text) > mostText:
 		return s, 0, fmt.Errorf("a document of %d bytes", len(v.Text))
 	case why != "":
-	case v.From > s.Latest:
-		why = fmt.Sprintf("made from version %d, the latest is %d", v.From, s.Latest)
-	case s.Phase != Steady:
+	case v.BaseNumber > s.Latest:
+		why = fmt.Sprintf("made from version %d, the latest is %d", v.BaseNumber, s.Latest)
+	case s.Phase != PhaseSteady:
 		why = fmt.Sprintf("version %d is on its way (%v)", s.New.Number, s.Phase)
 	}
 	if why != "" {
-		if len(s.Refused) >= mostRefused {
-			return s, 0, ErrOpen
+		if len(s.Refusals) >= mostRefused {
+			return s, 0, ErrTooManyRefusals
 		}
-		s.Refused = append(slices.Clone(s.Refused), Refusal{v.Mark, v.From, why[:min(len(why), mostWhy)]})
+		s.Refusals = append(slices.Clone(s.Refusals), Refusal{v.Mark, v.BaseNumber, why[:min(len(why), mostWhy)]})
 		return s, 0, errors.New(why)
 	}
 	s.Latest++
 	v.Number, v.Outcome = s.Latest, ""
-	s.New, s.Phase = v, Trial
-	s.Refused = slices.DeleteFunc(slices.Clone(s.Refused), func(r Refusal) bool { return r.From < s.Latest }) // refused from now on by their version number
+	s.New, s.Phase = v, PhaseTrial
+	s.Refusals = slices.DeleteFunc(slices.Clone(s.Refusals), func(r Refusal) bool { return r.BaseNumber < s.Latest }) // refused from now on by their version number
 	return s.changed(fmt.Sprintf("version %d is proposed", v.Number)), v.Number, nil
 }
 
@@ -219,32 +219,32 @@
 
 func (s State) forward() State {
 	switch s.Phase {
-	case Trial:
-		s.Phase = Settle
+	case PhaseTrial:
+		s.Phase = PhaseSettle
 		return s.changed(fmt.Sprintf("version %d was tried", s.New.Number))
-	case Settle:
-		s.Phase = Rise
+	case PhaseSettle:
+		s.Phase = PhaseRollout
 		return s.changed(fmt.Sprintf("version %d is in force", s.New.Number))
-	case Rise:
+	case PhaseRollout:
 		s.Old.Outcome = cmp.Or(s.Old.Outcome, "replaced")
 		s = s.remember(s.Old)
-		s.Old, s.New, s.Phase = s.New, Version{}, Steady
+		s.Old, s.New, s.Phase = s.New, Version{}, PhaseSteady
 		return s.changed(fmt.Sprintf("all act on version %d", s.Old.Number))
 	}
 	s = s.remember(s.New) // PhaseRollback
-	s.New, s.Phase = Version{}, Steady
+	s.New, s.Phase = Version{}, PhaseSteady
 	return s.changed(fmt.Sprintf("back on version %d", s.Old.Number))
 }
 
 func (s State) withdraw(why string) State {
 	s.New.Outcome = withdrawn + cmp.Or(why, "an operator's word")
 	what := fmt.Sprintf("version %d is %s", s.New.Number, s.New.Outcome)
-	if s.Phase == Rise { // the canaries exceed the old version: first all move to the most restrictive of both
-		s.Phase = Fall
+	if s.Phase == PhaseRollout { // the canaries exceed the old version: first all move to the most restrictive of both
+		s.Phase = PhaseRollback
 		return s.changed(what)
 	}
 	s = s.remember(s.New)
-	s.New, s.Phase = Version{}, Steady
+	s.New, s.Phase = Version{}, PhaseSteady
 	return s.changed(what)
 }
 
@@ -258,39 +258,39 @@
 }
 
 func (s State) changed(what string) State {
-	s.Stage++
-	s.Last = what
+	s.Revision++
+	s.LastChange = what
 	return s
 }
 
 // RulesFor returns the rules that the mixer called name follows while its lease is valid.
 // It returns an error if a document that it needs can't be parsed.
-func (s State) Acts(name string, read func(text string) (Rules, error)) (Rules, error) {
+func (s State) RulesFor(name string, read func(text string) (Rules, error)) (Rules, error) {
 	old, err := read(s.Old.Text)
 	if err != nil {
 		return old, fmt.Errorf("version %d: %w", s.Old.Number, err)
 	}
-	if s.Phase == Steady {
+	if s.Phase == PhaseSteady {
 		return old, nil
 	}
 	next, err := read(s.New.Text)
 	if err != nil {
 		return old, fmt.Errorf("version %d: %w", s.New.Number, err)
 	}
-	first := slices.Contains(s.New.Tries, name)
+	first := slices.Contains(s.New.Canaries, name)
 	switch {
-	case s.Phase == Trial && !first:
+	case s.Phase == PhaseTrial && !first:
 		return old, nil
-	case s.Phase == Rise && first:
+	case s.Phase == PhaseRollout && first:
 		return next, nil
 	}
-	return Meet(old, next), nil
+	return MostRestrictive(old, next), nil
 }
 
 // PickCanaries picks the mixers that try a version first: a tenth of the names, rounded
 // up, by a hash of the idempotency key, so that each version has others. Names that spared
 // reports are picked only if there are not enough others.
-func Tenth(mark string, names []string, spared func(name string) bool) []string {
+func PickCanaries(mark string, names []string, spared func(name string) bool) []string {
 	rank := func(name string) uint64 {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(mark + "\x00" + name)) // never fails
