--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -62,11 +62,11 @@
 	w.Core = broker.New(set, decide.New(set.Module, 1), func() time.Duration { return w.now }, w)
 	w.Use(w, w)
 	w.Post(func() {
-		var list []broker.Member
+		var list []broker.ListedNode
 		for i := range nodeCount {
-			list = append(list, broker.Member{Server: decide.Server{ID: fmt.Sprintf("s-%02d", i), Zone: i % 3, Cell: i}, Addr: "x"})
+			list = append(list, broker.ListedNode{Server: decide.Server{ID: fmt.Sprintf("s-%02d", i), Zone: i % 3, Cell: i}, Addr: "x"})
 		}
-		w.Listed(broker.List{Full: true, Version: 1, Members: list})
+		w.UpdateNodeList(broker.List{Full: true, Version: 1, Members: list})
 	})
 	w.Turn()
 	return w, set
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -89,7 +89,8 @@
 	Probe(n Node, done func(decide.Outcome))
 }
 
-// Directory follows the list of nodes and reports it by Core.Listed and Core.ListLost.
+// Directory follows the list of nodes and reports it by Core.UpdateNodeList and
+// Core.ListLost.
 type Directory interface {
 	// Watch starts or stops the subscription to changes of the list.
 	Watch(on bool)
@@ -97,8 +98,8 @@
 	Read()
 }
 
-// Member is one entry of the list of nodes.
-type Member struct {
+// ListedNode is one entry of the list of nodes.
+type ListedNode struct {
 	decide.Server
 	Addr string
 	Told time.Duration // when the notice came that it drains or is gone; 0: with this list
@@ -109,7 +110,7 @@
 	Full    bool // it names every node, not only those that changed
 	Version int64
 	Told    time.Duration // when its content counts as received; 0: now
-	Members []Member
+	Members []ListedNode
 }
 
 // Stepper is the decision module.
@@ -170,7 +171,7 @@
 	queries  map[string]*query // by the module's id
 	wireIDs  map[string]*query
 	parts    map[string]*part // parts of open queries, and parts that still have an attempt out
-	members  map[string]Member
+	members  map[string]ListedNode
 	told     map[string]time.Duration // by node id: when the notice came that it drains or is gone
 	limits   Limits
 	barred   map[string]bool // nodes to which nothing is sent, whatever the list says
@@ -273,7 +274,7 @@
 // New returns a Core. Use has to be called before Run.
 func New(set settings.Settings, mod Stepper, clock func() time.Duration, log Log) *Core {
 	return &Core{limits: Limits{MaxOpen: set.Module.MaxOpen, MaxAttempts: set.Module.MaxAttempts}, set: set, mod: mod, clock: clock, log: log, mail: newMailbox(), watch: storm.New(),
-		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, members: map[string]Member{},
+		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, members: map[string]ListedNode{},
 		told: map[string]time.Duration{}}
 }
 
@@ -296,8 +297,8 @@
 	return Node{ID: id, Addr: m.Addr}, ok
 }
 
-// Member returns a node's entry in the list, or the zero Member if it is not listed.
-func (c *Core) Member(id string) Member { return c.members[id] }
+// ListedNode returns a node's entry in the list, or the zero ListedNode if it is not listed.
+func (c *Core) ListedNode(id string) ListedNode { return c.members[id] }
 
 // Record sets the recorder of traces.
 func (c *Core) Record(r *tracing.Recorder) { c.traces = r }
@@ -665,8 +666,8 @@
 
 // ---- the list of nodes ----
 
-// Listed applies an update of the list of nodes and reports it to the module.
-func (c *Core) Listed(l List) {
+// UpdateNodeList applies an update of the list of nodes and reports it to the module.
+func (c *Core) UpdateNodeList(l List) {
 	old, list := maps.Clone(c.members), l.Members
 	if l.Full {
 		clear(c.members)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -118,7 +118,7 @@
 	s.Core = New(set, &s.script, func() time.Duration { return s.now }, s)
 	s.Use(s, s)
 	s.Post(func() {
-		s.Listed(List{Full: true, Version: 1, Members: []Member{{Server: decide.Server{ID: "n0", Cell: 0}, Addr: "x"}, {Server: decide.Server{ID: "n1", Cell: 1}, Addr: "y"}}})
+		s.UpdateNodeList(List{Full: true, Version: 1, Members: []ListedNode{{Server: decide.Server{ID: "n0", Cell: 0}, Addr: "x"}, {Server: decide.Server{ID: "n1", Cell: 1}, Addr: "y"}}})
 	})
 	return s
 }
@@ -339,13 +339,13 @@
 	s.set.Module.DrainGrace = 500 * time.Millisecond // twice the drain margin
 	s.ask(t, 0)
 	s.at(tick)
-	leaving := Member{Server: decide.Server{ID: "n0", State: decide.Stopping}}
-	s.Post(func() { s.Listed(List{Version: 2, Members: []Member{leaving}}) })
+	leaving := ListedNode{Server: decide.Server{ID: "n0", State: decide.Stopping}}
+	s.Post(func() { s.UpdateNodeList(List{Version: 2, Members: []ListedNode{leaving}}) })
 	s.at(2 * tick)
 	if len(s.calls) != 1 || !s.MaySend(s.calls[0][0]) {
 		t.Fatalf("%d calls; within the window one may be sent", len(s.calls))
 	}
-	s.Post(func() { s.Listed(List{Version: 3, Members: []Member{leaving}}) }) // a second notice does not extend the grace
+	s.Post(func() { s.UpdateNodeList(List{Version: 3, Members: []ListedNode{leaving}}) }) // a second notice does not extend the grace
 	s.at(2*tick + s.set.Module.DrainGrace + time.Millisecond)
 	if s.MaySend(s.calls[0][0]) {
 		t.Error("an attempt may be written after the window")
@@ -356,16 +356,16 @@
 	}
 	back := leaving
 	back.State = decide.Running
-	s.Post(func() { s.Listed(List{Full: true, Version: 4, Members: []Member{back}}) })
+	s.Post(func() { s.UpdateNodeList(List{Full: true, Version: 4, Members: []ListedNode{back}}) })
 	s.at(10 * time.Second)
 	s.at(11 * time.Second)
 	_, back0 := s.told["n0"]
 	if _, gone1 := s.told["n1"]; back0 || !gone1 {
 		t.Errorf("told of %v; n0 is back, n1 is off the list", s.told)
 	}
-	s.Post(func() { s.Listed(List{Version: 5}) })
+	s.Post(func() { s.UpdateNodeList(List{Version: 5}) })
 	s.at(11*time.Second + forgetGone)
-	s.Post(func() { s.Listed(List{Version: 6}) })
+	s.Post(func() { s.UpdateNodeList(List{Version: 6}) })
 	s.at(20*time.Second + forgetGone)
 	if len(s.told) != 0 {
 		t.Errorf("still told of %v", s.told)
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -46,12 +46,12 @@
 
 // changed returns the nodes whose place in the barred set differs from was, except those
 // in but.
-func (c *Core) changed(was map[string]bool, but []Member) (list []decide.Server) {
+func (c *Core) changed(was map[string]bool, but []ListedNode) (list []decide.Server) {
 	if len(was) == 0 && len(c.barred) == 0 {
 		return nil // always so on the platform, where no node is barred
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.members)) {
-		if c.barred[id] != was[id] && !slices.ContainsFunc(but, func(m Member) bool { return m.ID == id }) {
+		if c.barred[id] != was[id] && !slices.ContainsFunc(but, func(m ListedNode) bool { return m.ID == id }) {
 			list = append(list, c.seen(c.members[id].Server))
 		}
 	}
@@ -83,7 +83,7 @@
 		return
 	}
 	count := max(c.set.Module.Cells, 1)
-	elsewhere := c.heldBy(func(m Member) bool { return !c.limits.Left[m.Zone] && !c.barred[m.ID] })
+	elsewhere := c.heldBy(func(m ListedNode) bool { return !c.limits.Left[m.Zone] && !c.barred[m.ID] })
 	for id, m := range c.members {
 		needed := false
 		for s := range count {
@@ -96,7 +96,7 @@
 }
 
 // heldBy returns, by shard, whether a running node for which counts returns true holds it.
-func (c *Core) heldBy(counts func(m Member) bool) []bool {
+func (c *Core) heldBy(counts func(m ListedNode) bool) []bool {
 	held := make([]bool, max(c.set.Module.Cells, 1))
 	for _, m := range c.members {
 		if m.State != decide.Running || !counts(m) {
@@ -112,8 +112,8 @@
 // Only returns, of the shards that the running nodes of a zone hold, the share that no
 // running node of another zone holds.
 func (c *Core) Only(zone int) float64 {
-	here := c.heldBy(func(m Member) bool { return m.Zone == zone })
-	elsewhere := c.heldBy(func(m Member) bool { return m.Zone != zone })
+	here := c.heldBy(func(m ListedNode) bool { return m.Zone == zone })
+	elsewhere := c.heldBy(func(m ListedNode) bool { return m.Zone != zone })
 	all, only := 0, 0
 	for s := range here {
 		if here[s] {
--- a/internal/broker/observe.go
+++ b/internal/broker/observe.go
@@ -10,14 +10,14 @@
 type Observer interface {
 	// Seen reports the outcome of an attempt or check, the time that it took, and the aim of
 	// the query's class. For a check, aim is the shortest of all classes.
-	Seen(m Member, o decide.Outcome, took, aim time.Duration)
+	Seen(m ListedNode, o decide.Outcome, took, aim time.Duration)
 }
 
 // Observe sets the observer of all attempts.
 func (c *Core) Observe(o Observer) { c.observer = o }
 
-// Members calls do for each listed node, in no particular order.
-func (c *Core) Members(do func(m Member)) {
+// EachNode calls do for each listed node, in no particular order.
+func (c *Core) EachNode(do func(m ListedNode)) {
 	for _, m := range c.members {
 		do(m)
 	}
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -169,7 +169,7 @@
 }
 
 // holds reports whether the cell of a node holds a shard.
-func (c *Core) holds(m Member, shard int) bool {
+func (c *Core) holds(m ListedNode, shard int) bool {
 	n := c.set.Module.Cells
 	return n <= 0 || ((m.Cell-shard)%n+n)%n < c.set.Module.Span
 }
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -50,7 +50,7 @@
 
 // traceAttempt records an attempt that is about to be sent: whether it is the part's first,
 // a copy of one that is still open, or a further one.
-func (c *Core) traceAttempt(a *Attempt, m Member, why decide.Choice) {
+func (c *Core) traceAttempt(a *Attempt, m ListedNode, why decide.Choice) {
 	reason := tracing.First
 	for _, other := range a.p.attempts {
 		if other == a || other.neverRan && other.over && other.trace < 0 {
--- a/internal/broker/windows_test.go
+++ b/internal/broker/windows_test.go
@@ -80,13 +80,13 @@
 				s.set.Module.DrainGrace = 500 * time.Millisecond
 				s.ask(t, 0)
 				s.at(tick)
-				l := List{Version: 2, Members: []Member{{Server: decide.Server{ID: "n0", State: decide.Stopping}}}}
+				l := List{Version: 2, Members: []ListedNode{{Server: decide.Server{ID: "n0", State: decide.Stopping}}}}
 				if left { // a full list without the node
 					l = List{Full: true, Version: 2}
 				}
 				s.Post(func() {
 					l.Told = s.Core.now - tt.ago
-					s.Listed(l)
+					s.UpdateNodeList(l)
 				})
 				s.at(2 * tick)
 				if got := s.MaySend(s.calls[0][0]); got != tt.may {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -78,7 +78,7 @@
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
-	Listed(l broker.List)
+	UpdateNodeList(l broker.List)
 	ListLost()
 }
 
@@ -157,13 +157,13 @@
 // Publish hands on a list that is not of our own watch.
 func (c *Client) Publish(l List) {
 	c.starts.take(c.core.Now(), l)
-	members := make([]broker.Member, 0, len(l.Members))
+	members := make([]broker.ListedNode, 0, len(l.Members))
 	for _, e := range l.Members {
-		m := broker.Member{Addr: e.HostPort, Server: decide.Server{ID: e.ID, Zone: c.zone(e.Locality), Cell: e.Cell,
+		m := broker.ListedNode{Addr: e.HostPort, Server: decide.Server{ID: e.ID, Zone: c.zone(e.Locality), Cell: e.Cell,
 			State: states[e.Phase], Hint: e.Size, Started: c.starts.at(e)}, Told: e.Told}
 		members = append(members, m)
 	}
-	c.core.Listed(broker.List{Full: l.Complete, Version: l.Revision, Told: l.Told, Members: members})
+	c.core.UpdateNodeList(broker.List{Full: l.Complete, Version: l.Revision, Told: l.Told, Members: members})
 }
 
 func (c *Client) zone(name string) int {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,15 +15,15 @@
 // core records what it is told.
 type core struct {
 	full bool
-	list []broker.Member
+	list []broker.ListedNode
 	lost int
 	told time.Duration
 }
 
-func (c *core) Now() time.Duration          { return time.Second }
-func (c *core) After(time.Duration, func()) {}
-func (c *core) ListLost()                   { c.lost++ }
-func (c *core) Listed(l broker.List)        { c.full, c.list, c.told = l.Full, l.Members, l.Told }
+func (c *core) Now() time.Duration           { return time.Second }
+func (c *core) After(time.Duration, func())  {}
+func (c *core) ListLost()                    { c.lost++ }
+func (c *core) UpdateNodeList(l broker.List) { c.full, c.list, c.told = l.Full, l.Members, l.Told }
 
 func TestListsInTheModulesTerms(t *testing.T) {
 	l, err := Parse([]byte(`{"revision":43,"complete":true,"members":[
@@ -35,7 +35,7 @@
 	// It is named for the first time, so that it counts as just started.
 	var c core
 	New(&c, nil, "", []string{"a", "b"}, zerolog.Nop()).FilterAndPublish(l)
-	want := []broker.Member{
+	want := []broker.ListedNode{
 		{Addr: "10.1.0.18:8000", Server: decide.Server{ID: "s-1", Zone: 1, Cell: 3, State: decide.Stopping, Hint: 1.5}},
 		{Addr: "10.1.0.19:8000", Server: decide.Server{ID: "s-2", Zone: 2, Cell: 4, Hint: 1, Started: time.Second}},
 	}
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -35,7 +35,7 @@
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
-	Listed(l broker.List)
+	UpdateNodeList(l broker.List)
 }
 
 // Fleet is what it needs of the talk among mixers.
@@ -119,7 +119,7 @@
 
 // following tells the module that it follows the list, though by others.
 func (r *Roll) following() {
-	r.core.After(0, func() { r.core.Listed(broker.List{Version: r.lists.Revision()}) })
+	r.core.After(0, func() { r.core.UpdateNodeList(broker.List{Version: r.lists.Revision()}) })
 }
 
 // Read implements broker.Directory.
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -111,7 +111,7 @@
 
 func (m *mixer) After(d time.Duration, fn func()) { m.after(d, fn) }
 
-func (m *mixer) Listed(broker.List) {}
+func (m *mixer) UpdateNodeList(broker.List) {}
 
 // ---- the talk among mixers ----
 
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -40,7 +40,7 @@
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
-	Members(do func(m broker.Member))
+	EachNode(do func(m broker.ListedNode))
 	Only(zone int) float64
 }
 
@@ -249,7 +249,7 @@
 func (s *Steer) told(p zone.Plan) map[string]zone.Nodes {
 	now := s.core.Now()
 	list, warm, starts := make([]zone.Nodes, len(s.c.Zones)), make([]float64, len(s.c.Zones)), make([]map[string]time.Duration, len(s.c.Zones))
-	s.core.Members(func(m broker.Member) {
+	s.core.EachNode(func(m broker.ListedNode) {
 		if m.Zone < 0 || m.Zone >= len(list) || m.State != decide.Running {
 			return
 		}
@@ -320,8 +320,8 @@
 }
 
 func (s *Steer) checkOne(in int) {
-	var list []broker.Member
-	s.core.Members(func(m broker.Member) {
+	var list []broker.ListedNode
+	s.core.EachNode(func(m broker.ListedNode) {
 		if m.Zone == in && m.State == decide.Running {
 			list = append(list, m)
 		}
@@ -329,7 +329,7 @@
 	if len(list) == 0 {
 		return
 	}
-	slices.SortFunc(list, func(a, b broker.Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b broker.ListedNode) int { return strings.Compare(a.ID, b.ID) })
 	m := list[s.rng.IntN(len(list))]
 	s.nodes.Probe(broker.Node{ID: m.ID, Addr: m.Addr}, func(decide.Outcome) {}) // the survey sees it
 }
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -38,7 +38,7 @@
 func newStage(manual bool) *stage {
 	x := &stage{now: time.Hour, leads: true, dark: map[int]bool{}}
 	for _, id := range []string{"a1", "a2", "a3", "b1", "b2", "b3"} {
-		m := broker.Member{}
+		m := broker.ListedNode{}
 		m.ID, m.State, m.Zone = id, decide.Running, int(id[0]-'a')
 		x.Nodes = append(x.Nodes, m)
 	}
@@ -83,7 +83,7 @@
 
 // Probe is the nodes.
 func (x *stage) Probe(n broker.Node, done func(decide.Outcome)) {
-	at := x.Member(n.ID).Zone
+	at := x.ListedNode(n.ID).Zone
 	x.checks[at]++
 	if x.dark[at] {
 		x.After(500*ms, func() { done(decide.TimedOut) })
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -35,8 +35,8 @@
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
-	Members(do func(m broker.Member))
-	Member(id string) broker.Member
+	EachNode(do func(m broker.ListedNode))
+	ListedNode(id string) broker.ListedNode
 	Lag() time.Duration
 }
 
@@ -106,7 +106,7 @@
 }
 
 // of is what was seen of a node's zone; nil: the node is not listed any more.
-func (s *Survey) of(m broker.Member) *seen {
+func (s *Survey) of(m broker.ListedNode) *seen {
 	if m.ID == "" || m.Zone < 0 || m.Zone >= len(s.seen) {
 		return nil
 	}
@@ -114,7 +114,7 @@
 }
 
 // Seen implements broker.Observer: an attempt has ended, or a check of a node.
-func (s *Survey) Seen(m broker.Member, o decide.Outcome, took, aim time.Duration) {
+func (s *Survey) Seen(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
 	x, late := s.of(m), took > time.Duration(timely*float64(aim))
 	if x == nil {
 		return
@@ -169,7 +169,7 @@
 // checked takes the end of a check. Of a zone that is in use, parts tell more than a check that
 // was answered, as a node that is slow at its work may do that at once; of others, checks are
 // all there is.
-func (s *Survey) checked(m broker.Member, o decide.Outcome, took, aim time.Duration) {
+func (s *Survey) checked(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
 	left, x := false, s.of(m)
 	if x == nil {
 		return
@@ -199,7 +199,7 @@
 func (c Checks) Probe(n broker.Node, done func(decide.Outcome)) {
 	begun := c.core.Now()
 	c.Nodes.Probe(n, func(o decide.Outcome) {
-		c.checked(c.core.Member(n.ID), o, c.core.Now()-begun, c.Aim)
+		c.checked(c.core.ListedNode(n.ID), o, c.core.Now()-begun, c.Aim)
 		done(o)
 	})
 }
@@ -209,7 +209,7 @@
 	s.core.After(pace, s.report)
 	now := s.core.Now()
 	turning := make([]uint16, len(s.zones))
-	s.core.Members(func(m broker.Member) {
+	s.core.EachNode(func(m broker.ListedNode) {
 		if m.Zone >= 0 && m.Zone < len(turning) && (m.State != decide.Running || m.Started > 0 && now < m.Started+s.cold) {
 			turning[m.Zone]++
 		}
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -37,7 +37,7 @@
 	for i, name := range []string{"n0", "n1"} {
 		h := &half{p: p, name: name, leader: "n0"}
 		for _, id := range []string{"a1", "a2", "b1", "b2"} {
-			m := broker.Member{}
+			m := broker.ListedNode{}
 			m.ID, m.State, m.Zone = id, decide.Running, int(id[0]-'a')
 			h.Nodes = append(h.Nodes, m)
 		}
@@ -61,7 +61,7 @@
 }
 
 // run has each mixer send each node a part every 50 ms, which ends as do says.
-func (p *pair) run(d time.Duration, do func(by string, m broker.Member) (decide.Outcome, time.Duration)) {
+func (p *pair) run(d time.Duration, do func(by string, m broker.ListedNode) (decide.Outcome, time.Duration)) {
 	end := p.now + d
 	for p.now < end {
 		p.events.Run(&p.now, 50*ms, nil)
@@ -74,7 +74,7 @@
 	}
 }
 
-func sound(string, broker.Member) (decide.Outcome, time.Duration) { return decide.OK, 20 * ms }
+func sound(string, broker.ListedNode) (decide.Outcome, time.Duration) { return decide.OK, 20 * ms }
 
 func (p *pair) verdicts(i int) map[string]string {
 	out := map[string]string{}
@@ -94,7 +94,7 @@
 	if p.both[0].s.reports < 8 || p.both[1].s.reports != 0 {
 		t.Errorf("%d and %d reports were taken", p.both[0].s.reports, p.both[1].s.reports)
 	}
-	dark := func(by string, m broker.Member) (decide.Outcome, time.Duration) {
+	dark := func(by string, m broker.ListedNode) (decide.Outcome, time.Duration) {
 		if m.Zone == 1 {
 			return decide.TimedOut, 400 * ms
 		}
@@ -109,7 +109,7 @@
 		t.Errorf("b is %s after it is well again", got)
 	}
 	// Only the one way is cut: the other still sees the zone well.
-	p.run(6*time.Second, func(by string, m broker.Member) (decide.Outcome, time.Duration) {
+	p.run(6*time.Second, func(by string, m broker.ListedNode) (decide.Outcome, time.Duration) {
 		if m.Zone == 1 && by == "n0" {
 			return decide.ConnectFailed, 250 * ms
 		}
@@ -142,7 +142,7 @@
 		{decide.Full, 1}, {decide.Reset, 1}, {decide.ConnectFailed, 1}, {decide.Moot, 0}} {
 		s.Seen(m, x.o, x.took, time.Second)
 	}
-	s.Seen(broker.Member{}, decide.OK, 1, time.Second) // not listed any more
+	s.Seen(broker.ListedNode{}, decide.OK, 1, time.Second) // not listed any more
 	e := s.seen[0].Evidence
 	e.Latency = nil
 	if diff := cmp.Diff(zone.Evidence{InTime: 1, Late: 1, Silent: 2, Failed: 2, Refused: 1, Unreached: 1}, e); diff != "" {
--- a/internal/standin/listed/listed.go
+++ b/internal/standin/listed/listed.go
@@ -4,21 +4,21 @@
 import "kiteloft/internal/broker"
 
 // Nodes are the nodes listed.
-type Nodes []broker.Member
+type Nodes []broker.ListedNode
 
-// Members goes over them.
-func (l Nodes) Members(do func(broker.Member)) {
+// EachNode goes over them.
+func (l Nodes) EachNode(do func(broker.ListedNode)) {
 	for _, m := range l {
 		do(m)
 	}
 }
 
-// Member is one of them; the zero Member: it is not listed.
-func (l Nodes) Member(id string) broker.Member {
+// ListedNode is one of them; the zero ListedNode: it is not listed.
+func (l Nodes) ListedNode(id string) broker.ListedNode {
 	for _, m := range l {
 		if m.ID == id {
 			return m
 		}
 	}
-	return broker.Member{}
+	return broker.ListedNode{}
 }
