--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,17 +20,17 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	hold           = 10 * time.Second        // how long a watch may wait for news, where mixers are many
-	holdLeast      = 4 * time.Second         // and where they are few: what a silent watch misses is found the sooner
-	holdSpread     = 100 * time.Millisecond  // of it for each mixer: discovery works through the calls of all in turn
-	patience       = 2500 * time.Millisecond // for an answer to a call that may not wait: it waits its turn, and what it misses counts as told after missedTime
-	waitPatience   = 1500 * time.Millisecond // beyond its wait, of one that may: what it misses counts as told 2 s after the wait, and asking anew takes time
-	connectTimeout = time.Second
-	maxList        = 8 << 20                 // bytes of a list that we take
-	movePatience   = 1500 * time.Millisecond // the same of a new address, within moveTime: there has to be time to ask again
-	movePace       = 200 * time.Millisecond  // between calls that fail to a new address, within it, or to an agent
-	lateTime       = 4 * time.Second         // for which the answer to a call that was made anew is still taken
-	path           = "/registry/instances"
+	maxHold           = 10 * time.Second        // how long a watch may wait for news, where mixers are many
+	minHold           = 4 * time.Second         // and where they are few: what a silent watch misses is found the sooner
+	holdPerMixer      = 100 * time.Millisecond  // of it for each mixer: discovery works through the calls of all in turn
+	answerTimeout     = 2500 * time.Millisecond // for an answer to a call that may not wait: it waits its turn, and what it misses counts as told after missedTime
+	heldAnswerTimeout = 1500 * time.Millisecond // beyond its wait, of one that may: what it misses counts as told 2 s after the wait, and asking anew takes time
+	connectTimeout    = time.Second
+	maxListBytes      = 8 << 20                 // bytes of a list that we take
+	newAddressTimeout = 1500 * time.Millisecond // the same of a new address, within moveTime: there has to be time to ask again
+	retryInterval     = 200 * time.Millisecond  // between calls that fail to a new address, within it, or to an agent
+	lateAnswerTimeout = 4 * time.Second         // for which the answer to a call that was made anew is still taken
+	instancesPath     = "/registry/instances"
 )
 
 // List is a list of nodes, in the form of discovery.
@@ -65,14 +65,14 @@
 		if e.ID == "" {
 			return l, fmt.Errorf("reading a list of nodes: a member without an id")
 		}
-		if _, ok := states[e.Phase]; !ok {
+		if _, ok := statesByPhase[e.Phase]; !ok {
 			return l, fmt.Errorf("reading a list of nodes: member %s: unknown phase %q", e.ID, e.Phase)
 		}
 	}
 	return l, nil
 }
 
-var states = map[string]decide.ServerState{"active": decide.Running, "leaving": decide.Stopping, "left": decide.Deleted}
+var statesByPhase = map[string]decide.ServerState{"active": decide.Running, "leaving": decide.Stopping, "left": decide.Deleted}
 
 // Core is what this package needs of the core.
 type Core interface {
@@ -84,13 +84,13 @@
 
 // Client asks discovery. It implements broker.Directory.
 type Client struct {
-	core   Core
-	net    transport.Dialer
-	addr   string
-	zones  map[string]int
-	starts starts
-	log    zerolog.Logger
-	Counts *counts.Set // nil: nothing is counted
+	core       Core
+	net        transport.Dialer
+	addr       string
+	zones      map[string]int
+	startTimes startTimes
+	log        zerolog.Logger
+	Counts     *counts.Set // nil: nothing is counted
 	// Filter is handed each list of our own watch and returns the one that is believed; nil:
 	// the list is.
 	Filter func(List) List
@@ -98,30 +98,30 @@
 	MixerCount int
 	// PushedToAgent says that lists are pushed to an agent beside us, which is watched from the
 	// start: the module does not ask for it.
-	PushedToAgent bool
-	told          record
-	revision      int64
-	watch         *call // nil: no watch is under way
-	lost          bool
-	silent        bool          // the watch before this one fell silent
-	moves         int           // changes of addr
-	eager         time.Duration // until when a failed watch is begun again at once
+	PushedToAgent    bool
+	notified         notificationTimes
+	revision         int64
+	watch            *call // nil: no watch is under way
+	unreachable      bool
+	watchTimedOut    bool          // the watch before this one fell silent
+	addressChanges   int           // changes of addr
+	retryAtOnceUntil time.Duration // until when a failed watch is begun again at once
 }
 
 // call is a connection with at most one request out.
 type call struct {
-	c       *Client
-	conn    *transport.Conn
-	parser  *http1.Parser
-	request string
-	watch   bool
-	over    bool
-	late    bool          // it was made anew for want of an answer, which may still come
-	whole   bool          // the watch begins with the whole list
-	move    int           // the client's moves when it began
-	seq     int           // of the request that is out
-	goesOn  bool          // the watch has had its first answer, which comes at once
-	came    time.Duration // when the first byte of the answer came; 0: none has
+	c             *Client
+	conn          *transport.Conn
+	parser        *http1.Parser
+	request       string
+	watch         bool
+	closed        bool
+	superseded    bool          // it was made anew for want of an answer, which may still come
+	fullList      bool          // the watch begins with the whole list
+	addressChange int           // the client's moves when it began
+	seq           int           // of the request that is out
+	subscribed    bool          // the watch has had its first answer, which comes at once
+	firstByteAt   time.Duration // when the first byte of the answer came; 0: none has
 }
 
 // New returns a Client.
@@ -136,10 +136,10 @@
 // Start hands the core the list that the mixer was started with: it may be out of date,
 // and what it lacks counts as told soon, whether or not a call succeeds.
 func (c *Client) Start(known List) {
-	c.told.current, c.told.pushed = c.core.Now(), c.PushedToAgent
+	c.notified.upToDateAt, c.notified.pushedToAgent = c.core.Now(), c.PushedToAgent
 	c.FilterAndPublish(known)
 	if c.PushedToAgent {
-		c.begin(false)
+		c.startWatch(false)
 	}
 }
 
@@ -156,17 +156,17 @@
 
 // Publish hands on a list that is not of our own watch.
 func (c *Client) Publish(l List) {
-	c.starts.take(c.core.Now(), l)
+	c.startTimes.addList(c.core.Now(), l)
 	members := make([]broker.ListedNode, 0, len(l.Members))
 	for _, e := range l.Members {
-		m := broker.ListedNode{Addr: e.HostPort, Server: decide.Server{ID: e.ID, Zone: c.zone(e.Locality), Cell: e.Cell,
-			State: states[e.Phase], Hint: e.Size, Started: c.starts.at(e)}, Told: e.Told}
+		m := broker.ListedNode{Addr: e.HostPort, Server: decide.Server{ID: e.ID, Zone: c.zoneIndex(e.Locality), Cell: e.Cell,
+			State: statesByPhase[e.Phase], Hint: e.Size, Started: c.startTimes.startedAt(e)}, Told: e.Told}
 		members = append(members, m)
 	}
 	c.core.UpdateNodeList(broker.List{Full: l.Complete, Version: l.Revision, Told: l.Told, Members: members})
 }
 
-func (c *Client) zone(name string) int {
+func (c *Client) zoneIndex(name string) int {
 	i, ok := c.zones[name]
 	if !ok {
 		i = len(c.zones) // a zone that the settings don't know
@@ -179,16 +179,16 @@
 func (c *Client) Watch(on bool) {
 	if old := c.watch; old != nil {
 		c.watch = nil
-		old.end()
+		old.drop()
 	}
 	if on {
-		c.begin(false)
+		c.startWatch(false)
 	}
 }
 
-func (c *Client) begin(whole bool) {
-	c.watch = &call{c: c, watch: true, whole: whole, move: c.moves}
-	c.watch.ask()
+func (c *Client) startWatch(fullList bool) {
+	c.watch = &call{c: c, watch: true, fullList: fullList, addressChange: c.addressChanges}
+	c.watch.send()
 }
 
 // ChangeAddress follows the list at another address from now on. What the old one told
@@ -199,50 +199,50 @@
 		return
 	}
 	if c.watch != nil {
-		c.watch.end()
+		c.watch.drop()
 	}
-	c.addr, c.eager = addr, c.core.Now()+moveTime
-	c.told.moved(c.core.Now())
-	c.moves++
-	c.begin(true)
+	c.addr, c.retryAtOnceUntil = addr, c.core.Now()+addressChangeDelay
+	c.notified.addressChanged(c.core.Now())
+	c.addressChanges++
+	c.startWatch(true)
 }
 
 // Read implements broker.Directory.
-func (c *Client) Read() { (&call{c: c, move: c.moves}).ask() }
-
-// ask sends the request, on a new connection if none is open.
-func (k *call) ask() {
-	target, wait := path, time.Duration(0)
-	if k.watch && !k.whole {
-		if k.goesOn {
-			wait = min(max(holdLeast, time.Duration(k.c.MixerCount)*holdSpread), hold)
+func (c *Client) Read() { (&call{c: c, addressChange: c.addressChanges}).send() }
+
+// send sends the request, on a new connection if none is open.
+func (k *call) send() {
+	target, wait := instancesPath, time.Duration(0)
+	if k.watch && !k.fullList {
+		if k.subscribed {
+			wait = min(max(minHold, time.Duration(k.c.MixerCount)*holdPerMixer), maxHold)
 			if k.c.PushedToAgent {
-				wait = holdLeast // nobody else asks the agent
+				wait = minHold // nobody else asks the agent
 			}
 		}
 		target += "?from=" + strconv.FormatInt(k.c.revision, 10) + "&hold_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	}
 	k.request = "GET " + target + " HTTP/1.1\r\nHost: " + k.c.addr + "\r\n\r\n"
-	k.seq, k.came = k.seq+1, 0
+	k.seq, k.firstByteAt = k.seq+1, 0
 	k.c.Counts.Add(counts.DirectoryCalls, 1)
-	seq, most := k.seq, patience
+	seq, most := k.seq, answerTimeout
 	switch {
-	case k.c.core.Now() < k.c.eager:
-		most = movePatience
+	case k.c.core.Now() < k.c.retryAtOnceUntil:
+		most = newAddressTimeout
 	case wait > 0:
-		most = waitPatience
+		most = heldAnswerTimeout
 	}
 	// Guards against a discovery that is cut off: it says nothing, ever.
 	k.c.core.After(wait+most, func() {
 		if k.seq == seq {
-			k.unanswered()
+			k.timedOut()
 		}
 	})
 	if k.conn != nil {
 		k.conn.Write([]byte(k.request))
 		return
 	}
-	k.parser = http1.NewResponseParser(maxList)
+	k.parser = http1.NewResponseParser(maxListBytes)
 	k.c.net.Dial(k.c.addr, connectTimeout, k, k.dialed)
 }
 
@@ -251,7 +251,7 @@
 		k.fail(e.String())
 		return
 	}
-	if k.over {
+	if k.closed {
 		conn.Close(transport.LocalDone)
 		return
 	}
@@ -259,77 +259,77 @@
 	conn.Write([]byte(k.request))
 }
 
-// end drops the call without a word.
-func (k *call) end() {
-	k.over = true
+// drop drops the call without a word.
+func (k *call) drop() {
+	k.closed = true
 	k.seq++
 	if k.conn != nil {
 		k.conn.Close(transport.LocalDone)
 	}
 }
 
-// unanswered has a watch that has fallen silent begun anew at once. Guards the told-times: what
+// timedOut has a watch that has fallen silent begun anew at once. Guards the told-times: what
 // it missed soon counts as told, and the module's own pauses are longer than what is left. Two in
 // a row are no broken watch; discovery itself says nothing.
-func (k *call) unanswered() {
+func (k *call) timedOut() {
 	c := k.c
-	if c.watch != k || c.silent || c.core.Now() < c.eager {
-		k.wait()
-		k.failed("no answer in time")
+	if c.watch != k || c.watchTimedOut || c.core.Now() < c.retryAtOnceUntil {
+		k.keepForLateAnswer()
+		k.handleFailure("no answer in time")
 		return
 	}
 	c.log.Info().Str("discovery", c.addr).Msg("a watch fell silent and is begun anew")
 	c.Counts.Add(counts.DirectoryFailed, 1)
-	c.told.silent()
-	c.silent = true
-	k.wait()
-	c.begin(k.whole)
+	c.notified.watchTimedOut()
+	c.watchTimedOut = true
+	k.keepForLateAnswer()
+	c.startWatch(k.fullList)
 }
 
-// wait leaves a call open for an answer that comes late, beside the one that takes its place.
+// keepForLateAnswer leaves a call open for an answer that comes late, beside the one that takes its place.
 // Guards against a discovery that is slow for long: no call would ever be heard.
-func (k *call) wait() {
-	k.late = true
+func (k *call) keepForLateAnswer() {
+	k.superseded = true
 	k.seq++
-	k.c.core.After(lateTime, func() {
-		if !k.over {
-			k.end()
+	k.c.core.After(lateAnswerTimeout, func() {
+		if !k.closed {
+			k.drop()
 		}
 	})
 }
 
 func (k *call) fail(why string) {
-	if k.over {
+	if k.closed {
 		return
 	}
-	late := k.late
-	k.end()
-	if !late {
-		k.failed(why)
+	superseded := k.superseded
+	k.drop()
+	if !superseded {
+		k.handleFailure(why)
 	}
 }
 
-// failed tells of a call without an answer, and has another made.
-func (k *call) failed(why string) {
+// handleFailure tells of a call without an answer, and has another made.
+func (k *call) handleFailure(why string) {
 	k.c.Counts.Add(counts.DirectoryFailed, 1)
-	k.c.told.failed()
+	k.c.notified.handleFailure()
 	if k.c.watch == k {
 		k.c.watch = nil
 	}
-	if !k.c.lost {
-		k.c.lost = true
+	if !k.c.unreachable {
+		k.c.unreachable = true
 		k.c.log.Warn().Str("why", why).Str("discovery", k.c.addr).Msg("discovery does not answer")
 	}
 	switch {
-	case k.move != k.c.moves: // a single call that went to the old address
+	case k.addressChange != k.c.addressChanges: // a single call that went to the old address
 		k.c.Read()
-	case k.watch && (k.c.PushedToAgent || k.c.core.Now() < k.c.eager):
+	case k.watch && (k.c.PushedToAgent || k.c.core.Now() < k.c.retryAtOnceUntil):
 		// Guards the told-times after a move, and those of an agent: the module's own
 		// pauses are longer than what is allowed then.
-		whole := k.whole || k.c.core.Now() < k.c.eager
-		k.c.core.After(movePace, func() {
-			if k.c.watch == nil && k.move == k.c.moves {
-				k.c.begin(whole)
+		fullList := k.fullList || k.c.core.Now() < k.c.retryAtOnceUntil
+		k.c.core.After(retryInterval, func() {
+			if k.c.watch == nil && k.addressChange == k.c.addressChanges {
+				k.c.startWatch(fullList)
 			}
 		})
 	default:
@@ -339,26 +339,26 @@
 
 // Data implements transport.Handler.
 func (k *call) Data(b []byte) {
-	if k.came == 0 {
-		k.came = k.c.core.Now()
+	if k.firstByteAt == 0 {
+		k.firstByteAt = k.c.core.Now()
 	}
 	k.parser.Write(b)
-	k.next()
+	k.parseNext()
 }
 
-func (k *call) next() {
+func (k *call) parseNext() {
 	m, err := k.parser.Next()
 	switch {
 	case err != nil:
 		k.fail(err.Error())
 	case m != nil && m.Status >= 100 && m.Status < 200:
-		k.next()
+		k.parseNext()
 	case m != nil:
-		k.answered(m)
+		k.handleResponse(m)
 	}
 }
 
-func (k *call) answered(m *http1.Message) {
+func (k *call) handleResponse(m *http1.Message) {
 	k.c.Counts.Add(counts.ListBytes, int64(len(m.Body)))
 	if m.Status != 200 {
 		k.fail("status " + strconv.Itoa(m.Status))
@@ -369,60 +369,60 @@
 		k.fail(err.Error())
 		return
 	}
-	k.c.silent = false
-	if k.c.lost {
-		k.c.lost = false
+	k.c.watchTimedOut = false
+	if k.c.unreachable {
+		k.c.unreachable = false
 		k.c.log.Info().Msg("discovery answers again")
 	}
 	k.seq++
-	if k.late {
-		k.answeredLate(l)
+	if k.superseded {
+		k.handleLateList(l)
 		return
 	}
 	if !k.watch {
-		k.end()
-		if k.move != k.c.moves {
+		k.drop()
+		if k.addressChange != k.c.addressChanges {
 			k.c.Read() // guards against the old address's list in place of the new one's
 			return
 		}
-		l.Told = k.c.told.heard(k.c.core.Now(), k.came)
+		l.Told = k.c.notified.answerReceived(k.c.core.Now(), k.firstByteAt)
 		k.c.FilterAndPublish(l)
 		return
 	}
-	l.Told = k.c.told.heard(k.c.core.Now(), k.came)
-	if k.whole {
-		k.whole, k.c.revision = false, l.Revision
+	l.Told = k.c.notified.answerReceived(k.c.core.Now(), k.firstByteAt)
+	if k.fullList {
+		k.fullList, k.c.revision = false, l.Revision
 	}
 	if m.Close {
 		conn := k.conn
 		k.conn = nil
-		k.over = true
+		k.closed = true
 		conn.Close(transport.LocalDone)
-		k.c.watch = &call{c: k.c, watch: true, move: k.move}
+		k.c.watch = &call{c: k.c, watch: true, addressChange: k.addressChange}
 		k = k.c.watch
 	}
-	k.c.take(l, k)
+	k.c.continueWatch(l, k)
 }
 
-// answeredLate takes the answer to a call in whose place another was made, unless more was heard
+// handleLateList takes the answer to a call in whose place another was made, unless more was heard
 // since.
-func (k *call) answeredLate(l List) {
-	k.end()
-	if k.move == k.c.moves && l.Revision >= k.c.revision && (l.Complete || len(l.Members) > 0) {
-		l.Told = k.c.told.heard(k.c.core.Now(), k.came)
+func (k *call) handleLateList(l List) {
+	k.drop()
+	if k.addressChange == k.c.addressChanges && l.Revision >= k.c.revision && (l.Complete || len(l.Members) > 0) {
+		l.Told = k.c.notified.answerReceived(k.c.core.Now(), k.firstByteAt)
 		k.c.FilterAndPublish(l)
 	}
 }
 
-// take hands on a watch's news and goes on watching at once: a watch goes on
+// continueWatch hands on a watch's news and goes on watching at once: a watch goes on
 // only if the next call comes within 200 ms.
-func (c *Client) take(l List, k *call) {
-	if l.Complete || len(l.Members) > 0 || !k.goesOn {
+func (c *Client) continueWatch(l List, k *call) {
+	if l.Complete || len(l.Members) > 0 || !k.subscribed {
 		c.FilterAndPublish(l) // the first answer tells the module that it is subscribed, even without news
 	}
 	c.revision = max(c.revision, l.Revision)
-	k.goesOn = true
-	k.ask()
+	k.subscribed = true
+	k.send()
 }
 
 // HalfClosed implements transport.Handler; connections we dialed end at once.
@@ -430,16 +430,16 @@
 
 // Ended implements transport.Handler.
 func (k *call) Ended(e transport.End) {
-	if k.over {
+	if k.closed {
 		return
 	}
 	// An answer without a length ends with its connection, but a reset is no end: what
 	// has come by then may be the beginning of more.
 	if e == transport.PeerClosed {
 		k.parser.EOF()
-		k.next()
+		k.parseNext()
 	}
-	if !k.over {
+	if !k.closed {
 		k.fail(e.String())
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,20 +12,22 @@
 	"kiteloft/internal/transport"
 )
 
-// core records what it is told.
-type core struct {
+// coreRecorder records what it is told.
+type coreRecorder struct {
 	full bool
 	list []broker.ListedNode
 	lost int
 	told time.Duration
 }
 
-func (c *core) Now() time.Duration           { return time.Second }
-func (c *core) After(time.Duration, func())  {}
-func (c *core) ListLost()                    { c.lost++ }
-func (c *core) UpdateNodeList(l broker.List) { c.full, c.list, c.told = l.Full, l.Members, l.Told }
+func (c *coreRecorder) Now() time.Duration          { return time.Second }
+func (c *coreRecorder) After(time.Duration, func()) {}
+func (c *coreRecorder) ListLost()                   { c.lost++ }
+func (c *coreRecorder) UpdateNodeList(l broker.List) {
+	c.full, c.list, c.told = l.Full, l.Members, l.Told
+}
 
-func TestListsInTheModulesTerms(t *testing.T) {
+func TestListIsConvertedToBrokerMembers(t *testing.T) {
 	l, err := Parse([]byte(`{"revision":43,"complete":true,"members":[
 {"id":"s-1","host_port":"10.1.0.18:8000","locality":"b","flavor":"m2","cell":3,"phase":"leaving","size":1.5,"up_since_ms":0},
 {"id":"s-2","host_port":"10.1.0.19:8000","locality":"c","cell":4,"phase":"active","size":1,"up_since_ms":1000500}]}`))
@@ -33,7 +35,7 @@
 		t.Fatal(err)
 	}
 	// It is named for the first time, so that it counts as just started.
-	var c core
+	var c coreRecorder
 	New(&c, nil, "", []string{"a", "b"}, zerolog.Nop()).FilterAndPublish(l)
 	want := []broker.ListedNode{
 		{Addr: "10.1.0.18:8000", Server: decide.Server{ID: "s-1", Zone: 1, Cell: 3, State: decide.Stopping, Hint: 1.5}},
@@ -44,11 +46,11 @@
 	}
 }
 
-// turns is a core with a clock of its own and the timers that are set.
-type turns struct {
-	core
-	now time.Duration
-	due []timer
+// fakeCore is a core with a clock of its own and the timers that are set.
+type fakeCore struct {
+	coreRecorder
+	now    time.Duration
+	timers []timer
 }
 
 type timer struct {
@@ -56,15 +58,17 @@
 	do func()
 }
 
-func (c *turns) Now() time.Duration               { return c.now }
-func (c *turns) After(d time.Duration, do func()) { c.due = append(c.due, timer{c.now + d, do}) }
-func (c *turns) pass(d time.Duration) {
+func (c *fakeCore) Now() time.Duration { return c.now }
+func (c *fakeCore) After(d time.Duration, do func()) {
+	c.timers = append(c.timers, timer{c.now + d, do})
+}
+func (c *fakeCore) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; c.now += 10 * time.Millisecond {
-		list := c.due
-		c.due = nil
+		list := c.timers
+		c.timers = nil
 		for _, t := range list {
 			if t.at > c.now {
-				c.due = append(c.due, t)
+				c.timers = append(c.timers, t)
 			} else {
 				t.do()
 			}
@@ -72,42 +76,42 @@
 	}
 }
 
-// cutOff is a network on which nothing ever comes up; it counts the dials.
-type cutOff struct{ dials int }
+// silentNetwork is a network on which nothing ever comes up; it counts the dials.
+type silentNetwork struct{ dials int }
 
-func (n *cutOff) Dial(string, time.Duration, transport.Handler, func(*transport.Conn, transport.End)) {
+func (n *silentNetwork) Dial(string, time.Duration, transport.Handler, func(*transport.Conn, transport.End)) {
 	n.dials++
 }
 
-// TestSilentNewAddressIsAskedAgainInTime: what a new address has to tell counts as told
+// TestUnansweredNewAddressIsAskedAgainInTime: what a new address has to tell counts as told
 // after moveTime, so one that says nothing is not waited for as long as that.
-func TestSilentNewAddressIsAskedAgainInTime(t *testing.T) {
-	c, n := &turns{now: time.Second}, &cutOff{}
+func TestUnansweredNewAddressIsAskedAgainInTime(t *testing.T) {
+	c, n := &fakeCore{now: time.Second}, &silentNetwork{}
 	d := New(c, n, "old", nil, zerolog.Nop())
 	d.ChangeAddress("new")
-	c.pass(moveTime - 100*time.Millisecond)
+	c.advance(addressChangeDelay - 100*time.Millisecond)
 	if n.dials < 2 {
-		t.Errorf("a new address that says nothing was asked %d times within %v", n.dials, moveTime)
+		t.Errorf("a new address that says nothing was asked %d times within %v", n.dials, addressChangeDelay)
 	}
 }
 
-// TestSilentWatchIsBegunAnewAtOnce, once: what it missed counts as told before the module
+// TestTimedOutWatchIsRestartedOnce, once: what it missed counts as told before the module
 // would ask again. A second silence is left to the module.
-func TestSilentWatchIsBegunAnewAtOnce(t *testing.T) {
-	c, n := &turns{now: time.Second}, &cutOff{}
+func TestTimedOutWatchIsRestartedOnce(t *testing.T) {
+	c, n := &fakeCore{now: time.Second}, &silentNetwork{}
 	d := New(c, n, "one", nil, zerolog.Nop())
 	d.Watch(true)
-	c.pass(patience + 50*time.Millisecond)
+	c.advance(answerTimeout + 50*time.Millisecond)
 	if n.dials != 2 || c.lost != 0 {
 		t.Errorf("%d calls, %d times lost, when the first should have been answered", n.dials, c.lost)
 	}
-	c.pass(3 * patience)
+	c.advance(3 * answerTimeout)
 	if n.dials != 2 || c.lost != 1 {
 		t.Errorf("%d calls, %d times lost, after the second silence", n.dials, c.lost)
 	}
 }
 
-func TestWhatIsNoList(t *testing.T) {
+func TestParseRejectsMalformedLists(t *testing.T) {
 	for _, text := range []string{"", "[]", `{"members":[{"phase":"active"}]}`, `{"members":[{"id":"s-1","phase":"asleep"}]}`} {
 		if l, err := Parse([]byte(text)); err == nil {
 			t.Errorf("%q was taken as %+v", text, l)
--- /dev/null
+++ b/internal/discovery/notification_times_test.go
@@ -0,0 +1,118 @@
+package discovery
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"kiteloft/internal/transport"
+)
+
+// TestNotificationTimes: a mixer heard of all there was at 100 s; then come calls that
+// bring nothing, or a move, and at last an answer.
+func TestNotificationTimes(t *testing.T) {
+	const s = time.Second
+	tests := []struct {
+		name       string
+		do         func(r *notificationTimes)
+		first, now time.Duration
+		want       time.Duration
+	}{
+		{"a watch that tells", func(*notificationTimes) {}, 109 * s, 109 * s, 109 * s},
+		{"in pieces", func(*notificationTimes) {}, 109 * s, 109*s + 400*time.Millisecond, 109 * s},
+		{"a head long before the news", func(*notificationTimes) {}, 101 * s, 109 * s, 108 * s},
+		{"soon after a failed call", (*notificationTimes).handleFailure, 103 * s, 103 * s, 103 * s},
+		{"long after a failed call", (*notificationTimes).handleFailure, 109 * s, 109 * s, 106 * s},
+		{"after a silent watch", (*notificationTimes).watchTimedOut, 109 * s, 109 * s, 106 * s},
+		{"after a failed call to an agent", func(r *notificationTimes) { r.pushedToAgent = true; r.handleFailure() }, 101 * s, 101 * s, 100 * s},
+		{"after a silent watch of an agent", func(r *notificationTimes) { r.pushedToAgent = true; r.watchTimedOut() }, 109 * s, 109 * s, 106 * s},
+		{"after several", func(r *notificationTimes) { r.handleFailure(); r.handleFailure() }, 120 * s, 120 * s, 106 * s},
+		{"soon after a move", func(r *notificationTimes) { r.addressChanged(104 * s) }, 105 * s, 105 * s, 105 * s},
+		{"long after a move", func(r *notificationTimes) { r.addressChanged(104 * s) }, 110 * s, 110 * s, 108 * s},
+		{"after two moves", func(r *notificationTimes) { r.addressChanged(104 * s); r.addressChanged(106 * s) }, 112 * s, 112 * s, 108 * s},
+		{"after a move and a failed call", func(r *notificationTimes) { r.addressChanged(104 * s); r.handleFailure() }, 112 * s, 112 * s, 106 * s},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			r := notificationTimes{upToDateAt: 100 * s}
+			tt.do(&r)
+			if got := r.answerReceived(tt.now, tt.first); got != tt.want {
+				t.Errorf("it counts as told since %v, want %v", got, tt.want)
+			}
+			// Whatever was before, the next answer counts from when it comes.
+			if got := r.answerReceived(tt.now+20*s, tt.now+20*s); got != tt.now+20*s {
+				t.Errorf("the next one counts since %v, want %v", got, tt.now+20*s)
+			}
+		})
+	}
+}
+
+// peerNetwork is a network whose connections have a peer in the test.
+type peerNetwork struct {
+	t      *testing.T
+	peers  chan net.Conn
+	posted postQueue
+}
+
+func (w *peerNetwork) Dial(_ string, _ time.Duration, h transport.Handler, done func(*transport.Conn, transport.End)) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	go func() {
+		defer func() { _ = ln.Close() }()
+		if c, err := ln.Accept(); err == nil {
+			w.peers <- c
+		}
+	}()
+	n := transport.NewNet(w.posted, transport.Limits{Conns: 10, Backlog: 1 << 20}, nil)
+	n.Dial(ln.Addr().String(), time.Second, h, done)
+}
+
+// postQueue runs what is posted on the test's goroutine, when it asks.
+type postQueue chan func()
+
+func (o postQueue) Post(fn func()) { o <- fn }
+
+// runUntil runs what is posted runUntil the condition holds.
+func (o postQueue) runUntil(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for late := time.After(10 * time.Second); !ok(); {
+		select {
+		case fn := <-o:
+			fn()
+		case <-late:
+			t.Fatalf("waited in vain until %s", what)
+		}
+	}
+}
+
+// TestResetDoesNotEndAnAnswer: an answer without a length ends with its connection. One that is reset
+// may be the beginning of more, however whole it looks.
+func TestResetDoesNotEndAnAnswer(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		reset bool
+	}{{"a FIN", false}, {"a reset", true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			c, w := &fakeCore{now: time.Second}, &peerNetwork{t: t, peers: make(chan net.Conn, 2), posted: make(postQueue, 100)}
+			d := New(c, w, "one", nil, zerolog.Nop())
+			d.Watch(true)
+			peer := (<-w.peers).(*net.TCPConn)
+			w.posted.runUntil(t, "it is connected and asks", func() bool { return d.watch.conn != nil })
+			_, _ = peer.Read(make([]byte, 1000)) // lest its close is a reset
+			_, _ = peer.Write([]byte("HTTP/1.1 200 OK\r\n\r\n" + `{"revision":2,"complete":true,"members":[{"id":"s-1","phase":"active"}]}`))
+			w.posted.runUntil(t, "the bytes have come", func() bool { return d.watch.firstByteAt > 0 }) // lest the reset overtakes them
+			if tt.reset {
+				_ = peer.SetLinger(0)
+			}
+			_ = peer.Close()
+			w.posted.runUntil(t, "the answer has ended", func() bool { return len(c.list) > 0 || c.lost > 0 })
+			if took := len(c.list) > 0; took == tt.reset {
+				t.Errorf("the list was taken: %v", took)
+			}
+		})
+	}
+}
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/start_times_test.go
@@ -7,12 +7,14 @@
 	"github.com/rs/zerolog"
 )
 
-// stamp is what a server's machine notes of a start at the module's time, with its clock ahead.
-func stamp(at, ahead time.Duration) int64 { return time.Unix(1_000_000, 0).Add(at + ahead).UnixMilli() }
+// startStamp is what a server's machine notes of a start at the module's time, with its clock ahead.
+func startStamp(at, ahead time.Duration) int64 {
+	return time.Unix(1_000_000, 0).Add(at + ahead).UnixMilli()
+}
 
-// TestAServersStartNeedsNoWallClock: the wall clocks of the servers' machines and ours differ, or one
+// TestStartTimesIgnoreWallClockDifferences: the wall clocks of the servers' machines and ours differ, or one
 // of them is set while we run. A server that a list names for the first time has just started.
-func TestAServersStartNeedsNoWallClock(t *testing.T) {
+func TestStartTimesIgnoreWallClockDifferences(t *testing.T) {
 	tests := []struct {
 		name          string
 		before, after time.Duration // how far the servers' clock is ahead when the old one, and the new ones, start
@@ -28,19 +30,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := &turns{now: 100 * time.Second}
+			c := &fakeCore{now: 100 * time.Second}
 			d := New(c, nil, "", nil, zerolog.Nop())
-			old := Entry{ID: "old", Phase: "active", UpSinceMS: stamp(40*time.Second, tt.before)}
-			first := Entry{ID: "first", Phase: "active", UpSinceMS: stamp(98*time.Second, tt.before)}
+			old := Entry{ID: "old", Phase: "active", UpSinceMS: startStamp(40*time.Second, tt.before)}
+			first := Entry{ID: "first", Phase: "active", UpSinceMS: startStamp(98*time.Second, tt.before)}
 			d.FilterAndPublish(List{Revision: 1, Complete: true, Members: []Entry{old, first}})
-			if ages := c.ages(); ages["first"] > listDelay || ages["old"] < 50*time.Second {
+			if ages := c.ages(); ages["first"] > maxListDelay || ages["old"] < 50*time.Second {
 				t.Errorf("at the start the servers are %v old", ages)
 			}
 			for i, id := range []string{"a", "b"} {
 				c.now += 10 * time.Second
 				started := c.now - time.Second // a second until the list has it
-				d.FilterAndPublish(List{Revision: int64(2 + i), Members: []Entry{{ID: id, Phase: "active", UpSinceMS: stamp(started, tt.after)}}})
-				if age := c.ages()[id]; age < 0 || age > listDelay {
+				d.FilterAndPublish(List{Revision: int64(2 + i), Members: []Entry{{ID: id, Phase: "active", UpSinceMS: startStamp(started, tt.after)}}})
+				if age := c.ages()[id]; age < 0 || age > maxListDelay {
 					t.Errorf("%s is taken to be %v old, it is 1s", id, age)
 				}
 			}
@@ -55,7 +57,7 @@
 }
 
 // ages are how old the servers of the latest list are taken to be.
-func (c *turns) ages() map[string]time.Duration {
+func (c *fakeCore) ages() map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for _, m := range c.list {
 		ages[m.ID] = c.now - m.Started
