--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery follows the list of stock nodes that discovery keeps. All of
-// it runs on the core's goroutine.
+// Package discovery follows the list of stock nodes that the discovery service keeps: it
+// watches the list over HTTP and passes changes to the core. All of it runs on the core's
+// goroutine.
 package discovery
 
 import (
@@ -20,26 +21,26 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	maxHold           = 10 * time.Second        // how long a watch may wait for news, where mixers are many
-	minHold           = 4 * time.Second         // and where they are few: what a silent watch misses is found the sooner
-	holdPerMixer      = 100 * time.Millisecond  // of it for each mixer: discovery works through the calls of all in turn
-	answerTimeout     = 2500 * time.Millisecond // for an answer to a call that may not wait: it waits its turn, and what it misses counts as told after missedTime
-	heldAnswerTimeout = 1500 * time.Millisecond // beyond its wait, of one that may: what it misses counts as told 2 s after the wait, and asking anew takes time
+	maxHold           = 10 * time.Second        // longest time that discovery holds a watch without news; reached with many mixers
+	minHold           = 4 * time.Second         // the shortest: with few mixers, what a silent watch misses is found sooner
+	holdPerMixer      = 100 * time.Millisecond  // hold time for each mixer, as discovery serves the calls of all mixers in turn
+	answerTimeout     = 2500 * time.Millisecond // for a call without a hold: it queues at discovery, and a change that it misses counts as known after missedChangeDelay
+	heldAnswerTimeout = 1500 * time.Millisecond // for a call with a hold, beyond the hold: a change that it misses counts as known 2 s after it, and another call takes time
 	connectTimeout    = time.Second
-	maxListBytes      = 8 << 20                 // bytes of a list that we take
-	newAddressTimeout = 1500 * time.Millisecond // the same of a new address, within moveTime: there has to be time to ask again
-	retryInterval     = 200 * time.Millisecond  // between calls that fail to a new address, within it, or to an agent
-	lateAnswerTimeout = 4 * time.Second         // for which the answer to a call that was made anew is still taken
+	maxListBytes      = 8 << 20                 // largest list that is accepted
+	newAddressTimeout = 1500 * time.Millisecond // for any call within addressChangeDelay of a new address: leaves time for another call
+	retryInterval     = 200 * time.Millisecond  // after a failed watch of a new address, within addressChangeDelay, or of an agent
+	lateAnswerTimeout = 4 * time.Second         // how long the answer to a replaced call is still accepted
 	instancesPath     = "/registry/instances"
 )
 
-// List is a list of nodes, in the form of discovery.
+// List is a list of nodes, in the JSON form of discovery.
 type List struct {
 	Revision int64   `json:"revision"`
 	Complete bool    `json:"complete"`
 	Members  []Entry `json:"members"`
 
-	Told time.Duration `json:"-"` // since when what it says counts as told, by the module's clock; 0: since now
+	Told time.Duration `json:"-"` // when the mixer counts as notified of the changes, on the core's clock; 0: now
 }
 
 // Entry is a node in a list.
@@ -52,10 +53,10 @@
 	Size      float64 `json:"size"`
 	UpSinceMS int64   `json:"up_since_ms"`
 
-	Told time.Duration `json:"-"` // when it was told that it leaves or is gone, by the module's clock; 0: with this list
+	Told time.Duration `json:"-"` // when the mixer counts as notified that the node leaves or has left, on the core's clock; 0: with this list
 }
 
-// Parse reads a list.
+// Parse decodes a list. It rejects a member without an id and a phase that is not known.
 func Parse(b []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(b, &l); err != nil {
@@ -74,7 +75,7 @@
 
 var statesByPhase = map[string]decide.ServerState{"active": decide.Running, "leaving": decide.Stopping, "left": decide.Deleted}
 
-// Core is what this package needs of the core.
+// Core is the part of the core that this package uses.
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
@@ -82,7 +83,7 @@
 	ListLost()
 }
 
-// Client asks discovery. It implements broker.Directory.
+// Client calls discovery. It implements broker.Directory.
 type Client struct {
 	core       Core
 	net        transport.Dialer
@@ -91,24 +92,24 @@
 	startTimes startTimes
 	log        zerolog.Logger
 	Counts     *counts.Set // nil: nothing is counted
-	// Filter is handed each list of our own watch and returns the one that is believed; nil:
-	// the list is.
+	// Filter takes each list that this client's own calls return and gives the list to publish.
+	// If it is nil, every list is published unchanged.
 	Filter func(List) List
-	// MixerCount is how many ask the same discovery; 0: one.
+	// MixerCount is the number of mixers that call the same discovery; 0 counts as 1.
 	MixerCount int
-	// PushedToAgent says that lists are pushed to an agent beside us, which is watched from the
-	// start: the module does not ask for it.
+	// PushedToAgent says that lists are pushed to an agent beside this mixer. Start then begins
+	// the watch, as the decision module does not ask for one.
 	PushedToAgent    bool
 	notified         notificationTimes
 	revision         int64
-	watch            *call // nil: no watch is under way
+	watch            *call // nil: no watch is open
 	unreachable      bool
-	watchTimedOut    bool          // the watch before this one fell silent
-	addressChanges   int           // changes of addr
-	retryAtOnceUntil time.Duration // until when a failed watch is begun again at once
+	watchTimedOut    bool          // the previous watch timed out
+	addressChanges   int           // number of changes of addr
+	retryAtOnceUntil time.Duration // end of the time after a new address in which a failed watch is restarted without asking the core
 }
 
-// call is a connection with at most one request out.
+// call is a connection to discovery with at most one outstanding request.
 type call struct {
 	c             *Client
 	conn          *transport.Conn
@@ -116,15 +117,16 @@
 	request       string
 	watch         bool
 	closed        bool
-	superseded    bool          // it was made anew for want of an answer, which may still come
-	fullList      bool          // the watch begins with the whole list
-	addressChange int           // the client's moves when it began
-	seq           int           // of the request that is out
-	subscribed    bool          // the watch has had its first answer, which comes at once
-	firstByteAt   time.Duration // when the first byte of the answer came; 0: none has
+	superseded    bool          // another call has replaced it, as it was not answered in time; the answer may still come
+	fullList      bool          // the watch's first request asks for the whole list
+	addressChange int           // the client's addressChanges when the call began
+	seq           int           // of the outstanding request
+	subscribed    bool          // the watch has had its first answer, which discovery does not hold
+	firstByteAt   time.Duration // when the first byte of the answer arrived; 0: none has
 }
 
-// New returns a Client.
+// New returns a Client that calls discovery at addr. A node's zone is the index of its locality in zones; localities
+// that are not in zones get further indices.
 func New(core Core, net transport.Dialer, addr string, zones []string, log zerolog.Logger) *Client {
 	c := &Client{core: core, net: net, addr: addr, zones: map[string]int{}, log: log}
 	for i, z := range zones {
@@ -133,8 +135,8 @@
 	return c
 }
 
-// Start hands the core the list that the mixer was started with: it may be out of date,
-// and what it lacks counts as told soon, whether or not a call succeeds.
+// Start publishes the list that the mixer was started with. That list may be out of date, and
+// the mixer soon counts as notified of what it lacks, whether or not a call succeeds.
 func (c *Client) Start(known List) {
 	c.notified.upToDateAt, c.notified.pushedToAgent = c.core.Now(), c.PushedToAgent
 	c.FilterAndPublish(known)
@@ -143,7 +145,8 @@
 	}
 }
 
-// FilterAndPublish hands a list to the core.
+// FilterAndPublish passes a list that this client's own call returned through Filter and publishes
+// the result.
 func (c *Client) FilterAndPublish(l List) {
 	c.revision = l.Revision
 	if c.Filter != nil {
@@ -154,7 +157,8 @@
 	c.Publish(l)
 }
 
-// Publish hands on a list that is not of our own watch.
+// Publish passes a list to the core. It is for lists from other sources than this client's own
+// calls, which do not pass through Filter.
 func (c *Client) Publish(l List) {
 	c.startTimes.addList(c.core.Now(), l)
 	members := make([]broker.ListedNode, 0, len(l.Members))
@@ -169,7 +173,7 @@
 func (c *Client) zoneIndex(name string) int {
 	i, ok := c.zones[name]
 	if !ok {
-		i = len(c.zones) // a zone that the settings don't know
+		i = len(c.zones) // a zone that is not in the settings
 		c.zones[name] = i
 	}
 	return i
@@ -191,9 +195,9 @@
 	c.watch.send()
 }
 
-// ChangeAddress follows the list at another address from now on. What the old one told
-// stands until the new one tells otherwise. A new address may count revisions its
-// own way, so it is asked for the whole list first.
+// ChangeAddress follows the list at another address from now on. The list from the old address
+// holds until the new one says otherwise. The new address may number revisions differently, so
+// it is asked for the whole list first.
 func (c *Client) ChangeAddress(addr string) {
 	if addr == c.addr {
 		return
@@ -210,14 +214,14 @@
 // Read implements broker.Directory.
 func (c *Client) Read() { (&call{c: c, addressChange: c.addressChanges}).send() }
 
-// send sends the request, on a new connection if none is open.
+// send sends the next request, on a new connection if none is open.
 func (k *call) send() {
 	target, wait := instancesPath, time.Duration(0)
 	if k.watch && !k.fullList {
 		if k.subscribed {
 			wait = min(max(minHold, time.Duration(k.c.MixerCount)*holdPerMixer), maxHold)
 			if k.c.PushedToAgent {
-				wait = minHold // nobody else asks the agent
+				wait = minHold // no other mixer calls the agent
 			}
 		}
 		target += "?from=" + strconv.FormatInt(k.c.revision, 10) + "&hold_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
@@ -232,7 +236,7 @@
 	case wait > 0:
 		most = heldAnswerTimeout
 	}
-	// Guards against a discovery that is cut off: it says nothing, ever.
+	// Guards against a discovery that is cut off and would never answer.
 	k.c.core.After(wait+most, func() {
 		if k.seq == seq {
 			k.timedOut()
@@ -259,7 +263,7 @@
 	conn.Write([]byte(k.request))
 }
 
-// drop drops the call without a word.
+// drop closes the connection without reporting a failure. It ignores an answer that is still to come.
 func (k *call) drop() {
 	k.closed = true
 	k.seq++
@@ -268,9 +272,10 @@
 	}
 }
 
-// timedOut has a watch that has fallen silent begun anew at once. Guards the told-times: what
-// it missed soon counts as told, and the module's own pauses are longer than what is left. Two in
-// a row are no broken watch; discovery itself says nothing.
+// timedOut restarts a watch that was not answered in time, at once: the mixer soon counts as
+// notified of what the watch missed, and the decision module pauses for longer before it asks
+// again. After two time-outs in a row it reports a failure instead, as then discovery itself,
+// not one watch, is silent.
 func (k *call) timedOut() {
 	c := k.c
 	if c.watch != k || c.watchTimedOut || c.core.Now() < c.retryAtOnceUntil {
@@ -286,8 +291,8 @@
 	c.startWatch(k.fullList)
 }
 
-// keepForLateAnswer leaves a call open for an answer that comes late, beside the one that takes its place.
-// Guards against a discovery that is slow for long: no call would ever be heard.
+// keepForLateAnswer leaves a call open beside the one that replaces it, for lateAnswerTimeout.
+// While discovery stays slow, every call would otherwise be dropped before its answer.
 func (k *call) keepForLateAnswer() {
 	k.superseded = true
 	k.seq++
@@ -309,7 +314,8 @@
 	}
 }
 
-// handleFailure tells of a call without an answer, and has another made.
+// handleFailure counts and logs a call that brought no answer, and has another one made: by this
+// package, or by the core through ListLost.
 func (k *call) handleFailure(why string) {
 	k.c.Counts.Add(counts.DirectoryFailed, 1)
 	k.c.notified.handleFailure()
@@ -321,11 +327,11 @@
 		k.c.log.Warn().Str("why", why).Str("discovery", k.c.addr).Msg("discovery does not answer")
 	}
 	switch {
-	case k.addressChange != k.c.addressChanges: // a single call that went to the old address
+	case k.addressChange != k.c.addressChanges: // a call that went to the old address
 		k.c.Read()
 	case k.watch && (k.c.PushedToAgent || k.c.core.Now() < k.c.retryAtOnceUntil):
-		// Guards the told-times after a move, and those of an agent: the module's own
-		// pauses are longer than what is allowed then.
+		// After an address change, and with an agent, the mixer counts as notified sooner than
+		// the decision module would ask again.
 		fullList := k.fullList || k.c.core.Now() < k.c.retryAtOnceUntil
 		k.c.core.After(retryInterval, func() {
 			if k.c.watch == nil && k.addressChange == k.c.addressChanges {
@@ -382,7 +388,7 @@
 	if !k.watch {
 		k.drop()
 		if k.addressChange != k.c.addressChanges {
-			k.c.Read() // guards against the old address's list in place of the new one's
+			k.c.Read() // the list came from the old address, not from the new one
 			return
 		}
 		l.Told = k.c.notified.answerReceived(k.c.core.Now(), k.firstByteAt)
@@ -404,8 +410,8 @@
 	k.c.continueWatch(l, k)
 }
 
-// handleLateList takes the answer to a call in whose place another was made, unless more was heard
-// since.
+// handleLateList accepts the answer to a call that has been replaced, unless a later revision has
+// arrived or the address has changed since.
 func (k *call) handleLateList(l List) {
 	k.drop()
 	if k.addressChange == k.c.addressChanges && l.Revision >= k.c.revision && (l.Complete || len(l.Members) > 0) {
@@ -414,18 +420,19 @@
 	}
 }
 
-// continueWatch hands on a watch's news and goes on watching at once: a watch goes on
-// only if the next call comes within 200 ms.
+// continueWatch publishes the list that a watch returned and sends the watch's next request at
+// once: discovery keeps a watch open only if its next call arrives within 200 ms.
 func (c *Client) continueWatch(l List, k *call) {
 	if l.Complete || len(l.Members) > 0 || !k.subscribed {
-		c.FilterAndPublish(l) // the first answer tells the module that it is subscribed, even without news
+		c.FilterAndPublish(l) // the first answer tells the decision module that the watch is open, even without changes
 	}
 	c.revision = max(c.revision, l.Revision)
 	k.subscribed = true
 	k.send()
 }
 
-// HalfClosed implements transport.Handler; connections we dialed end at once.
+// HalfClosed implements transport.Handler. It is never called here: a dialed connection ends as
+// soon as its peer closes.
 func (k *call) HalfClosed() {}
 
 // Ended implements transport.Handler.
@@ -433,8 +440,8 @@
 	if k.closed {
 		return
 	}
-	// An answer without a length ends with its connection, but a reset is no end: what
-	// has come by then may be the beginning of more.
+	// An answer without a length ends when its connection is closed in order. After a reset,
+	// what has arrived may be only the beginning of the answer.
 	if e == transport.PeerClosed {
 		k.parser.EOF()
 		k.parseNext()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"kiteloft/internal/transport"
 )
 
-// coreRecorder records what it is told.
+// coreRecorder is a Core that records the last list and the number of lost lists.
 type coreRecorder struct {
 	full bool
 	list []broker.ListedNode
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// It is named for the first time, so that it counts as just started.
+	// The list names both for the first time; s-2, the only one with a stamp, counts as just started.
 	var c coreRecorder
 	New(&c, nil, "", []string{"a", "b"}, zerolog.Nop()).FilterAndPublish(l)
 	want := []broker.ListedNode{
@@ -46,7 +46,7 @@
 	}
 }
 
-// fakeCore is a core with a clock of its own and the timers that are set.
+// fakeCore is a Core whose clock and timers the test advances.
 type fakeCore struct {
 	coreRecorder
 	now    time.Duration
@@ -76,15 +76,15 @@
 	}
 }
 
-// silentNetwork is a network on which nothing ever comes up; it counts the dials.
+// silentNetwork counts dials, none of which ever ends.
 type silentNetwork struct{ dials int }
 
 func (n *silentNetwork) Dial(string, time.Duration, transport.Handler, func(*transport.Conn, transport.End)) {
 	n.dials++
 }
 
-// TestUnansweredNewAddressIsAskedAgainInTime: what a new address has to tell counts as told
-// after moveTime, so one that says nothing is not waited for as long as that.
+// TestUnansweredNewAddressIsAskedAgainInTime guards against waiting for a new address that does
+// not answer until the mixer counts as notified of its list, which is after addressChangeDelay.
 func TestUnansweredNewAddressIsAskedAgainInTime(t *testing.T) {
 	c, n := &fakeCore{now: time.Second}, &silentNetwork{}
 	d := New(c, n, "old", nil, zerolog.Nop())
@@ -95,8 +95,9 @@
 	}
 }
 
-// TestTimedOutWatchIsRestartedOnce, once: what it missed counts as told before the module
-// would ask again. A second silence is left to the module.
+// TestTimedOutWatchIsRestartedOnce guards against a watch that times out and is left to the
+// decision module, which would ask again only after the mixer counts as notified of what the
+// watch missed. A second time-out in a row is left to the module.
 func TestTimedOutWatchIsRestartedOnce(t *testing.T) {
 	c, n := &fakeCore{now: time.Second}, &silentNetwork{}
 	d := New(c, n, "one", nil, zerolog.Nop())
--- a/internal/discovery/notification_times.go
+++ b/internal/discovery/notification_times.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Since when what discovery has to tell counts as told, whether or not it has arrived.
+// When the mixer counts as notified of a change in discovery's list, whether or not the list has
+// arrived.
 const (
-	// missedChangeDelay after discovery had a change and could be reached, whatever became of
-	// our calls.
+	// missedChangeDelay applies after discovery has a change and can be reached, even if the
+	// mixer's calls fail.
 	missedChangeDelay = 6 * time.Second
-	// addressChangeDelay after the configuration named another address.
+	// addressChangeDelay applies after the configuration names another address.
 	addressChangeDelay = 4 * time.Second
-	// maxTransferTime is how long the pieces of an answer may be on their way: it was written
-	// when the first one came, but a head may be sent long before there is news.
+	// maxTransferTime bounds how long the pieces of one answer may be in transit. An answer
+	// counts as written when its first piece arrives, but discovery may send the header long
+	// before there is a change.
 	maxTransferTime = time.Second
 )
 
-// notificationTimes knows since when what discovery tells counts as told. It is the one place where
-// that is worked out, by the strictest reading: what comes in an answer counts as told when
-// it was written; what came after a call that failed, ended without a word, was given up or
-// fell silent may have been there ever since discovery was last heard of.
+// notificationTimes works out when the mixer counts as notified of a list, by the strictest
+// reading: what an answer says counts as known when the answer was written. After a call that
+// failed, ended without an answer, was given up or timed out, the change may have been there ever
+// since discovery last answered.
 type notificationTimes struct {
-	pushedToAgent bool          // an agent has the list: what that has counts as told at once
-	upToDateAt    time.Duration // when what we hold was last known to be all that there was
-	latest        time.Duration // since when what comes next counts as told at the latest; 0: since it comes
+	pushedToAgent bool          // an agent has the list: the mixer counts as notified as soon as the agent has a change
+	upToDateAt    time.Duration // when the list held here was last known to be up to date
+	latest        time.Duration // latest time from which the next answer counts as known; 0: from its arrival
 }
 
-// handleFailure notes that a call has brought nothing.
+// handleFailure records that a call brought no list.
 func (r *notificationTimes) handleFailure() {
 	if r.pushedToAgent {
 		r.limitNext(r.upToDateAt)
@@ -33,20 +35,21 @@
 	}
 }
 
-// watchTimedOut notes that a watch has brought nothing, for as long as it may.
+// watchTimedOut records that a watch was not answered in time.
 func (r *notificationTimes) watchTimedOut() { r.limitNext(r.upToDateAt + missedChangeDelay) }
 
-// addressChanged notes that another address is followed from now on.
+// addressChanged records that another address is followed from now on.
 func (r *notificationTimes) addressChanged(now time.Duration) { r.limitNext(now + addressChangeDelay) }
 
+// limitNext lowers latest, if the given time is earlier.
 func (r *notificationTimes) limitNext(latest time.Duration) {
 	if r.latest == 0 || latest < r.latest {
 		r.latest = latest
 	}
 }
 
-// answerReceived takes an answer whose first byte came at first, and returns since when what it
-// says counts as told.
+// answerReceived records an answer whose first byte arrived at first, and returns when the mixer
+// counts as notified of what it says.
 func (r *notificationTimes) answerReceived(now, first time.Duration) time.Duration {
 	told := max(first, now-maxTransferTime)
 	if r.latest > 0 {
--- a/internal/discovery/notification_times_test.go
+++ b/internal/discovery/notification_times_test.go
@@ -10,8 +10,8 @@
 	"kiteloft/internal/transport"
 )
 
-// TestNotificationTimes: a mixer heard of all there was at 100 s; then come calls that
-// bring nothing, or a move, and at last an answer.
+// TestNotificationTimes has a mixer that was up to date at 100 s, then calls that fail or time out,
+// or a change of the address, and at last an answer.
 func TestNotificationTimes(t *testing.T) {
 	const s = time.Second
 	tests := []struct {
@@ -41,7 +41,7 @@
 			if got := r.answerReceived(tt.now, tt.first); got != tt.want {
 				t.Errorf("it counts as told since %v, want %v", got, tt.want)
 			}
-			// Whatever was before, the next answer counts from when it comes.
+			// The earlier failures have no effect on the answer after this one.
 			if got := r.answerReceived(tt.now+20*s, tt.now+20*s); got != tt.now+20*s {
 				t.Errorf("the next one counts since %v, want %v", got, tt.now+20*s)
 			}
@@ -49,7 +49,7 @@
 	}
 }
 
-// peerNetwork is a network whose connections have a peer in the test.
+// peerNetwork is a Dialer whose connections lead to peers held by the test.
 type peerNetwork struct {
 	t      *testing.T
 	peers  chan net.Conn
@@ -71,12 +71,12 @@
 	n.Dial(ln.Addr().String(), time.Second, h, done)
 }
 
-// postQueue runs what is posted on the test's goroutine, when it asks.
+// postQueue is a transport.Poster whose functions the test runs on its own goroutine.
 type postQueue chan func()
 
 func (o postQueue) Post(fn func()) { o <- fn }
 
-// runUntil runs what is posted runUntil the condition holds.
+// runUntil runs posted functions until the condition holds.
 func (o postQueue) runUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for late := time.After(10 * time.Second); !ok(); {
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestResetDoesNotEndAnAnswer: an answer without a length ends with its connection. One that is reset
-// may be the beginning of more, however whole it looks.
+// TestResetDoesNotEndAnAnswer guards against taking a truncated answer for a whole one: an answer
+// without a length ends when its connection is closed in order, not when it is reset, even if the
+// bytes so far are valid JSON.
 func TestResetDoesNotEndAnAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -102,9 +103,9 @@
 			d.Watch(true)
 			peer := (<-w.peers).(*net.TCPConn)
 			w.posted.runUntil(t, "it is connected and asks", func() bool { return d.watch.conn != nil })
-			_, _ = peer.Read(make([]byte, 1000)) // lest its close is a reset
+			_, _ = peer.Read(make([]byte, 1000)) // unread bytes would turn the close into a reset
 			_, _ = peer.Write([]byte("HTTP/1.1 200 OK\r\n\r\n" + `{"revision":2,"complete":true,"members":[{"id":"s-1","phase":"active"}]}`))
-			w.posted.runUntil(t, "the bytes have come", func() bool { return d.watch.firstByteAt > 0 }) // lest the reset overtakes them
+			w.posted.runUntil(t, "the bytes have come", func() bool { return d.watch.firstByteAt > 0 }) // otherwise the reset could overtake them
 			if tt.reset {
 				_ = peer.SetLinger(0)
 			}
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// maxListDelay is how late a list may name a server that has started, as far as its stamp is
-	// believed: one that seems older when it is first named counts as so old.
+	// maxListDelay bounds the age of a server that a later list names for the first time. A
+	// server whose stamp says that it is older counts as this old.
 	maxListDelay = 2 * time.Second
-	// maxUnlistedServers is how many servers that are off the list are remembered, for when they return.
+	// maxUnlistedServers is how many servers that have left the list are remembered, in case
+	// they return.
 	maxUnlistedServers = 1000
 )
 
-// startTimes knows when servers started, on our monotonic clock. Their stamps are of wall clocks,
-// which need not agree with ours and may be set at any time, so that of a stamp only this is
-// used: it was not in the future when we first saw it, and two stamps of one list tell which
-// server is how much older. Where that leaves a doubt, a server counts as younger than it is:
-// it gets less than it bears, where the reverse would overload it while it is cold.
+// startTimes estimates when servers started, on the core's monotonic clock. The stamps in lists
+// are wall-clock times of other machines, which may differ from ours and may be set at any time.
+// Only two facts are taken from them: a stamp was not in the future when it was first seen, and
+// the difference of two stamps in one list is the difference in age. Where that is not enough, a
+// server counts as younger than it is. It then gets less load than it can bear; the reverse would
+// overload a server that is still cold.
 type startTimes struct {
-	clockOffset time.Duration        // by how much the stamps' clock is ahead of ours, at the least
-	runs        map[string]serverRun // by server
-	seenList    bool                 // a list has come
+	clockOffset time.Duration        // lower bound of how far the stamps' clock is ahead of the core's
+	runs        map[string]serverRun // by server id
+	seenList    bool                 // a list has been added
 }
 
-// serverRun is one run of a server.
+// serverRun is one run of a server, from its start to its end.
 type serverRun struct {
-	stamp     int64         // as discovery tells it, in Unix ms
-	startedAt time.Duration // by our clock
+	stamp     int64         // the start as discovery states it, in Unix ms
+	startedAt time.Duration // the start on the core's clock
 }
 
-// addList notes a list that comes now. It has to be called before at.
+// addList records the stamps of a list that arrives now. It has to be called before startedAt.
 func (s *startTimes) addList(now time.Duration, l List) {
 	if s.runs == nil {
 		s.runs = map[string]serverRun{}
@@ -41,7 +43,7 @@
 	}
 	for _, e := range fresh {
 		at := time.Duration(e.UpSinceMS)*time.Millisecond - s.clockOffset
-		if s.seenList { // it has started since the list before
+		if s.seenList { // it has started since the previous list
 			at = max(at, now-maxListDelay)
 		}
 		s.runs[e.ID] = serverRun{e.UpSinceMS, max(at, 1)}
@@ -50,7 +52,8 @@
 	s.prune(l)
 }
 
-// prune bounds what is kept of servers that are off the list.
+// prune drops the servers that a full list does not name, once there are more than
+// maxUnlistedServers of them.
 func (s *startTimes) prune(l List) {
 	if !l.Complete || len(s.runs) <= len(l.Members)+maxUnlistedServers {
 		return
@@ -64,7 +67,7 @@
 	s.runs = listed
 }
 
-// startedAt is when a server of the latest list started; 0: long ago.
+// startedAt returns when a server of the latest list started; 0 means long ago.
 func (s *startTimes) startedAt(e Entry) time.Duration {
 	if e.UpSinceMS <= 0 {
 		return 0
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -7,17 +7,18 @@
 	"github.com/rs/zerolog"
 )
 
-// startStamp is what a server's machine notes of a start at the module's time, with its clock ahead.
+// startStamp is the wall-clock stamp of a start at a time on the core's clock, by a machine whose clock is ahead.
 func startStamp(at, ahead time.Duration) int64 {
 	return time.Unix(1_000_000, 0).Add(at + ahead).UnixMilli()
 }
 
-// TestStartTimesIgnoreWallClockDifferences: the wall clocks of the servers' machines and ours differ, or one
-// of them is set while we run. A server that a list names for the first time has just started.
+// TestStartTimesIgnoreWallClockDifferences guards against wrong ages of servers when the wall clocks
+// of their machines differ from ours, or one of them is set while the mixer runs. A server that a
+// later list names for the first time has just started.
 func TestStartTimesIgnoreWallClockDifferences(t *testing.T) {
 	tests := []struct {
 		name          string
-		before, after time.Duration // how far the servers' clock is ahead when the old one, and the new ones, start
+		before, after time.Duration // how far the servers' clock is ahead when the old server, and the new ones, start
 	}{
 		{"the same clock", 0, 0},
 		{"ours an hour ahead", -time.Hour, -time.Hour},
@@ -40,13 +41,13 @@
 			}
 			for i, id := range []string{"a", "b"} {
 				c.now += 10 * time.Second
-				started := c.now - time.Second // a second until the list has it
+				started := c.now - time.Second // the list names it one second after its start
 				d.FilterAndPublish(List{Revision: int64(2 + i), Members: []Entry{{ID: id, Phase: "active", UpSinceMS: startStamp(started, tt.after)}}})
 				if age := c.ages()[id]; age < 0 || age > maxListDelay {
 					t.Errorf("%s is taken to be %v old, it is 1s", id, age)
 				}
 			}
-			// Named again, nobody gets younger or older.
+			// A server that is named again keeps its age.
 			c.now += 3 * time.Second
 			d.FilterAndPublish(List{Revision: 4, Members: []Entry{old}})
 			if age := c.ages()["old"]; age < 70*time.Second {
@@ -56,7 +57,7 @@
 	}
 }
 
-// ages are how old the servers of the latest list are taken to be.
+// ages returns the estimated ages of the servers in the latest list, by id.
 func (c *fakeCore) ages() map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for _, m := range c.list {
