--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -283,7 +283,7 @@
 		k.handleFailure("no answer in time")
 		return
 	}
-	c.log.Info().Str("discovery", c.addr).Msg("a watch fell silent and is begun anew")
+	c.log.Info().Str("discovery", c.addr).Msg("discovery watch timed out, starting another")
 	c.Counts.Add(counts.DirectoryFailed, 1)
 	c.notified.watchTimedOut()
 	c.watchTimedOut = true
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -91,7 +91,7 @@
 	d.ChangeAddress("new")
 	c.advance(addressChangeDelay - 100*time.Millisecond)
 	if n.dials < 2 {
-		t.Errorf("a new address that says nothing was asked %d times within %v", n.dials, addressChangeDelay)
+		t.Errorf("a new address that does not answer was called %d times within %v, want at least 2", n.dials, addressChangeDelay)
 	}
 }
 
@@ -104,18 +104,18 @@
 	d.Watch(true)
 	c.advance(answerTimeout + 50*time.Millisecond)
 	if n.dials != 2 || c.lost != 0 {
-		t.Errorf("%d calls, %d times lost, when the first should have been answered", n.dials, c.lost)
+		t.Errorf("after the first time-out: %d calls and %d lost lists, want 2 and 0", n.dials, c.lost)
 	}
 	c.advance(3 * answerTimeout)
 	if n.dials != 2 || c.lost != 1 {
-		t.Errorf("%d calls, %d times lost, after the second silence", n.dials, c.lost)
+		t.Errorf("after the second time-out: %d calls and %d lost lists, want 2 and 1", n.dials, c.lost)
 	}
 }
 
 func TestParseRejectsMalformedLists(t *testing.T) {
 	for _, text := range []string{"", "[]", `{"members":[{"phase":"active"}]}`, `{"members":[{"id":"s-1","phase":"asleep"}]}`} {
 		if l, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%q was taken as %+v", text, l)
+			t.Errorf("Parse accepted %q as %+v", text, l)
 		}
 	}
 }
--- a/internal/discovery/notification_times_test.go
+++ b/internal/discovery/notification_times_test.go
@@ -20,30 +20,30 @@
 		first, now time.Duration
 		want       time.Duration
 	}{
-		{"a watch that tells", func(*notificationTimes) {}, 109 * s, 109 * s, 109 * s},
+		{"an answer to a watch", func(*notificationTimes) {}, 109 * s, 109 * s, 109 * s},
 		{"in pieces", func(*notificationTimes) {}, 109 * s, 109*s + 400*time.Millisecond, 109 * s},
-		{"a head long before the news", func(*notificationTimes) {}, 101 * s, 109 * s, 108 * s},
+		{"a header long before the body", func(*notificationTimes) {}, 101 * s, 109 * s, 108 * s},
 		{"soon after a failed call", (*notificationTimes).handleFailure, 103 * s, 103 * s, 103 * s},
 		{"long after a failed call", (*notificationTimes).handleFailure, 109 * s, 109 * s, 106 * s},
-		{"after a silent watch", (*notificationTimes).watchTimedOut, 109 * s, 109 * s, 106 * s},
+		{"after a watch that timed out", (*notificationTimes).watchTimedOut, 109 * s, 109 * s, 106 * s},
 		{"after a failed call to an agent", func(r *notificationTimes) { r.pushedToAgent = true; r.handleFailure() }, 101 * s, 101 * s, 100 * s},
-		{"after a silent watch of an agent", func(r *notificationTimes) { r.pushedToAgent = true; r.watchTimedOut() }, 109 * s, 109 * s, 106 * s},
-		{"after several", func(r *notificationTimes) { r.handleFailure(); r.handleFailure() }, 120 * s, 120 * s, 106 * s},
-		{"soon after a move", func(r *notificationTimes) { r.addressChanged(104 * s) }, 105 * s, 105 * s, 105 * s},
-		{"long after a move", func(r *notificationTimes) { r.addressChanged(104 * s) }, 110 * s, 110 * s, 108 * s},
-		{"after two moves", func(r *notificationTimes) { r.addressChanged(104 * s); r.addressChanged(106 * s) }, 112 * s, 112 * s, 108 * s},
-		{"after a move and a failed call", func(r *notificationTimes) { r.addressChanged(104 * s); r.handleFailure() }, 112 * s, 112 * s, 106 * s},
+		{"after a watch of an agent that timed out", func(r *notificationTimes) { r.pushedToAgent = true; r.watchTimedOut() }, 109 * s, 109 * s, 106 * s},
+		{"after several failed calls", func(r *notificationTimes) { r.handleFailure(); r.handleFailure() }, 120 * s, 120 * s, 106 * s},
+		{"soon after an address change", func(r *notificationTimes) { r.addressChanged(104 * s) }, 105 * s, 105 * s, 105 * s},
+		{"long after an address change", func(r *notificationTimes) { r.addressChanged(104 * s) }, 110 * s, 110 * s, 108 * s},
+		{"after two address changes", func(r *notificationTimes) { r.addressChanged(104 * s); r.addressChanged(106 * s) }, 112 * s, 112 * s, 108 * s},
+		{"after an address change and a failed call", func(r *notificationTimes) { r.addressChanged(104 * s); r.handleFailure() }, 112 * s, 112 * s, 106 * s},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := notificationTimes{upToDateAt: 100 * s}
 			tt.do(&r)
 			if got := r.answerReceived(tt.now, tt.first); got != tt.want {
-				t.Errorf("it counts as told since %v, want %v", got, tt.want)
+				t.Errorf("notified at %v, want %v", got, tt.want)
 			}
 			// The earlier failures have no effect on the answer after this one.
 			if got := r.answerReceived(tt.now+20*s, tt.now+20*s); got != tt.now+20*s {
-				t.Errorf("the next one counts since %v, want %v", got, tt.now+20*s)
+				t.Errorf("notified of the next answer at %v, want %v", got, tt.now+20*s)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 		case fn := <-o:
 			fn()
 		case <-late:
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -102,17 +102,17 @@
 			d := New(c, w, "one", nil, zerolog.Nop())
 			d.Watch(true)
 			peer := (<-w.peers).(*net.TCPConn)
-			w.posted.runUntil(t, "it is connected and asks", func() bool { return d.watch.conn != nil })
+			w.posted.runUntil(t, "the watch is connected", func() bool { return d.watch.conn != nil })
 			_, _ = peer.Read(make([]byte, 1000)) // unread bytes would turn the close into a reset
 			_, _ = peer.Write([]byte("HTTP/1.1 200 OK\r\n\r\n" + `{"revision":2,"complete":true,"members":[{"id":"s-1","phase":"active"}]}`))
-			w.posted.runUntil(t, "the bytes have come", func() bool { return d.watch.firstByteAt > 0 }) // otherwise the reset could overtake them
+			w.posted.runUntil(t, "the bytes have arrived", func() bool { return d.watch.firstByteAt > 0 }) // otherwise the reset could overtake them
 			if tt.reset {
 				_ = peer.SetLinger(0)
 			}
 			_ = peer.Close()
 			w.posted.runUntil(t, "the answer has ended", func() bool { return len(c.list) > 0 || c.lost > 0 })
 			if took := len(c.list) > 0; took == tt.reset {
-				t.Errorf("the list was taken: %v", took)
+				t.Errorf("the list was accepted: %v", took)
 			}
 		})
 	}
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -37,21 +37,21 @@
 			first := Entry{ID: "first", Phase: "active", UpSinceMS: startStamp(98*time.Second, tt.before)}
 			d.FilterAndPublish(List{Revision: 1, Complete: true, Members: []Entry{old, first}})
 			if ages := c.ages(); ages["first"] > maxListDelay || ages["old"] < 50*time.Second {
-				t.Errorf("at the start the servers are %v old", ages)
+				t.Errorf("ages after the first list: %v", ages)
 			}
 			for i, id := range []string{"a", "b"} {
 				c.now += 10 * time.Second
 				started := c.now - time.Second // the list names it one second after its start
 				d.FilterAndPublish(List{Revision: int64(2 + i), Members: []Entry{{ID: id, Phase: "active", UpSinceMS: startStamp(started, tt.after)}}})
 				if age := c.ages()[id]; age < 0 || age > maxListDelay {
-					t.Errorf("%s is taken to be %v old, it is 1s", id, age)
+					t.Errorf("%s counts as %v old, but is 1s old", id, age)
 				}
 			}
 			// A server that is named again keeps its age.
 			c.now += 3 * time.Second
 			d.FilterAndPublish(List{Revision: 4, Members: []Entry{old}})
 			if age := c.ages()["old"]; age < 70*time.Second {
-				t.Errorf("the old one is taken to be %v old", age)
+				t.Errorf("the old server counts as only %v old after it was named again", age)
 			}
 		})
 	}
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -25,8 +25,8 @@
 
 // ErrTooLong and ErrEmpty are frames that can't be taken.
 var (
-	ErrTooLong = errors.New("frame longer than we take")
-	ErrEmpty   = errors.New("frame without a letter")
+	ErrTooLong = errors.New("frame longer than 1 MiB")
+	ErrEmpty   = errors.New("frame without a type")
 )
 
 // Frame is one frame.
@@ -112,15 +112,15 @@
 func ParseReply(rest []byte) (Reply, error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
 	if !ok {
-		return Reply{}, errors.New("a result without a line")
+		return Reply{}, errors.New("result frame without a line end")
 	}
 	f := bytes.SplitN(line, []byte{' '}, 4) // a report is the node's own: one that can't be read spoils nothing
 	if len(f) != 4 || len(f[0]) == 0 || len(f[1]) != 1 {
-		return Reply{}, fmt.Errorf("result line %q", line)
+		return Reply{}, fmt.Errorf("result line %q: want 4 fields with an id and a status of one byte", line)
 	}
 	r := Reply{ID: string(f[0]), End: f[1][0], Value: value}
 	if r.End != 'S' && r.End != 'E' && r.End != 'B' {
-		return Reply{}, fmt.Errorf("result line %q: unknown end", line)
+		return Reply{}, fmt.Errorf("result line %q: unknown status", line)
 	}
 	if s := string(f[3]); s != "-" {
 		r.Report = s
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -258,7 +258,7 @@
 	case *http2.GoAwayFrame:
 		c.goAway(f)
 	case *http2.PushPromiseFrame:
-		return errConn{http2.ErrCodeProtocol, "a push that we ruled out"}
+		return errConn{http2.ErrCodeProtocol, "PUSH_PROMISE although push is disabled"}
 	}
 	return nil
 }
@@ -304,7 +304,7 @@
 			return nil // of a stream that we gave up
 		}
 		if f.StreamID%2 == 0 || f.StreamID <= c.lastID {
-			return errConn{http2.ErrCodeStreamClosed, "headers of a stream that is closed"}
+			return errConn{http2.ErrCodeStreamClosed, "HEADERS on a closed stream"}
 		}
 		c.lastID = f.StreamID
 		// Guards memory and the core against more than we said we take.
@@ -315,7 +315,7 @@
 		s = c.add(f.StreamID)
 	}
 	if s.done {
-		return errConn{http2.ErrCodeStreamClosed, "headers after the end of a stream"}
+		return errConn{http2.ErrCodeStreamClosed, "HEADERS after the end of a stream"}
 	}
 	if f.Truncated {
 		s.Reset(http2.ErrCodeEnhanceYourCalm)
@@ -344,16 +344,16 @@
 	s := c.streams[f.StreamID]
 	if s == nil {
 		if c.server && f.StreamID > c.lastID || !c.server && f.StreamID >= c.nextID {
-			return errConn{http2.ErrCodeProtocol, "data of a stream that was never open"}
+			return errConn{http2.ErrCodeProtocol, "DATA on a stream that was never open"}
 		}
 		return nil // of a stream that is over
 	}
 	if s.done {
-		return errConn{http2.ErrCodeStreamClosed, "data after the end of a stream"}
+		return errConn{http2.ErrCodeStreamClosed, "DATA after the end of a stream"}
 	}
 	// Guards memory against a peer that disregards flow control.
 	if s.recv -= n; s.recv < 0 {
-		return errConn{http2.ErrCodeFlowControl, "more data than the window has room for"}
+		return errConn{http2.ErrCodeFlowControl, "DATA exceeds the receive window"}
 	}
 	s.done = f.StreamEnded()
 	c.h.Data(s, f.Data(), s.done)
@@ -393,7 +393,7 @@
 	// Guards against a client that opens and cancels streams in a loop.
 	if c.server {
 		if c.resets++; c.resets > maxResets {
-			return errConn{http2.ErrCodeEnhanceYourCalm, "too many streams cancelled"}
+			return errConn{http2.ErrCodeEnhanceYourCalm, "too many streams cancelled without a response in between"}
 		}
 	}
 	if s := c.streams[f.StreamID]; s != nil {
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -93,7 +93,7 @@
 		}
 		s := client.conn.Open(request, []byte(up))
 		if _, sent := s.Sent(); sent {
-			t.Error("more was sent than the window has room for")
+			t.Error("all was sent, though the window is smaller")
 		}
 		talk(t, client, server, n)
 		if server.data[1] != up || client.data[1] != down || !client.ended[1] || client.conn.Streams()+server.conn.Streams() != 0 {
@@ -168,7 +168,7 @@
 		stalled := &stalledSide{s}
 		s.conn.h = stalled
 		if err := s.conn.Receive([]byte(text)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 }
@@ -232,7 +232,7 @@
 		t.Error(diff)
 	}
 	if _, ok := ParseStatus([]hpack.HeaderField{{Name: "x"}}); ok {
-		t.Error("a status where there is none")
+		t.Error("ParseStatus found a status where there is none")
 	}
 }
 
--- a/internal/transport/faults_test.go
+++ b/internal/transport/faults_test.go
@@ -46,7 +46,7 @@
 			}
 			wait(t, "the last byte counts as written", func() bool { return c.Written(end) })
 			if c.Broken() {
-				t.Error("the connection counts as broken")
+				t.Error("Broken reports true after transient errors")
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	c.Finish(LocalDone)
 	_ = peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if got, err := io.ReadAll(peer); err != nil || string(got) != words {
-		t.Errorf("%d bytes came, want %d; %v", len(got), len(words), err)
+		t.Errorf("%d bytes arrived, want %d; %v", len(got), len(words), err)
 	}
 }
 
@@ -90,22 +90,22 @@
 	defer func() { _ = file.Close() }()
 	c := &Conn{nc: unpolled{}, fd: int(file.Fd()), net: NewNet(newOwner(t), Limits{Conns: 10}, nil)}
 	if !c.InputDrained() {
-		t.Error("nothing has come, and it is not quiet")
+		t.Error("InputDrained is false though nothing has arrived")
 	}
 	const request = "a request"
 	if _, err := io.WriteString(peer, request); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the bytes are there", func() bool { return !c.InputDrained() })
+	wait(t, "the bytes have arrived", func() bool { return !c.InputDrained() })
 	if n, err := unix.Read(c.fd, make([]byte, 100)); n != len(request) || err != nil {
 		t.Fatal(n, err)
 	}
 	if c.InputDrained() {
-		t.Error("it is quiet while the poller holds a request")
+		t.Error("InputDrained is true while the poller holds a request")
 	}
 	c.in.Add(int64(len(request))) // the owner has it
 	if !c.InputDrained() {
-		t.Error("it is not quiet though all has been looked at")
+		t.Error("InputDrained is false though the owner has all bytes")
 	}
 }
 
@@ -165,13 +165,13 @@
 	for _, err := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EMFILE, unix.ENFILE} {
 		wrapped := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
 		if got := Outcome(dialEnd(wrapped), false); got != decide.Moot {
-			t.Errorf("%v: outcome %v, want that it was never sent", err, got)
+			t.Errorf("%v: outcome %v, want Moot", err, got)
 		}
 	}
 	for _, err := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ECONNRESET, unix.ETIMEDOUT} {
 		wrapped := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
 		if got := Outcome(dialEnd(wrapped), false); got != decide.ConnectFailed {
-			t.Errorf("%v: outcome %v, want that the server could not be connected to", err, got)
+			t.Errorf("%v: outcome %v, want ConnectFailed", err, got)
 		}
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 		}
 		h.ended(t, LocalDone)
 	})
-	t.Run("closed, told by what is sent", func(t *testing.T) {
+	t.Run("closed, noticed by a write", func(t *testing.T) {
 		c, h, peer := accepted(t)
 		_ = peer.Close()
 		wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
@@ -170,17 +170,17 @@
 	peer := connect(t, ln)
 	c := <-conns
 	if !c.InputDrained() {
-		t.Error("nothing was sent, and something waits")
+		t.Error("InputDrained is false though nothing was sent")
 	}
 	_, _ = io.WriteString(peer, "hello")
-	wait(t, "it is known", func() bool { return !c.InputDrained() })
-	wait(t, "it has been read", func() bool { return len(held) > 0 })
+	wait(t, "the input is noticed", func() bool { return !c.InputDrained() })
+	wait(t, "the input has been read", func() bool { return len(held) > 0 })
 	if c.InputDrained() {
-		t.Error("what was read and not looked at is not known")
+		t.Error("InputDrained is true while read bytes wait for the owner")
 	}
 	(<-held)()
 	if !c.InputDrained() || h.data != "hello" {
-		t.Errorf("the owner has looked at %q, and still something waits", h.data)
+		t.Errorf("the owner was given %q, and InputDrained is still false", h.data)
 	}
 }
 
@@ -224,7 +224,7 @@
 	}()
 	select {
 	case <-flushed:
-		t.Error("netpoll's Flush no longer blocks: Write need not go round it")
+		t.Error("netpoll's Flush no longer blocks: Write could use it")
 	case <-time.After(100 * time.Millisecond):
 	}
 	_ = nc.Close()
@@ -290,7 +290,7 @@
 		}
 		(<-o)()
 		_, _ = io.WriteString(peer, "last words")
-		wait(t, "the words are read", func() bool { return c.in.Load() > 0 })
+		wait(t, "the bytes are read", func() bool { return c.in.Load() > 0 })
 		_ = peer.(*net.TCPConn).SetLinger(linger)
 		_ = peer.Close()
 		wait(t, "the end is seen", c.ended)
@@ -299,7 +299,7 @@
 			(<-o)()
 		}
 		if h.data != "last words" {
-			t.Errorf("linger %d: heard %q before %v", linger, h.data, h.ends)
+			t.Errorf("linger %d: got data %q before the end %v", linger, h.data, h.ends)
 		}
 	}
 }
@@ -388,7 +388,7 @@
 	}
 	peer := connect(t, ln)
 	_, _ = io.WriteString(peer, "hello")
-	wait(t, "the one that speaks is heard", func() bool { var d string; h.with(func() { d = h.data }); return d == "hello" })
+	wait(t, "the data of the peer that sends has been delivered", func() bool { var d string; h.with(func() { d = h.data }); return d == "hello" })
 	if open := n.open.Load(); open > n.max {
 		t.Errorf("%d open, at most %d may be", open, n.max)
 	}
