--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -27,7 +27,7 @@
 	c.full, c.list, c.told = l.Full, l.Members, l.Told
 }
 
-func TestListIsConvertedToBrokerMembers(t *testing.T) {
+func TestListIsConvertedToListedNodes(t *testing.T) {
 	l, err := Parse([]byte(`{"revision":43,"complete":true,"members":[
 {"id":"s-1","host_port":"10.1.0.18:8000","locality":"b","flavor":"m2","cell":3,"phase":"leaving","size":1.5,"up_since_ms":0},
 {"id":"s-2","host_port":"10.1.0.19:8000","locality":"c","cell":4,"phase":"active","size":1,"up_since_ms":1000500}]}`))
