--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -156,7 +156,7 @@
 			ask := func() {
 				n++
 				w.Post(func() {
-					if v, _ := w.Take(broker.Query{WireID: fmt.Sprintf("%016x", n), Class: s.class, Left: set.Module.Classes[s.class].Deadline,
+					if v, _ := w.Admit(broker.Query{WireID: fmt.Sprintf("%016x", n), Class: s.class, Left: set.Module.Classes[s.class].Deadline,
 						Text: []byte("c41e77d0"), Parts: list, Answerer: w}); v != broker.Taken {
 						b.Fatalf("verdict %v", v)
 					}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -411,29 +411,29 @@
 
 // ---- queries ----
 
-// Verdict is the result of Take.
-type Verdict int
+// Admission is the result of Admit.
+type Admission int
 
-// The results of Take.
+// The results of Admit.
 const (
-	Taken     Verdict = iota
-	Crowded           // as many queries and parts are open as the settings allow
-	Duplicate         // a query with the same WireID is open
-	Misplaced         // class, shards, weights or time left are not valid
-	Ending            // the process is shutting down
+	Taken        Admission = iota
+	Crowded                // as many queries and parts are open as the settings allow
+	Duplicate              // a query with the same WireID is open
+	Invalid                // class, shards, weights or time left are not valid
+	ShuttingDown           // the process is shutting down
 )
 
-// Take submits a query to the module. If the result is not Taken, the Handle is nil and
+// Admit submits a query to the module. If the result is not Taken, the handle is nil and
 // the caller has to answer the client itself.
-func (c *Core) Take(in Query) (Verdict, *Handle) {
+func (c *Core) Admit(in Query) (Admission, *QueryHandle) {
 	if in.Class < 0 || in.Class >= len(c.set.Module.Classes) || !c.sound(in.Parts) || in.Left <= 0 {
-		return Misplaced, nil
+		return Invalid, nil
 	}
 	if c.wireIDs[in.WireID] != nil {
 		return Duplicate, nil
 	}
-	if gate.Take(c.ended) != gate.Allowed {
-		return Ending, nil
+	if gate.Admit(c.ended) != gate.Allowed {
+		return ShuttingDown, nil
 	}
 	sum := c.sum(in)
 	c.watch.Asked(c.now, in.Repeat, sum)
@@ -462,7 +462,7 @@
 	c.open(q, in.Parts)
 	c.hold(q, 1)
 	c.timers.add(q.end-min(lastGuard, c.set.Module.Tick), func() { c.lastMoment(q) })
-	return Taken, &Handle{c, q}
+	return Taken, &QueryHandle{c, q}
 }
 
 // sound reports whether the parts are valid: at least one, each with a shard of its own
@@ -499,14 +499,14 @@
 // hold adds n to the open queries and parts, on account of q.
 func (c *Core) hold(q *query, n int) { c.held, q.counted = c.held+n, q.counted+n }
 
-// Handle lets a front end act on a query that was taken.
-type Handle struct {
+// QueryHandle lets a front end act on a query that was taken.
+type QueryHandle struct {
 	c *Core
 	q *query
 }
 
 // ClientGone ends the query without an answer: its client has left.
-func (h *Handle) ClientGone() {
+func (h *QueryHandle) ClientGone() {
 	if h.q.over {
 		return
 	}
@@ -514,9 +514,9 @@
 	h.c.events = append(h.c.events, decide.ClientGone{Query: h.q.id})
 }
 
-// EndBy has the query fail at the given time if that is before its deadline. It is used
+// FailBy has the query fail at the given time if that is before its deadline. It is used
 // when answers to later requests of the same client have to wait for this one.
-func (h *Handle) EndBy(at time.Duration) {
+func (h *QueryHandle) FailBy(at time.Duration) {
 	if h.q.over || at >= h.q.end {
 		return
 	}
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -123,12 +123,12 @@
 	return s
 }
 
-func (s *stage) ask(t *testing.T, class int) *Handle {
+func (s *stage) ask(t *testing.T, class int) *QueryHandle {
 	t.Helper()
-	var h *Handle
+	var h *QueryHandle
 	s.Post(func() {
-		var v Verdict
-		v, h = s.Take(Query{WireID: "w", Class: class, Left: time.Second, Answerer: s,
+		var v Admission
+		v, h = s.Admit(Query{WireID: "w", Class: class, Left: time.Second, Answerer: s,
 			Parts: []QueryPart{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}})
 		if v != Taken {
 			t.Errorf("verdict %v", v)
@@ -285,17 +285,17 @@
 	}
 	for name, tt := range map[string]struct {
 		q    Query
-		want Verdict
+		want Admission
 	}{
 		"the same id":      {Query{WireID: "w", Left: 1, Parts: one}, Duplicate},
 		"too much open":    {Query{WireID: "x", Left: 1, Parts: many}, Crowded},
-		"no parts":         {Query{WireID: "x", Left: 1}, Misplaced},
-		"a shard too high": {Query{WireID: "x", Left: 1, Parts: []QueryPart{{Shard: 8, Weight: 1}}}, Misplaced},
-		"a part twice":     {Query{WireID: "x", Left: 1, Parts: append(one, one...)}, Misplaced},
-		"no time":          {Query{WireID: "x", Parts: one}, Misplaced},
-		"no class":         {Query{WireID: "x", Left: 1, Class: 9, Parts: one}, Misplaced},
+		"no parts":         {Query{WireID: "x", Left: 1}, Invalid},
+		"a shard too high": {Query{WireID: "x", Left: 1, Parts: []QueryPart{{Shard: 8, Weight: 1}}}, Invalid},
+		"a part twice":     {Query{WireID: "x", Left: 1, Parts: append(one, one...)}, Invalid},
+		"no time":          {Query{WireID: "x", Parts: one}, Invalid},
+		"no class":         {Query{WireID: "x", Left: 1, Class: 9, Parts: one}, Invalid},
 	} {
-		if got, _ := s.Take(tt.q); got != tt.want {
+		if got, _ := s.Admit(tt.q); got != tt.want {
 			t.Errorf("%s: verdict %v, want %v", name, got, tt.want)
 		}
 	}
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -95,7 +95,7 @@
 	context *tracing.Context
 	msgs    h2.MessageParser
 	msg     []byte
-	handle  *broker.Handle
+	handle  *broker.QueryHandle
 	done    bool // its status is on its way
 	doneAt  time.Duration
 }
@@ -277,12 +277,12 @@
 	id := strconv.FormatUint(f.rng.Uint64(), 16)
 	q.WireID = front.OwnPrefix + strings.Repeat("0", 16-len(id)) + id
 	q.Repeat, q.Answerer, q.Front, q.Context = k.again, k, "flight", k.context
-	switch verdict, handle := f.core.Take(q); verdict {
+	switch verdict, handle := f.core.Admit(q); verdict {
 	case broker.Taken:
 		k.handle = handle
 	case broker.Crowded:
 		k.status(h2.Status{Code: codes.Unavailable, Message: "too much is open", Pushback: front.CrowdedWait})
-	case broker.Ending:
+	case broker.ShuttingDown:
 		k.status(h2.Status{Code: codes.Unavailable, Message: "the mixer ends", Pushback: front.CrowdedWait})
 	case broker.Duplicate: // an id drawn twice
 		k.status(h2.Status{Code: codes.Unavailable, Message: "try again", Pushback: front.CrowdedWait})
--- a/internal/front/platform/pipeline.go
+++ b/internal/front/platform/pipeline.go
@@ -81,6 +81,6 @@
 func (r *request) endBy(at time.Duration) {
 	if r.ends == 0 || at < r.ends {
 		r.ends = at
-		r.handle.EndBy(at)
+		r.handle.FailBy(at)
 	}
 }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -88,7 +88,7 @@
 // request is a query's way back to its client. It implements broker.Answerer.
 type request struct {
 	c      *client
-	handle *broker.Handle
+	handle *broker.QueryHandle
 	close  bool
 	id     string
 	came   time.Duration
@@ -231,14 +231,14 @@
 	}
 	r := &request{c: c, close: m.Close, id: q.WireID, came: now, due: now + q.Left}
 	q.Answerer = r
-	verdict, handle := c.f.core.Take(q)
+	verdict, handle := c.f.core.Admit(q)
 	switch verdict {
 	case broker.Taken:
 		r.handle = handle
 		c.open = r
 	case broker.Crowded:
 		c.reply(503, "text/plain", []byte("too much is open\n"), front.CrowdedWait, m.Close)
-	case broker.Ending:
+	case broker.ShuttingDown:
 		c.reply(503, "text/plain", []byte("the mixer ends\n"), front.CrowdedWait, m.Close)
 	case broker.Duplicate:
 		text(400, "a request of that id is open")
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -26,7 +26,7 @@
 func (d *desk) Instant() time.Duration          { return d.now }
 func (d *desk) After(_ time.Duration, f func()) { d.due = append(d.due, f) }
 func (d *desk) Post(fn func())                  { fn() }
-func (d *desk) Take(q broker.Query) (broker.Verdict, *broker.Handle) {
+func (d *desk) Admit(q broker.Query) (broker.Admission, *broker.QueryHandle) {
 	d.asked = append(d.asked, q)
 	return broker.Taken, nil
 }
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -36,7 +36,7 @@
 	// Instant is the clock at this very moment, where Now is that of the present turn.
 	Instant() time.Duration
 	After(d time.Duration, fn func())
-	Take(q broker.Query) (broker.Verdict, *broker.Handle)
+	Admit(q broker.Query) (broker.Admission, *broker.QueryHandle)
 	Post(fn func())
 }
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -139,8 +139,8 @@
 	return Allowed
 }
 
-// Take checks whether a request that has been read may be admitted.
-func Take(serviceEnded bool) Verdict {
+// Admit checks whether a request that has been read may be admitted.
+func Admit(serviceEnded bool) Verdict {
 	if serviceEnded {
 		return ServiceEnded
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -96,8 +96,8 @@
 		name      string
 		got, want Verdict
 	}{
-		{"a request", Take(false), Allowed},
-		{"a request after the end", Take(true), ServiceEnded},
+		{"a request", Admit(false), Allowed},
+		{"a request after the end", Admit(true), ServiceEnded},
 		{"a connection that rests", Close(Connection{}), Allowed},
 		{"one with a request open", Close(Connection{Open: true, Unread: true}), RequestOpen},
 		{"one with half a request", Close(Connection{Partial: true}), RequestPartial},
