--- a/internal/fleet/version/every_test.go
+++ b/internal/fleet/version/every_test.go
@@ -22,48 +22,48 @@
 
 // The two documents: each allows the one node that the other excludes.
 const (
-	first  = `{"nodes":{"s-1":true,"s-2":false}}`
-	second = `{"nodes":{"s-1":false,"s-2":true}}`
+	firstDocument  = `{"nodes":{"s-1":true,"s-2":false}}`
+	secondDocument = `{"nodes":{"s-1":false,"s-2":true}}`
 )
 
 // leader is the present leader or a former one.
-type seat struct {
+type leader struct {
 	g         *Granter
 	state     State // of a former leader: what it last knew
 	confirmed time.Duration
-	old       bool
+	former    bool
 }
 
 // modelState is one state of the whole model.
-type small struct {
-	now    time.Duration
-	state  State // replicated
-	seats  []seat
-	mixers [2]*Lease
-	asks   [2]*LeaseRequest // in flight
-	grants [2]*LeaseGrant
-	make   func(lease, trial, began time.Duration) *Granter
-	asked  [2]bool // within this unit
-	left   int     // leader changes still to come
+type modelState struct {
+	now           time.Duration
+	state         State // replicated
+	leaders       []leader
+	mixers        [2]*Lease
+	requests      [2]*LeaseRequest // in flight
+	grants        [2]*LeaseGrant
+	make          func(lease, trial, began time.Duration) *Granter
+	asked         [2]bool // within this unit
+	leaderChanges int     // leader changes still to come
 	proposed,
-	taken bool
+	withdrawn bool
 }
 
-func (s *small) clone() *small {
+func (s *modelState) clone() *modelState {
 	c := *s
-	c.seats = slices.Clone(s.seats)
-	for i := range c.seats {
-		g := *c.seats[i].g
-		g.held = map[string]*Holder{}
-		for k, h := range c.seats[i].g.held {
+	c.leaders = slices.Clone(s.leaders)
+	for i := range c.leaders {
+		g := *c.leaders[i].g
+		g.holders = map[string]*Holder{}
+		for k, h := range c.leaders[i].g.holders {
 			copied := *h
-			g.held[k] = &copied
+			g.holders[k] = &copied
 		}
-		c.seats[i].g = &g
+		c.leaders[i].g = &g
 	}
 	for i := range c.mixers {
 		l := *c.mixers[i]
-		l.sent = slices.Clone(l.sent)
+		l.pending = slices.Clone(l.pending)
 		c.mixers[i] = &l
 	}
 	return &c
@@ -71,7 +71,7 @@
 
 // key is equal for states with the same possible continuations. Times are relative to now
 // and clipped to the range in which they still matter.
-func (s *small) key(lease time.Duration) uint64 {
+func (s *modelState) key(lease time.Duration) uint64 {
 	b := make([]byte, 0, 256)
 	num := func(list ...int64) {
 		for _, x := range list {
@@ -87,27 +87,27 @@
 		}
 		return 0
 	}
-	num(int64(s.state.Revision), int64(s.state.Phase), int64(s.left), flag(s.proposed), flag(s.taken))
-	for _, x := range s.seats {
-		if x.old { // it grants leases on its last state until they could not be valid; it issues no commands
+	num(int64(s.state.Revision), int64(s.state.Phase), int64(s.leaderChanges), flag(s.proposed), flag(s.withdrawn))
+	for _, x := range s.leaders {
+		if x.former { // it grants leases on its last state until they could not be valid; it issues no commands
 			num(-1, int64(x.state.Revision), rel(x.confirmed))
 			continue
 		}
 		young := func(at time.Duration) int64 { return rel(max(at, s.now-unit)) } // the duration of a trial
-		num(-6, rel(x.g.began), young(x.g.since), int64(x.g.stage))
-		for _, k := range sorted(x.g.held) {
-			h := x.g.held[k]
+		num(-6, rel(x.g.leadingSince), young(x.g.revisionSince), int64(x.g.revision))
+		for _, k := range sortedKeys(x.g.holders) {
+			h := x.g.holders[k]
 			num(-2, int64(h.Instance), int64(h.Revision), rel(max(h.ExpiresAt, s.now)), young(h.ReportedAt))
 		}
 	}
 	for i, l := range s.mixers {
-		num(-3, int64(l.state.Revision), rel(max(l.until, s.now)), flag(s.asked[i]))
-		for _, a := range l.sent {
-			if s.now-a.at < lease && s.grants[i] != nil && s.grants[i].Seq == a.seq || s.asks[i] != nil && s.asks[i].Seq == a.seq {
+		num(-3, int64(l.state.Revision), rel(max(l.expiresAt, s.now)), flag(s.asked[i]))
+		for _, a := range l.pending {
+			if s.now-a.at < lease && s.grants[i] != nil && s.grants[i].Seq == a.seq || s.requests[i] != nil && s.requests[i].Seq == a.seq {
 				num(-4, int64(a.seq)-int64(l.seq), rel(a.at))
 			}
 		}
-		if r := s.asks[i]; r != nil {
+		if r := s.requests[i]; r != nil {
 			num(-5, int64(r.Seq)-int64(l.seq), int64(r.Revision))
 		}
 		if g := s.grants[i]; g != nil {
@@ -117,8 +117,8 @@
 	return xxh3.Hash(b)
 }
 
-// allows returns the nodes that a mixer would send to now.
-func (s *small) allows(i int) (list []string) {
+// allowedNodes returns the nodes that a mixer would send to now.
+func (s *modelState) allowedNodes(i int) (list []string) {
 	r, _ := s.mixers[i].ActiveRules(s.now)
 	for _, node := range []string{"s-1", "s-2"} {
 		if barred, named := r.Barred[node]; named && !barred {
@@ -128,13 +128,13 @@
 	return list
 }
 
-// broken describes the invariant that does not hold, or returns "".
-func (s *small) broken() string {
-	a, b := s.allows(0), s.allows(1)
+// violation describes the invariant that does not hold, or returns "".
+func (s *modelState) violation() string {
+	a, b := s.allowedNodes(0), s.allowedNodes(1)
 	if len(a) > 0 && len(b) > 0 && a[0] != b[0] {
 		return fmt.Sprintf("one mixer sends to %s, the other to %s", a, b)
 	}
-	force, err := read(s.state.InForce().Text)
+	force, err := parseRules(s.state.InForce().Text)
 	if err != nil {
 		return err.Error()
 	}
@@ -148,35 +148,35 @@
 }
 
 // successors returns all states that can follow.
-func (s *small) ways(lease time.Duration) (list []*small) {
-	add := func(do func(c *small) bool) {
+func (s *modelState) successors(lease time.Duration) (list []*modelState) {
+	add := func(do func(c *modelState) bool) {
 		if c := s.clone(); do(c) {
 			list = append(list, c)
 		}
 	}
-	add(func(c *small) bool {
+	add(func(c *modelState) bool {
 		c.now += unit
 		c.asked = [2]bool{}
-		c.seats = slices.DeleteFunc(c.seats, func(x seat) bool { return x.old && x.confirmed+lease <= c.now })
+		c.leaders = slices.DeleteFunc(c.leaders, func(x leader) bool { return x.former && x.confirmed+lease <= c.now })
 		return true
 	})
 	for i := range s.mixers {
 		if !s.asked[i] {
-			add(func(c *small) bool { // sends a request; what was in flight is lost
+			add(func(c *modelState) bool { // sends a request; what was in flight is lost
 				r, ok := c.mixers[i].NextRequest(c.now)
-				c.asks[i], c.grants[i], c.asked[i] = &r, nil, true
+				c.requests[i], c.grants[i], c.asked[i] = &r, nil, true
 				return ok
 			})
 		}
-		if s.asks[i] != nil {
-			for k := range s.seats {
-				add(func(c *small) bool {
-					x, r := &c.seats[k], *c.asks[i]
+		if s.requests[i] != nil {
+			for k := range s.leaders {
+				add(func(c *modelState) bool {
+					x, r := &c.leaders[k], *c.requests[i]
 					known := x.state
-					if !x.old {
+					if !x.former {
 						known, x.confirmed = c.state, c.now
 					}
-					c.asks[i] = nil
+					c.requests[i] = nil
 					g, ok := x.g.Renew(c.now, x.confirmed, r, known)
 					if ok {
 						c.grants[i] = &g
@@ -186,11 +186,11 @@
 			}
 		}
 		if s.grants[i] != nil {
-			add(func(c *small) bool { c.mixers[i].HandleGrant(c.now, *c.grants[i]); c.grants[i] = nil; return true })
+			add(func(c *modelState) bool { c.mixers[i].HandleGrant(c.now, *c.grants[i]); c.grants[i] = nil; return true })
 		}
 	}
-	add(func(c *small) bool { // the leader moves the rollout on
-		x := &c.seats[len(c.seats)-1]
+	add(func(c *modelState) bool { // the leader moves the rollout on
+		x := &c.leaders[len(c.leaders)-1]
 		cmd, ok := x.g.NextCommand(c.now, c.state)
 		if !ok {
 			return false
@@ -200,26 +200,26 @@
 		return err == nil
 	})
 	if !s.proposed {
-		add(func(c *small) bool {
+		add(func(c *modelState) bool {
 			c.proposed = true
-			next, _, err := c.state.Apply(propose(1, "second", second, "m0"))
+			next, _, err := c.state.Apply(propose(1, "second", secondDocument, "m0"))
 			c.state = next
 			return err == nil
 		})
-	} else if !s.taken {
-		add(func(c *small) bool {
-			c.taken = true
+	} else if !s.withdrawn {
+		add(func(c *modelState) bool {
+			c.withdrawn = true
 			next, _, err := c.state.Apply(Command{Kind: Withdraw, Number: 2})
 			c.state = next
 			return err == nil
 		})
 	}
-	if s.left > 0 {
-		add(func(c *small) bool { // another leader is elected; the former one does not know yet
-			c.left--
-			last := &c.seats[len(c.seats)-1]
-			last.old, last.state, last.confirmed = true, c.state, c.now
-			c.seats = append(c.seats[max(0, len(c.seats)-1):], seat{g: c.make(lease, 0, c.now)})
+	if s.leaderChanges > 0 {
+		add(func(c *modelState) bool { // another leader is elected; the former one does not know yet
+			c.leaderChanges--
+			last := &c.leaders[len(c.leaders)-1]
+			last.former, last.state, last.confirmed = true, c.state, c.now
+			c.leaders = append(c.leaders[max(0, len(c.leaders)-1):], leader{g: c.make(lease, 0, c.now)})
 			return true
 		})
 	}
@@ -228,30 +228,30 @@
 
 // explore visits all states within a number of units of time and returns how many there
 // are, and the first broken invariant.
-func explore(units, leaders int, withdraw bool, newGranter func(lease, trial, began time.Duration) *Granter) (int, string) {
+func explore(units, changes int, withdraw bool, newGranter func(lease, trial, began time.Duration) *Granter) (int, string) {
 	lease := 2 * unit
-	s := &small{now: time.Hour, left: leaders, taken: !withdraw, make: newGranter}
-	s.state, _, _ = s.state.Apply(propose(0, "first", first, "m0"))
+	s := &modelState{now: time.Hour, leaderChanges: changes, withdrawn: !withdraw, make: newGranter}
+	s.state, _, _ = s.state.Apply(propose(0, "first", firstDocument, "m0"))
 	for range 3 {
 		s.state, _, _ = s.state.Apply(Command{Kind: Advance, Revision: s.state.Revision})
 	}
 	for i := range s.mixers {
-		s.mixers[i] = NewLease(fmt.Sprintf("m%d", i), uint64(i), lease, s.state, read)
-		s.mixers[i].until = s.now + lease // each has a lease from an earlier leader
+		s.mixers[i] = NewLease(fmt.Sprintf("m%d", i), uint64(i), lease, s.state, parseRules)
+		s.mixers[i].expiresAt = s.now + lease // each has a lease from an earlier leader
 	}
-	s.seats = []seat{{g: newGranter(lease, 0, s.now)}}
+	s.leaders = []leader{{g: newGranter(lease, 0, s.now)}}
 	end := s.now + time.Duration(units)*unit
 	seen := map[uint64]bool{s.key(lease): true}
 	// In order of time: a state that comes up again later has less time left.
-	for layer := []*small{s}; len(layer) > 0; {
-		var later []*small
+	for layer := []*modelState{s}; len(layer) > 0; {
+		var later []*modelState
 		for len(layer) > 0 {
 			at := layer[len(layer)-1]
 			layer = layer[:len(layer)-1]
-			if why := at.broken(); why != "" {
+			if why := at.violation(); why != "" {
 				return len(seen), why
 			}
-			for _, next := range at.ways(lease) {
+			for _, next := range at.successors(lease) {
 				key := next.key(lease)
 				if next.now > end || seen[key] {
 					continue
@@ -288,7 +288,7 @@
 
 // TestExplorationFindsFault guards against an exploration that finds nothing: it has to
 // find a leader that does not wait for the leases of its predecessor to expire.
-func TestTheExplorationFindsAFault(t *testing.T) {
+func TestExplorationFindsFault(t *testing.T) {
 	n, why := explore(3, 1, false, func(lease, trial, began time.Duration) *Granter { return NewGranter(lease, trial, began-2*lease) })
 	t.Logf("after %d states: %s", n, why)
 	if !strings.Contains(why, "exceeds") && !strings.Contains(why, "the other to") {
--- a/internal/fleet/version/grant.go
+++ b/internal/fleet/version/grant.go
@@ -48,24 +48,26 @@
 // leader of the voters has one for each term in which it leads. A Granter is not safe for
 // concurrent use.
 type Granter struct {
-	lease time.Duration
-	trial time.Duration
-	began time.Duration
-	held  map[string]*Holder // by holderKey
+	leaseDuration time.Duration
+	trialDuration time.Duration
+	leadingSince  time.Duration
+	holders       map[string]*Holder // by holderKey
 
-	stage uint64 // of the latest state observed
-	since time.Duration
+	revision      uint64 // of the latest state observed
+	revisionSince time.Duration
 }
 
 // NewGranter returns the Granter of a mixer that has led since began. It does not know the
 // leases that earlier leaders granted, so it waits until these must have expired. Trial is
 // how long the canaries of a version must keep their leases with it.
-func NewGranter(lease, trial, began time.Duration) *Granter {
-	return &Granter{lease: lease, trial: trial, began: began, held: map[string]*Holder{}}
+func NewGranter(leaseDuration, trialDuration, leadingSince time.Duration) *Granter {
+	return &Granter{leaseDuration: leaseDuration, trialDuration: trialDuration, leadingSince: leadingSince, holders: map[string]*Holder{}}
 }
 
 // expiryWait is how long a lease can be valid by its holder's clock.
-func (g *Granter) wait() time.Duration { return time.Duration(float64(g.lease) * (1 + MaxClockDrift)) }
+func (g *Granter) expiryWait() time.Duration {
+	return time.Duration(float64(g.leaseDuration) * (1 + MaxClockDrift))
+}
 
 func holderKey(name string, instance uint64) string { return fmt.Sprintf("%s\x00%d", name, instance) }
 
@@ -74,17 +76,17 @@
 // the next leader knows when all of this leader's leases have expired. It returns false
 // if no lease is granted now.
 func (g *Granter) Renew(now, confirmed time.Duration, r LeaseRequest, s State) (LeaseGrant, bool) {
-	g.look(now, s)
+	g.observe(now, s)
 	key := holderKey(r.Name, r.Instance)
-	h := g.held[key]
+	h := g.holders[key]
 	if h != nil && r.Seq <= h.seq {
 		return LeaseGrant{}, false // a duplicate, or overtaken by a later request
 	}
 	if r.Release {
-		delete(g.held, key)
+		delete(g.holders, key)
 		return LeaseGrant{}, false
 	}
-	left := confirmed + g.lease - now
+	left := confirmed + g.leaseDuration - now
 	if h == nil {
 		// A lease from an earlier leader needs no entry: until all of them have expired,
 		// settled reports false anyway.
@@ -92,7 +94,7 @@
 		if left <= 0 {
 			return LeaseGrant{}, false
 		}
-		g.held[key] = h
+		g.holders[key] = h
 	}
 	h.seq = r.Seq
 	if r.Revision > h.Revision {
@@ -101,13 +103,13 @@
 	if h.RefusedVersion, h.Why = r.RefusedVersion, r.Why; left <= 0 {
 		return LeaseGrant{}, false
 	}
-	h.ExpiresAt = now + g.wait()
+	h.ExpiresAt = now + g.expiryWait()
 	return LeaseGrant{Seq: r.Seq, TTL: left, State: s}, true
 }
 
 // Holders returns the holders of leases that may still be valid, by name and instance.
 func (g *Granter) Holders(now time.Duration) (list []Holder) {
-	for _, h := range g.held {
+	for _, h := range g.holders {
 		if h.ExpiresAt > now {
 			list = append(list, *h)
 		}
@@ -119,9 +121,9 @@
 }
 
 // observe records when a new revision was first seen.
-func (g *Granter) look(now time.Duration, s State) {
-	if s.Revision != g.stage {
-		g.stage, g.since = s.Revision, now
+func (g *Granter) observe(now time.Duration, s State) {
+	if s.Revision != g.revision {
+		g.revision, g.revisionSince = s.Revision, now
 	}
 }
 
@@ -129,15 +131,15 @@
 // lease for an older revision has been granted since this one was observed. A mixer whose
 // requests arrive but that never receives the answers therefore delays the fleet by no more
 // than one lease.
-func (g *Granter) settled(now time.Duration, stage uint64) bool {
-	if now < g.began+g.wait() {
+func (g *Granter) settled(now time.Duration, revision uint64) bool {
+	if now < g.leadingSince+g.expiryWait() {
 		return false
 	}
-	if now >= g.since+g.wait() {
+	if now >= g.revisionSince+g.expiryWait() {
 		return true
 	}
-	for _, h := range g.held {
-		if h.ExpiresAt > now && h.Revision < stage {
+	for _, h := range g.holders {
+		if h.ExpiresAt > now && h.Revision < revision {
 			return false
 		}
 	}
@@ -146,35 +148,35 @@
 
 // NextCommand returns the command that moves the rollout on, or false if none is due yet.
 func (g *Granter) NextCommand(now time.Duration, s State) (Command, bool) {
-	g.look(now, s)
-	forward, withdraw := Command{Kind: Advance, Revision: s.Revision}, Command{Kind: Withdraw, Revision: s.Revision}
+	g.observe(now, s)
+	advance, withdraw := Command{Kind: Advance, Revision: s.Revision}, Command{Kind: Withdraw, Revision: s.Revision}
 	if s.Phase == PhaseSteady {
-		g.forget(now)
+		g.removeExpired(now)
 		return Command{}, false
 	}
 	if s.Phase == PhaseRollback {
-		return forward, g.settled(now, s.Revision)
+		return advance, g.settled(now, s.Revision)
 	}
-	for _, h := range g.held {
+	for _, h := range g.holders {
 		if h.RefusedVersion == s.New.Number && h.ExpiresAt > now {
 			withdraw.Why = fmt.Sprintf("%s can't act on it: %s", h.Name, h.Why)
 			return withdraw, true
 		}
 	}
 	if s.Phase == PhaseSettle {
-		return forward, g.settled(now, s.Revision)
+		return advance, g.settled(now, s.Revision)
 	}
-	return g.tried(now, s, forward, withdraw)
+	return g.checkCanaries(now, s, advance, withdraw)
 }
 
 // checkCanaries decides on the version that the canaries try. A canary that stops
 // renewing its lease without giving it up is taken to have crashed because of the version,
 // which is then withdrawn.
-func (g *Granter) tried(now time.Duration, s State, forward, withdraw Command) (Command, bool) {
-	sound, waiting := 0, false
+func (g *Granter) checkCanaries(now time.Duration, s State, advance, withdraw Command) (Command, bool) {
+	passed, waiting := 0, false
 	for _, name := range s.New.Canaries {
 		var at *Holder
-		for _, h := range g.held {
+		for _, h := range g.holders {
 			if h.Name != name {
 				continue
 			}
@@ -189,29 +191,29 @@
 		switch {
 		case at == nil:
 		case at.Revision < s.Revision:
-			waiting = waiting || now < g.since+g.wait() // it may not receive our answers
-		case now-at.ReportedAt < g.trial:
+			waiting = waiting || now < g.revisionSince+g.expiryWait() // it may not receive our answers
+		case now-at.ReportedAt < g.trialDuration:
 			waiting = true
 		default:
-			sound++
+			passed++
 		}
 	}
 	if waiting {
 		return Command{}, false
 	}
-	if sound > 0 {
-		return forward, true
+	if passed > 0 {
+		return advance, true
 	}
 	withdraw.Why = "nobody is left who acts on it first"
-	return withdraw, now > max(g.since, g.began)+g.wait()
+	return withdraw, now > max(g.revisionSince, g.leadingSince)+g.expiryWait()
 }
 
 // removeExpired deletes expired holders. It is not called during a rollout, where they
 // show which mixers crashed.
-func (g *Granter) forget(now time.Duration) {
-	for key, h := range g.held {
+func (g *Granter) removeExpired(now time.Duration) {
+	for key, h := range g.holders {
 		if h.ExpiresAt <= now {
-			delete(g.held, key)
+			delete(g.holders, key)
 		}
 	}
 }
--- a/internal/fleet/version/hold.go
+++ b/internal/fleet/version/hold.go
@@ -14,36 +14,36 @@
 type Lease struct {
 	name     string
 	instance uint64
-	lease    time.Duration
-	read     RulesParser
-
-	state   State
-	rules   Rules // of state, while the lease is valid
-	safe    Rules // without a valid lease
-	until   time.Duration
-	seq     uint64
-	sent    []asked // the latest requests without an answer
-	askAt   time.Duration
-	refuses uint64
-	why     string
-	ending  bool
+	duration time.Duration
+	parse    RulesParser
+
+	state          State
+	rules          Rules // of state, while the lease is valid
+	fallback       Rules // without a valid lease
+	expiresAt      time.Duration
+	seq            uint64
+	pending        []sentRequest // the latest requests without an answer
+	nextRequestAt  time.Duration
+	refusedVersion uint64
+	refusalReason  string
+	released       bool
 }
 
-type asked struct {
+type sentRequest struct {
 	seq uint64
 	at  time.Duration
 }
 
 const (
-	renewals  = 3 // requests in a lease's duration
-	insisting = 8 // the same while requests are unanswered
-	mostAsked = 16
+	renewalsPerLease   = 3 // requests in a lease's duration
+	retriesPerLease    = 8 // the same while requests are unanswered
+	maxPendingRequests = 16
 )
 
 // NewLease returns a Lease that is not granted yet. Known is the state that the mixer
 // stored before its restart, or the zero State. Lease is the duration of leases.
-func NewLease(name string, instance uint64, lease time.Duration, known State, read RulesParser) *Lease {
-	l := &Lease{name: name, instance: instance, lease: lease, read: read}
+func NewLease(name string, instance uint64, duration time.Duration, known State, parse RulesParser) *Lease {
+	l := &Lease{name: name, instance: instance, duration: duration, parse: parse}
 	l.adopt(known)
 	return l
 }
@@ -51,29 +51,29 @@
 // adopt switches to the state s. It returns false if this mixer can't apply one of its
 // documents; then the version is kept as refused.
 func (l *Lease) adopt(s State) bool {
-	base, err := l.read("")
+	base, err := l.parse("")
 	if err != nil {
 		return false // a bug in the caller
 	}
-	rules, err := s.RulesFor(l.name, l.read)
+	rules, err := s.RulesFor(l.name, l.parse)
 	if err != nil {
-		l.refuses, l.why = s.New.Number, err.Error()
-		if _, e := l.read(s.Old.Text); e != nil {
-			l.refuses = s.Old.Number
+		l.refusedVersion, l.refusalReason = s.New.Number, err.Error()
+		if _, e := l.parse(s.Old.Text); e != nil {
+			l.refusedVersion = s.Old.Number
 		}
-		if l.safe.Allowances == nil {
-			l.safe = FallbackRules(base, base)
+		if l.fallback.Allowances == nil {
+			l.fallback = FallbackRules(base, base)
 		}
 		return false
 	}
-	l.state, l.rules, l.refuses, l.why = s, rules, 0, ""
+	l.state, l.rules, l.refusedVersion, l.refusalReason = s, rules, 0, ""
 	known := rules
 	for _, v := range []Version{s.Old, s.New} {
-		if r, err := l.read(v.Text); err == nil {
+		if r, err := l.parse(v.Text); err == nil {
 			known = MostRestrictive(known, r)
 		}
 	}
-	l.safe = FallbackRules(base, known)
+	l.fallback = FallbackRules(base, known)
 	return true
 }
 
@@ -82,68 +82,68 @@
 
 // RefusedVersion returns the number of the version that this mixer can't apply, and the
 // reason. The number is 0 if there is none.
-func (l *Lease) RefusedVersion() (uint64, string) { return l.refuses, l.why }
+func (l *Lease) RefusedVersion() (uint64, string) { return l.refusedVersion, l.refusalReason }
 
 // ActiveRules returns the rules to follow at the time now, and whether the lease is valid.
 // Without a lease they are those of FallbackRules.
 func (l *Lease) ActiveRules(now time.Duration) (Rules, bool) {
-	if now < l.until {
+	if now < l.expiresAt {
 		return l.rules, true
 	}
-	return l.safe, false
+	return l.fallback, false
 }
 
 // ExpiresAt returns when the lease expires.
-func (l *Lease) ExpiresAt() time.Duration { return l.until }
+func (l *Lease) ExpiresAt() time.Duration { return l.expiresAt }
 
 // ExpediteRenewal makes the next request due now if revision is newer than the known state.
-func (l *Lease) ExpediteRenewal(stage uint64, now time.Duration) {
-	if stage > l.state.Revision {
-		l.askAt = min(l.askAt, now)
+func (l *Lease) ExpediteRenewal(revision uint64, now time.Duration) {
+	if revision > l.state.Revision {
+		l.nextRequestAt = min(l.nextRequestAt, now)
 	}
 }
 
 // NextRequest returns a request to send to the leader if one is due.
 func (l *Lease) NextRequest(now time.Duration) (LeaseRequest, bool) {
-	if now < l.askAt || l.ending {
+	if now < l.nextRequestAt || l.released {
 		return LeaseRequest{}, false
 	}
 	l.seq++
-	pause := l.lease / renewals
-	if len(l.sent) > 0 {
-		pause = l.lease / insisting
+	pause := l.duration / renewalsPerLease
+	if len(l.pending) > 0 {
+		pause = l.duration / retriesPerLease
 	}
-	l.askAt = now + pause
-	l.sent = append(l.sent, asked{l.seq, now})
-	l.sent = l.sent[max(0, len(l.sent)-mostAsked):]
-	return LeaseRequest{Name: l.name, Instance: l.instance, Seq: l.seq, Revision: l.state.Revision, RefusedVersion: l.refuses, Why: l.why}, true
+	l.nextRequestAt = now + pause
+	l.pending = append(l.pending, sentRequest{l.seq, now})
+	l.pending = l.pending[max(0, len(l.pending)-maxPendingRequests):]
+	return LeaseRequest{Name: l.name, Instance: l.instance, Seq: l.seq, Revision: l.state.Revision, RefusedVersion: l.refusedVersion, Why: l.refusalReason}, true
 }
 
 // HandleGrant takes a lease. It reports whether this mixer follows or refuses another
 // revision now: the next request, which tells the leader so, is then due at once.
 func (l *Lease) HandleGrant(now time.Duration, g LeaseGrant) bool {
-	i := slices.IndexFunc(l.sent, func(a asked) bool { return a.seq == g.Seq })
-	if i < 0 || g.State.Revision < l.state.Revision || l.ending {
+	i := slices.IndexFunc(l.pending, func(a sentRequest) bool { return a.seq == g.Seq })
+	if i < 0 || g.State.Revision < l.state.Revision || l.released {
 		return false // for a request that is not remembered any more, or from a leader that is behind
 	}
-	at := l.sent[i].at
-	l.sent = slices.Delete(l.sent, 0, i+1)
-	until := at + min(g.TTL, l.lease)
+	at := l.pending[i].at
+	l.pending = slices.Delete(l.pending, 0, i+1)
+	expiresAt := at + min(g.TTL, l.duration)
 	if g.State.Revision > l.state.Revision {
 		if !l.adopt(g.State) {
-			l.askAt = now // the refusal is reported at once; the old lease expires
+			l.nextRequestAt = now // the refusal is reported at once; the old lease expires
 			return true
 		}
-		l.until, l.askAt = until, now
+		l.expiresAt, l.nextRequestAt = expiresAt, now
 		return true
 	}
-	l.until = max(l.until, until)
+	l.expiresAt = max(l.expiresAt, expiresAt)
 	return false
 }
 
 // Release gives up the lease for good and returns the request that tells the leader so.
 func (l *Lease) Release() LeaseRequest {
-	l.ending, l.until = true, 0
+	l.released, l.expiresAt = true, 0
 	l.seq++
 	return LeaseRequest{Name: l.name, Instance: l.instance, Seq: l.seq, Release: true}
 }
--- a/internal/fleet/version/lists.go
+++ b/internal/fleet/version/lists.go
@@ -28,10 +28,10 @@
 
 // Limits on what is accepted from lists.
 const (
-	omitHold   = 10 * time.Second // how long the omission of most nodes, or by a list of an older revision, is not accepted
-	omitShare  = 0.5              // of all nodes; more omitted at once are "most"
-	forgetLine = 10 * time.Minute // after which a node that is gone is deleted
-	mostLines  = 4096
+	omissionHold    = 10 * time.Second // how long the omission of most nodes, or by a list of an older revision, is not accepted
+	maxOmittedShare = 0.5              // of all nodes; more omitted at once are "most"
+	goneRetention   = 10 * time.Minute // after which a node that is gone is deleted
+	maxNodes        = 4096
 )
 
 // NodeView is a mixer's view of the nodes, merged from its own watch of discovery and from
@@ -42,40 +42,40 @@
 // and not at once if the list's revision went back or the list omits most nodes. A NodeView
 // is not safe for concurrent use.
 type NodeView struct {
-	nodes    map[string]*listed
+	nodes    map[string]*nodeRecord
 	revision int64
 	// Hold keeps omitted nodes for as long as it is set. An operator sets it.
 	Hold bool
 }
 
-type listed struct {
+type nodeRecord struct {
 	NodeEntry
-	missing time.Duration // since when this mixer's list omits it; 0: it does not
-	gone    bool          // because of the omission
-	at      time.Duration // when the omission was accepted, or Line last became another one
+	omittedSince time.Duration // since when this mixer's list omits it; 0: it does not
+	dropped      bool          // because of the omission
+	changedAt    time.Duration // when the omission was accepted, or Line last became another one
 }
 
 // NewNodeView returns an empty NodeView.
-func NewNodeView() *NodeView { return &NodeView{nodes: map[string]*listed{}} }
+func NewNodeView() *NodeView { return &NodeView{nodes: map[string]*nodeRecord{}} }
 
 // ApplyList merges a list from this mixer's own watch; full tells a whole list from a list
 // of changes. It returns the entries that changed in the view, those that fall due by time
 // included, and the reason why omissions are not accepted yet, or "".
-func (l *NodeView) ApplyList(now time.Duration, full bool, revision int64, lines []NodeEntry) (changed []NodeEntry, doubts string) {
+func (l *NodeView) ApplyList(now time.Duration, full bool, revision int64, entries []NodeEntry) (changed []NodeEntry, doubts string) {
 	named := map[string]bool{}
-	for _, line := range lines {
-		named[line.ID] = true
-		if line.Told = 0; line.Life != NodeActive {
-			line.Told = now
+	for _, entry := range entries {
+		named[entry.ID] = true
+		if entry.Told = 0; entry.Life != NodeActive {
+			entry.Told = now
 		}
-		if c, ok := l.join(now, line, true); ok {
+		if c, ok := l.mergeEntry(now, entry, true); ok {
 			changed = append(changed, c)
 		}
 	}
 	if full {
 		omitted, running := 0, 0
 		for _, n := range l.nodes {
-			if n.Life == NodeGone || n.gone {
+			if n.Life == NodeGone || n.dropped {
 				continue
 			}
 			if running++; !named[n.ID] {
@@ -83,7 +83,7 @@
 			}
 		}
 		back := revision < l.revision
-		most := float64(omitted) > omitShare*float64(running)
+		most := float64(omitted) > maxOmittedShare*float64(running)
 		switch {
 		case omitted == 0:
 		case back:
@@ -91,16 +91,16 @@
 		case most:
 			doubts = "it leaves out " + strconv.Itoa(omitted) + " of " + strconv.Itoa(running) + " nodes at once"
 		}
-		for _, id := range sorted(l.nodes) {
+		for _, id := range sortedKeys(l.nodes) {
 			n := l.nodes[id]
-			if named[id] || n.Life == NodeGone || n.gone {
+			if named[id] || n.Life == NodeGone || n.dropped {
 				continue
 			}
-			if n.missing == 0 {
-				n.missing = now
+			if n.omittedSince == 0 {
+				n.omittedSince = now
 			}
 			if doubts == "" && !l.Hold {
-				changed = append(changed, l.drop(now, n))
+				changed = append(changed, l.dropOmitted(now, n))
 			}
 		}
 	}
@@ -109,52 +109,52 @@
 }
 
 // dropOmitted marks a node as gone because this mixer's list omits it.
-func (l *NodeView) drop(now time.Duration, n *listed) NodeEntry {
-	n.gone, n.at = true, now
-	line := n.NodeEntry
-	line.Life, line.Told = NodeGone, n.missing
-	return line
+func (l *NodeView) dropOmitted(now time.Duration, n *nodeRecord) NodeEntry {
+	n.dropped, n.changedAt = true, now
+	entry := n.NodeEntry
+	entry.Life, entry.Told = NodeGone, n.omittedSince
+	return entry
 }
 
 // ApplyReport merges an entry that another mixer received, with its report time converted
 // to the local clock. It returns the resulting entry and whether it changed in the view.
-func (l *NodeView) ApplyReport(now time.Duration, line NodeEntry) (NodeEntry, bool) {
-	return l.join(now, line, false)
+func (l *NodeView) ApplyReport(now time.Duration, entry NodeEntry) (NodeEntry, bool) {
+	return l.mergeEntry(now, entry, false)
 }
 
 // mergeEntry merges an entry, from this mixer's own list if own is set. It returns the
 // resulting entry and whether it changed in the view.
-func (l *NodeView) join(now time.Duration, line NodeEntry, own bool) (NodeEntry, bool) {
-	n := l.nodes[line.ID]
-	if n == nil || line.Started > n.Started {
-		if len(l.nodes) >= mostLines {
-			l.forget(now, 0)
+func (l *NodeView) mergeEntry(now time.Duration, entry NodeEntry, own bool) (NodeEntry, bool) {
+	n := l.nodes[entry.ID]
+	if n == nil || entry.Started > n.Started {
+		if len(l.nodes) >= maxNodes {
+			l.removeGone(now, 0)
 		}
-		l.nodes[line.ID] = &listed{NodeEntry: line, at: now}
-		return line, true
+		l.nodes[entry.ID] = &nodeRecord{NodeEntry: entry, changedAt: now}
+		return entry, true
 	}
-	if line.Started < n.Started {
+	if entry.Started < n.Started {
 		return NodeEntry{}, false // about an earlier start
 	}
 	changed := false
-	if own && line.Life != NodeGone {
-		n.missing = 0
-		if n.gone { // listed again after an omission
-			n.gone, changed = false, true
+	if own && entry.Life != NodeGone {
+		n.omittedSince = 0
+		if n.dropped { // listed again after an omission
+			n.dropped, changed = false, true
 		}
 	}
 	switch {
-	case line.Life > n.Life:
-		if n.Told > 0 && n.Told < line.Told {
-			line.Told = n.Told // the report that it leaves came first
+	case entry.Life > n.Life:
+		if n.Told > 0 && n.Told < entry.Told {
+			entry.Told = n.Told // the report that it leaves came first
 		}
-		n.NodeEntry, n.at, changed = line, now, true
-	case line.Life == n.Life && line.Life != NodeActive && line.Told < n.Told:
-		n.Told, changed = line.Told, true
-	case line.Life == n.Life && own && line.Data != n.Data:
-		n.Data, changed = line.Data, true
+		n.NodeEntry, n.changedAt, changed = entry, now, true
+	case entry.Life == n.Life && entry.Life != NodeActive && entry.Told < n.Told:
+		n.Told, changed = entry.Told, true
+	case entry.Life == n.Life && own && entry.Data != n.Data:
+		n.Data, changed = entry.Data, true
 	}
-	if n.gone {
+	if n.dropped {
 		return NodeEntry{}, false // already gone for this mixer
 	}
 	return n.NodeEntry, changed
@@ -163,19 +163,19 @@
 // DropOverdue drops the nodes that have been omitted for longer than omissionHold and
 // returns their entries. It also deletes nodes that have been gone for goneRetention.
 func (l *NodeView) DropOverdue(now time.Duration) (changed []NodeEntry) {
-	for _, id := range sorted(l.nodes) {
+	for _, id := range sortedKeys(l.nodes) {
 		n := l.nodes[id]
-		if n.missing > 0 && !n.gone && n.Life != NodeGone && !l.Hold && now-n.missing >= omitHold {
-			changed = append(changed, l.drop(now, n))
+		if n.omittedSince > 0 && !n.dropped && n.Life != NodeGone && !l.Hold && now-n.omittedSince >= omissionHold {
+			changed = append(changed, l.dropOmitted(now, n))
 		}
 	}
-	l.forget(now, forgetLine)
+	l.removeGone(now, goneRetention)
 	return changed
 }
 
-func (l *NodeView) forget(now, after time.Duration) {
+func (l *NodeView) removeGone(now, after time.Duration) {
 	for id, n := range l.nodes {
-		if (n.gone || n.Life == NodeGone) && now-n.at >= after {
+		if (n.dropped || n.Life == NodeGone) && now-n.changedAt >= after {
 			delete(l.nodes, id)
 		}
 	}
@@ -183,8 +183,8 @@
 
 // Listed returns the nodes that are active or leaving, by ID.
 func (l *NodeView) Listed() (list []NodeEntry) {
-	for _, id := range sorted(l.nodes) {
-		if n := l.nodes[id]; !n.gone && n.Life != NodeGone {
+	for _, id := range sortedKeys(l.nodes) {
+		if n := l.nodes[id]; !n.dropped && n.Life != NodeGone {
 			list = append(list, n.NodeEntry)
 		}
 	}
@@ -194,7 +194,7 @@
 // Entries returns the entries of all nodes, by ID, including those that are gone, for
 // other mixers to merge.
 func (l *NodeView) Entries() (list []NodeEntry) {
-	for _, id := range sorted(l.nodes) {
+	for _, id := range sortedKeys(l.nodes) {
 		list = append(list, l.nodes[id].NodeEntry)
 	}
 	return list
--- a/internal/fleet/version/rules.go
+++ b/internal/fleet/version/rules.go
@@ -66,15 +66,15 @@
 func (d Document) ApplyTo(base Rules) Rules {
 	r := base
 	r.Allowances, r.Barred, r.Left = maps.Clone(base.Allowances), map[string]bool{}, map[string]bool{}
-	set(&r.Attempts, d.Attempts)
-	set(&r.Copies, d.Copies)
-	set(&r.FurtherRatio, d.FurtherRatio)
-	set(&r.FurtherSpare, d.FurtherSpare)
-	set(&r.ColdShare, d.ColdShare)
-	set(&r.MaxOpen, d.MaxOpen)
-	set(&r.HoldList, d.HoldList)
-	set(&r.StormRetries, d.StormRetries)
-	set(&r.StormGood, d.StormGood)
+	override(&r.Attempts, d.Attempts)
+	override(&r.Copies, d.Copies)
+	override(&r.FurtherRatio, d.FurtherRatio)
+	override(&r.FurtherSpare, d.FurtherSpare)
+	override(&r.ColdShare, d.ColdShare)
+	override(&r.MaxOpen, d.MaxOpen)
+	override(&r.HoldList, d.HoldList)
+	override(&r.StormRetries, d.StormRetries)
+	override(&r.StormGood, d.StormGood)
 	for tenant, x := range d.Allowances {
 		if _, ok := r.Allowances[tenant]; ok {
 			r.Allowances[tenant] = x
@@ -89,7 +89,7 @@
 	return r
 }
 
-func set[T any](to *T, from *T) {
+func override[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
 	}
@@ -99,14 +99,14 @@
 func MostRestrictive(a, b Rules) Rules {
 	return Rules{Attempts: min(a.Attempts, b.Attempts), Copies: a.Copies && b.Copies, FurtherRatio: min(a.FurtherRatio, b.FurtherRatio),
 		FurtherSpare: min(a.FurtherSpare, b.FurtherSpare), ColdShare: min(a.ColdShare, b.ColdShare), MaxOpen: min(a.MaxOpen, b.MaxOpen),
-		Allowances: merge(a.Allowances, b.Allowances, func(x, y float64) float64 { return min(x, y) }),
-		Barred:     merge(a.Barred, b.Barred, or), Left: merge(a.Left, b.Left, or), HoldList: a.HoldList || b.HoldList,
+		Allowances: mergeMaps(a.Allowances, b.Allowances, func(x, y float64) float64 { return min(x, y) }),
+		Barred:     mergeMaps(a.Barred, b.Barred, or), Left: mergeMaps(a.Left, b.Left, or), HoldList: a.HoldList || b.HoldList,
 		StormRetries: min(a.StormRetries, b.StormRetries), StormGood: max(a.StormGood, b.StormGood)}
 }
 
 func or(x, y bool) bool { return x || y }
 
-func merge[T any](a, b map[string]T, both func(x, y T) T) map[string]T {
+func mergeMaps[T any](a, b map[string]T, both func(x, y T) T) map[string]T {
 	out := maps.Clone(a)
 	if out == nil {
 		out = map[string]T{}
@@ -151,17 +151,17 @@
 			keys = append(keys, k.key)
 		}
 	}
-	for _, tenant := range sorted(b.Allowances) {
+	for _, tenant := range sortedKeys(b.Allowances) {
 		if x, ok := a.Allowances[tenant]; ok && x > b.Allowances[tenant] {
 			keys = append(keys, "allowances."+tenant)
 		}
 	}
-	for _, node := range sorted(b.Barred) {
+	for _, node := range sortedKeys(b.Barred) {
 		if b.Barred[node] && !a.Barred[node] {
 			keys = append(keys, "nodes."+node)
 		}
 	}
-	for _, zone := range sorted(b.Left) {
+	for _, zone := range sortedKeys(b.Left) {
 		if b.Left[zone] && !a.Left[zone] {
 			keys = append(keys, "zones_left."+zone)
 		}
@@ -177,4 +177,4 @@
 	return slices.Compact(keys)
 }
 
-func sorted[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/fleet/version/rules_test.go
+++ b/internal/fleet/version/rules_test.go
@@ -19,8 +19,8 @@
 
 func ptr[T any](x T) *T { return &x }
 
-// read is a RulesParser over base.
-func read(text string) (Rules, error) {
+// parseRules is a RulesParser over base.
+func parseRules(text string) (Rules, error) {
 	var d Document
 	if text == "broken" {
 		return Rules{}, errors.New("nodes: can't be read")
@@ -65,7 +65,7 @@
 // TestMostRestrictive: the combination of two versions exceeds neither and does not depend
 // on the order, and a mixer without a lease exceeds no version in nodes or zones that it
 // knows of.
-func TestTheSafeSide(t *testing.T) {
+func TestMostRestrictive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawDocument(t, "a").ApplyTo(base), drawDocument(t, "b").ApplyTo(base), drawDocument(t, "c").ApplyTo(base)
 		m := MostRestrictive(a, b)
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestWhatContradictsWhat(t *testing.T) {
+func TestConflictingKeys(t *testing.T) {
 	for _, c := range []struct {
 		a, b string
 		want []string
@@ -107,8 +107,8 @@
 		{`{"zones_left":["z"]}`, `{"cold_share":0.5,"copies":false}`, []string{"cold_share", "copies", "zones_left.z"}},
 		{`{"allowances":{"a":5,"unknown":1}}`, `{"allowances":{"a":10}}`, []string{"allowances.a"}},
 	} {
-		a, err := read(c.a)
-		b, err2 := read(c.b)
+		a, err := parseRules(c.a)
+		b, err2 := parseRules(c.b)
 		if err != nil || err2 != nil {
 			t.Fatal(err, err2)
 		}
@@ -122,7 +122,7 @@
 	return Command{Kind: Propose, Version: Version{BaseNumber: from, Mark: mark, Text: text, Canaries: tries}}
 }
 
-func must(t *testing.T, s State, c Command) State {
+func mustApply(t *testing.T, s State, c Command) State {
 	t.Helper()
 	next, _, err := s.Apply(c)
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 func TestOneVersionAtATime(t *testing.T) {
-	s := must(t, State{}, propose(0, "m1", `{"attempts":3}`, "x"))
+	s := mustApply(t, State{}, propose(0, "m1", `{"attempts":3}`, "x"))
 	if _, _, err := s.Apply(propose(0, "m2", `{}`)); err == nil {
 		t.Error("two versions are being rolled out")
 	}
@@ -143,7 +143,7 @@
 		t.Error("a command for an old revision took effect")
 	}
 	for range 3 {
-		s = must(t, s, Command{Kind: Advance, Revision: s.Revision})
+		s = mustApply(t, s, Command{Kind: Advance, Revision: s.Revision})
 	}
 	if s.Phase != PhaseSteady || s.Old.Number != 1 {
 		t.Fatalf("%+v", s)
@@ -151,39 +151,39 @@
 	if _, _, err := s.Apply(propose(0, "m3", `{}`)); err == nil || !strings.Contains(err.Error(), "the latest is 1") {
 		t.Errorf("derived from an old version: %v", err)
 	}
-	s = must(t, s, propose(1, "m4", `{"attempts":2}`, "x"))
-	s = must(t, s, Command{Kind: Withdraw, Number: 2})
+	s = mustApply(t, s, propose(1, "m4", `{"attempts":2}`, "x"))
+	s = mustApply(t, s, Command{Kind: Withdraw, Number: 2})
 	if s.Phase != PhaseSteady || s.Old.Number != 1 || s.Latest != 2 {
 		t.Fatalf("withdrawn before it came into force: %+v", s)
 	}
-	s = must(t, s, propose(2, "m5", `{"attempts":2}`, "x"))
-	s = must(t, must(t, s, Command{Kind: Advance, Revision: s.Revision}), Command{Kind: Advance, Revision: s.Revision + 1})
+	s = mustApply(t, s, propose(2, "m5", `{"attempts":2}`, "x"))
+	s = mustApply(t, mustApply(t, s, Command{Kind: Advance, Revision: s.Revision}), Command{Kind: Advance, Revision: s.Revision + 1})
 	if s.Phase != PhaseRollout || s.InForce().Number != 3 {
 		t.Fatalf("%+v", s)
 	}
-	s = must(t, s, Command{Kind: Withdraw, Revision: s.Revision, Why: "x died"})
+	s = mustApply(t, s, Command{Kind: Withdraw, Revision: s.Revision, Why: "x died"})
 	if s.Phase != PhaseRollback || s.InForce().Number != 3 {
 		t.Fatalf("withdrawn while in force: %+v", s)
 	}
-	s = must(t, s, Command{Kind: Advance, Revision: s.Revision})
+	s = mustApply(t, s, Command{Kind: Advance, Revision: s.Revision})
 	if v, ok := s.Find(3); s.Old.Number != 1 || !ok || v.Outcome != "withdrawn: x died" {
 		t.Fatalf("%+v", s)
 	}
 	for n := s.Latest; n < 200; n++ {
-		s = must(t, s, propose(n, strconv.Itoa(int(n)), `{}`, "x"))
-		s = must(t, s, Command{Kind: Withdraw, Number: n + 1})
+		s = mustApply(t, s, propose(n, strconv.Itoa(int(n)), `{}`, "x"))
+		s = mustApply(t, s, Command{Kind: Withdraw, Number: n + 1})
 	}
-	if len(s.History) != mostHistory {
+	if len(s.History) != maxHistory {
 		t.Errorf("%d versions in the history", len(s.History))
 	}
 }
 
 // TestRefusalIsFinal: duplicates of one proposal can arrive in any order, from leaders that
 // do not know of each other. The one that is executed first decides for all of them.
-func TestRefusedForGood(t *testing.T) {
+func TestRefusalIsFinal(t *testing.T) {
 	settle := func(s State) State {
 		for s.Phase != PhaseSteady {
-			s = must(t, s, Command{Kind: Advance, Revision: s.Revision})
+			s = mustApply(t, s, Command{Kind: Advance, Revision: s.Revision})
 		}
 		return s
 	}
@@ -198,7 +198,7 @@
 		}
 		return next
 	}
-	s := must(t, State{}, propose(0, "a", `{}`))
+	s := mustApply(t, State{}, propose(0, "a", `{}`))
 	s = refused(s, propose(1, "b", `{}`), "on its way")
 	s = settle(s)
 	s = refused(s, propose(1, "b", `{}`), "on its way")
@@ -210,26 +210,26 @@
 		t.Errorf("refused after it was accepted: %d, %v", n, err)
 	}
 	s = refused(s, propose(2, "d", `{}`), "the latest is 1")
-	s = settle(must(t, s, propose(1, "e", `{}`)))
+	s = settle(mustApply(t, s, propose(1, "e", `{}`)))
 	s = refused(s, propose(2, "d", `{}`), "the latest is 1")
 	s = refused(s, propose(1, "b", `{}`), "the latest is 2")
 	if len(s.Refusals) != 1 {
 		t.Errorf("%d refusals kept, want 1: only one could still be retried", len(s.Refusals))
 	}
-	s = refused(s, propose(2, strings.Repeat("m", mostMark+1), `{}`), "mark")
+	s = refused(s, propose(2, strings.Repeat("m", maxMarkBytes+1), `{}`), "mark")
 	s = refused(s, propose(2, "", `{}`), "mark")
 
-	s = must(t, s, propose(2, "f", `{}`))
-	for i := len(s.Refusals); i < mostRefused; i++ {
+	s = mustApply(t, s, propose(2, "f", `{}`))
+	for i := len(s.Refusals); i < maxRefusals; i++ {
 		s = refused(s, propose(3, "r"+strconv.Itoa(i), `{}`), "on its way")
 	}
 	if _, _, err := s.Apply(propose(3, "one more", `{}`)); err != ErrTooManyRefusals {
 		t.Errorf("one more refusal than can be kept: %v", err)
 	}
-	must(t, settle(s), propose(3, "one more", `{}`))
+	mustApply(t, settle(s), propose(3, "one more", `{}`))
 }
 
-func TestATenthTriesFirst(t *testing.T) {
+func TestPickCanaries(t *testing.T) {
 	var names []string
 	for i := range 31 {
 		names = append(names, fmt.Sprintf("n%02d", i))
@@ -254,7 +254,7 @@
 
 // TestZonePlansFollowEachOther: each plan has to follow the present one, and replacing it
 // does not affect the rollout of a version.
-func TestPlansFollowEachOther(t *testing.T) {
+func TestZonePlansFollowEachOther(t *testing.T) {
 	s := State{Phase: PhaseTrial, New: Version{Number: 3}, Latest: 3, Revision: 9}
 	for _, c := range []struct {
 		seq  uint64
--- a/internal/fleet/version/state.go
+++ b/internal/fleet/version/state.go
@@ -41,12 +41,12 @@
 }
 
 const (
-	withdrawn   = "withdrawn: "
-	mostHistory = 64 // withdrawn or replaced versions kept
-	mostText    = 64 << 10
-	mostMark    = 64  // bytes
-	mostWhy     = 160 // bytes of a refusal's reason
-	mostRefused = 64  // refusals kept
+	withdrawnPrefix  = "withdrawn: "
+	maxHistory       = 64 // withdrawn or replaced versions kept
+	maxDocumentBytes = 64 << 10
+	maxMarkBytes     = 64  // bytes
+	maxReasonBytes   = 160 // bytes of a refusal's reason
+	maxRefusals      = 64  // refusals kept
 )
 
 // ErrTooManyRefusals is returned for a proposal that can be neither accepted nor refused
@@ -54,7 +54,7 @@
 var ErrTooManyRefusals = errors.New("too many proposals were refused since the latest version")
 
 // MaxDocumentBytes is the maximum length of a settings document and of a zone plan.
-const MaxDocumentBytes = mostText
+const MaxDocumentBytes = maxDocumentBytes
 
 // State is the state machine that the voters replicate. Only Apply changes it.
 type State struct {
@@ -139,9 +139,9 @@
 		if c.Revision != s.Revision || s.Phase == PhaseSteady {
 			return s, 0, fmt.Errorf("made for stage %d, it is %d", c.Revision, s.Revision)
 		}
-		return s.forward(), s.New.Number, nil
+		return s.advance(), s.New.Number, nil
 	case Withdraw:
-		if v, ok := s.Find(c.Number); c.Number > 0 && ok && strings.HasPrefix(v.Outcome, withdrawn) {
+		if v, ok := s.Find(c.Number); c.Number > 0 && ok && strings.HasPrefix(v.Outcome, withdrawnPrefix) {
 			return s, c.Number, nil // a repeated command
 		}
 		switch {
@@ -156,7 +156,7 @@
 		return s.withdraw(c.Why), number, nil
 	}
 	if c.Kind == SetZonePlan {
-		return s.replan(c)
+		return s.setZonePlan(c)
 	}
 	return s, 0, fmt.Errorf("a command of kind %d", c.Kind)
 }
@@ -165,8 +165,8 @@
 // first decision on an idempotency key is final, in whichever order the duplicates of one
 // proposal arrive.
 func (s State) propose(v Version, why string) (State, uint64, error) {
-	if v.Mark == "" || len(v.Mark) > mostMark {
-		return s, 0, fmt.Errorf("a mark of %d bytes, wanted 1 to %d", len(v.Mark), mostMark)
+	if v.Mark == "" || len(v.Mark) > maxMarkBytes {
+		return s, 0, fmt.Errorf("a mark of %d bytes, wanted 1 to %d", len(v.Mark), maxMarkBytes)
 	}
 	for _, old := range append([]Version{s.Old, s.New}, s.History...) {
 		if old.Mark == v.Mark {
@@ -179,7 +179,7 @@
 	switch {
 	case v.BaseNumber < s.Latest: // permanent without being recorded, as numbers only grow
 		return s, 0, fmt.Errorf("made from version %d, the latest is %d", v.BaseNumber, s.Latest)
-	case len(v.Text) > mostText:
+	case len(v.Text) > maxDocumentBytes:
 		return s, 0, fmt.Errorf("a document of %d bytes", len(v.Text))
 	case why != "":
 	case v.BaseNumber > s.Latest:
@@ -188,76 +188,76 @@
 		why = fmt.Sprintf("version %d is on its way (%v)", s.New.Number, s.Phase)
 	}
 	if why != "" {
-		if len(s.Refusals) >= mostRefused {
+		if len(s.Refusals) >= maxRefusals {
 			return s, 0, ErrTooManyRefusals
 		}
-		s.Refusals = append(slices.Clone(s.Refusals), Refusal{v.Mark, v.BaseNumber, why[:min(len(why), mostWhy)]})
+		s.Refusals = append(slices.Clone(s.Refusals), Refusal{v.Mark, v.BaseNumber, why[:min(len(why), maxReasonBytes)]})
 		return s, 0, errors.New(why)
 	}
 	s.Latest++
 	v.Number, v.Outcome = s.Latest, ""
 	s.New, s.Phase = v, PhaseTrial
 	s.Refusals = slices.DeleteFunc(slices.Clone(s.Refusals), func(r Refusal) bool { return r.BaseNumber < s.Latest }) // refused from now on by their version number
-	return s.changed(fmt.Sprintf("version %d is proposed", v.Number)), v.Number, nil
+	return s.withChange(fmt.Sprintf("version %d is proposed", v.Number)), v.Number, nil
 }
 
 // setZonePlan replaces the zone plan. A plan that does not follow the present one is
 // rejected: otherwise two leaders, or a leader and its own late message, would undo each
 // other's changes.
-func (s State) replan(c Command) (State, uint64, error) {
+func (s State) setZonePlan(c Command) (State, uint64, error) {
 	switch {
 	case c.Seq == s.PlanSeq && c.Plan == s.Plan:
 		return s, c.Seq, nil // a repeated command
 	case c.Seq != s.PlanSeq+1:
 		return s, 0, fmt.Errorf("plan %d does not follow plan %d", c.Seq, s.PlanSeq)
-	case len(c.Plan) > mostText:
+	case len(c.Plan) > maxDocumentBytes:
 		return s, 0, fmt.Errorf("a plan of %d bytes", len(c.Plan))
 	}
 	s.Plan, s.PlanSeq = c.Plan, c.Seq
-	return s.changed(fmt.Sprintf("plan %d for the zones: %s", c.Seq, c.Why[:min(len(c.Why), mostWhy)])), c.Seq, nil
+	return s.withChange(fmt.Sprintf("plan %d for the zones: %s", c.Seq, c.Why[:min(len(c.Why), maxReasonBytes)])), c.Seq, nil
 }
 
-func (s State) forward() State {
+func (s State) advance() State {
 	switch s.Phase {
 	case PhaseTrial:
 		s.Phase = PhaseSettle
-		return s.changed(fmt.Sprintf("version %d was tried", s.New.Number))
+		return s.withChange(fmt.Sprintf("version %d was tried", s.New.Number))
 	case PhaseSettle:
 		s.Phase = PhaseRollout
-		return s.changed(fmt.Sprintf("version %d is in force", s.New.Number))
+		return s.withChange(fmt.Sprintf("version %d is in force", s.New.Number))
 	case PhaseRollout:
 		s.Old.Outcome = cmp.Or(s.Old.Outcome, "replaced")
-		s = s.remember(s.Old)
+		s = s.addToHistory(s.Old)
 		s.Old, s.New, s.Phase = s.New, Version{}, PhaseSteady
-		return s.changed(fmt.Sprintf("all act on version %d", s.Old.Number))
+		return s.withChange(fmt.Sprintf("all act on version %d", s.Old.Number))
 	}
-	s = s.remember(s.New) // PhaseRollback
+	s = s.addToHistory(s.New) // PhaseRollback
 	s.New, s.Phase = Version{}, PhaseSteady
-	return s.changed(fmt.Sprintf("back on version %d", s.Old.Number))
+	return s.withChange(fmt.Sprintf("back on version %d", s.Old.Number))
 }
 
 func (s State) withdraw(why string) State {
-	s.New.Outcome = withdrawn + cmp.Or(why, "an operator's word")
+	s.New.Outcome = withdrawnPrefix + cmp.Or(why, "an operator's word")
 	what := fmt.Sprintf("version %d is %s", s.New.Number, s.New.Outcome)
 	if s.Phase == PhaseRollout { // the canaries exceed the old version: first all move to the most restrictive of both
 		s.Phase = PhaseRollback
-		return s.changed(what)
+		return s.withChange(what)
 	}
-	s = s.remember(s.New)
+	s = s.addToHistory(s.New)
 	s.New, s.Phase = Version{}, PhaseSteady
-	return s.changed(what)
+	return s.withChange(what)
 }
 
-func (s State) remember(v Version) State {
+func (s State) addToHistory(v Version) State {
 	if v.Number > 0 {
 		s.History = append(slices.Clone(s.History), v)
 		slices.SortFunc(s.History, func(a, b Version) int { return cmp.Compare(a.Number, b.Number) })
-		s.History = s.History[max(0, len(s.History)-mostHistory):]
+		s.History = s.History[max(0, len(s.History)-maxHistory):]
 	}
 	return s
 }
 
-func (s State) changed(what string) State {
+func (s State) withChange(what string) State {
 	s.Revision++
 	s.LastChange = what
 	return s
@@ -265,15 +265,15 @@
 
 // RulesFor returns the rules that the mixer called name follows while its lease is valid.
 // It returns an error if a document that it needs can't be parsed.
-func (s State) RulesFor(name string, read func(text string) (Rules, error)) (Rules, error) {
-	old, err := read(s.Old.Text)
+func (s State) RulesFor(name string, parse func(text string) (Rules, error)) (Rules, error) {
+	old, err := parse(s.Old.Text)
 	if err != nil {
 		return old, fmt.Errorf("version %d: %w", s.Old.Number, err)
 	}
 	if s.Phase == PhaseSteady {
 		return old, nil
 	}
-	next, err := read(s.New.Text)
+	next, err := parse(s.New.Text)
 	if err != nil {
 		return old, fmt.Errorf("version %d: %w", s.New.Number, err)
 	}
