--- a/internal/fleet/version/hold.go
+++ b/internal/fleet/version/lease.go
@@ -41,7 +41,7 @@
 )
 
 // NewLease returns a Lease that is not granted yet. Known is the state that the mixer
-// stored before its restart, or the zero State. Lease is the duration of leases.
+// stored before its restart, or the zero State.
 func NewLease(name string, instance uint64, duration time.Duration, known State, parse RulesParser) *Lease {
 	l := &Lease{name: name, instance: instance, duration: duration, parse: parse}
 	l.adopt(known)
--- a/internal/fleet/version/lists.go
+++ b/internal/fleet/version/nodeview.go
@@ -31,7 +31,7 @@
 	omissionHold    = 10 * time.Second // how long the omission of most nodes, or by a list of an older revision, is not accepted
 	maxOmittedShare = 0.5              // of all nodes; more omitted at once are "most"
 	goneRetention   = 10 * time.Minute // after which a node that is gone is deleted
-	maxNodes        = 4096
+	maxNodes        = 4096             // beyond which nodes that are gone are deleted early
 )
 
 // NodeView is a mixer's view of the nodes, merged from its own watch of discovery and from
@@ -52,7 +52,7 @@
 	NodeEntry
 	omittedSince time.Duration // since when this mixer's list omits it; 0: it does not
 	dropped      bool          // because of the omission
-	changedAt    time.Duration // when the omission was accepted, or Line last became another one
+	changedAt    time.Duration // when the omission was accepted, or NodeEntry last moved in its life cycle
 }
 
 // NewNodeView returns an empty NodeView.
--- a/internal/fleet/version/state.go
+++ b/internal/fleet/version/state.go
@@ -44,8 +44,8 @@
 	withdrawnPrefix  = "withdrawn: "
 	maxHistory       = 64 // withdrawn or replaced versions kept
 	maxDocumentBytes = 64 << 10
-	maxMarkBytes     = 64  // bytes
-	maxReasonBytes   = 160 // bytes of a refusal's reason
+	maxMarkBytes     = 64
+	maxReasonBytes   = 160 // of a refusal or a change of the zone plan
 	maxRefusals      = 64  // refusals kept
 )
 
