--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -92,7 +92,7 @@
 func (w *world) GiveUp(*broker.Attempt)                         {}
 func (w *world) Probe(_ broker.Node, done func(decide.Outcome)) { done(decide.OK) }
 func (w *world) CloseIdle(broker.Node)                          {}
-func (w *world) Known([]broker.Node)                            {}
+func (w *world) SetNodes([]broker.Node)                         {}
 func (w *world) Watch(bool)                                     {}
 func (w *world) Read()                                          {}
 func (w *world) Module(string)                                  {}
@@ -157,7 +157,7 @@
 				n++
 				w.Post(func() {
 					if v, _ := w.Admit(broker.Query{WireID: fmt.Sprintf("%016x", n), Class: s.class, Left: set.Module.Classes[s.class].Deadline,
-						Text: []byte("c41e77d0"), Parts: list, Answerer: w}); v != broker.Taken {
+						Text: []byte("c41e77d0"), Parts: list, Responder: w}); v != broker.Taken {
 						b.Fatalf("verdict %v", v)
 					}
 				})
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -23,17 +23,17 @@
 
 // Query is a client's request as a front end submits it to the core.
 type Query struct {
-	WireID   string        // id that nodes see; unique among the open queries
-	Class    int           // index into the classes of the settings
-	Tenant   int           // index into the tenants of the settings
-	Key      string        // idempotency key; set in keyed classes
-	Left     time.Duration // until the client's deadline
-	Repeat   bool          // the client says that this is a retry
-	Text     []byte        // request text that every part carries
-	Parts    []QueryPart
-	Answerer Answerer
-	Front    string           // name of the front end, for traces
-	Context  *tracing.Context // trace context of the client; nil if it sent none
+	WireID    string        // id that nodes see; unique among the open queries
+	Class     int           // index into the classes of the settings
+	Tenant    int           // index into the tenants of the settings
+	Key       string        // idempotency key; set in keyed classes
+	Left      time.Duration // until the client's deadline
+	Repeat    bool          // the client says that this is a retry
+	Text      []byte        // request text that every part carries
+	Parts     []QueryPart
+	Responder Responder
+	Front     string           // name of the front end, for traces
+	Context   *tracing.Context // trace context of the client; nil if it sent none
 }
 
 // QueryPart is one part of a query.
@@ -49,9 +49,9 @@
 	Body  []byte
 }
 
-// Answerer receives the final answer of a query. Exactly one of its methods is called,
+// Responder receives the final answer of a query. Exactly one of its methods is called,
 // once, unless the client has left before. The methods must not block.
-type Answerer interface {
+type Responder interface {
 	// Served delivers the values of the parts that were answered. Whole says that the
 	// answer is complete for its class.
 	Served(whole bool, values []Value)
@@ -78,8 +78,8 @@
 	Prober
 	// CloseIdle closes the idle connections to a node.
 	CloseIdle(n Node)
-	// Known gives all nodes that are listed now.
-	Known(list []Node)
+	// SetNodes gives all nodes that are listed now.
+	SetNodes(list []Node)
 }
 
 // Prober checks whether a node answers. It is implemented by Nodes, and by what divides
@@ -119,8 +119,8 @@
 	Step(now time.Duration, events []decide.Event) []decide.Action
 }
 
-// Log writes the core's log lines.
-type Log interface {
+// Logger writes the core's log lines.
+type Logger interface {
 	// Module logs a line of the decision module.
 	Module(line string)
 	// Guard logs that the core overruled the decision module. Id and trace are those of
@@ -155,7 +155,7 @@
 	nodes  Nodes
 	dir    Directory
 	prober Prober
-	log    Log
+	log    Logger
 	traces *tracing.Recorder // nil: no traces are recorded
 	counts *counts.Set       // nil: nothing is counted
 	recent *counts.Recent    // latest events by query, for the log lines of guards
@@ -272,7 +272,7 @@
 }
 
 // New returns a Core. Use has to be called before Run.
-func New(set settings.Settings, mod Stepper, clock func() time.Duration, log Log) *Core {
+func New(set settings.Settings, mod Stepper, clock func() time.Duration, log Logger) *Core {
 	return &Core{limits: Limits{MaxOpen: set.Module.MaxOpen, MaxAttempts: set.Module.MaxAttempts}, set: set, mod: mod, clock: clock, log: log, mail: newMailbox(), watch: storm.New(),
 		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, members: map[string]ListedNode{},
 		told: map[string]time.Duration{}}
@@ -540,7 +540,7 @@
 // abandon fails a query as expired without a decision of the module, and tells the module.
 func (c *Core) abandon(q *query) {
 	c.close(q, tracing.Expired, decide.TimeUp)
-	q.Answerer.Failed(true)
+	q.Responder.Failed(true)
 	c.events = append(c.events, decide.ClientGone{Query: q.id})
 }
 
@@ -629,9 +629,9 @@
 	return verdict == gate.Allowed
 }
 
-// Wrote checks an attempt that has just been written against the rules, and counts and
+// CheckWritten checks an attempt that has just been written against the rules, and counts and
 // logs a violation. Told is the time left that the node was sent.
-func (c *Core) Wrote(a *Attempt, told time.Duration) {
+func (c *Core) CheckWritten(a *Attempt, told time.Duration) {
 	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.Instant()), Told: told})
 	if verdict != gate.Allowed {
 		c.audit.Violations++
@@ -713,7 +713,7 @@
 		return !listed && c.now > at+c.set.Module.DrainGrace+forgetGone
 	})
 	c.listed = c.now
-	c.nodes.Known(known)
+	c.nodes.SetNodes(known)
 	c.events = append(c.events, ev)
 }
 
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -75,7 +75,7 @@
 func (s *stage) GiveUp(*Attempt)                  { s.givenUp++ }
 func (s *stage) Probe(Node, func(decide.Outcome)) {}
 func (s *stage) CloseIdle(Node)                   {}
-func (s *stage) Known([]Node)                     {}
+func (s *stage) SetNodes([]Node)                  {}
 func (s *stage) Watch(bool)                       {}
 func (s *stage) Read()                            {}
 func (s *stage) Module(string)                    {}
@@ -128,7 +128,7 @@
 	var h *QueryHandle
 	s.Post(func() {
 		var v Admission
-		v, h = s.Admit(Query{WireID: "w", Class: class, Left: time.Second, Answerer: s,
+		v, h = s.Admit(Query{WireID: "w", Class: class, Left: time.Second, Responder: s,
 			Parts: []QueryPart{{Shard: 0, Weight: 0.5}, {Shard: 2, Weight: 0.5}}})
 		if v != Taken {
 			t.Errorf("verdict %v", v)
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -235,7 +235,7 @@
 		how = tracing.Short
 	}
 	c.close(q, how, decide.NoCause)
-	q.Answerer.Served(whole, values)
+	q.Responder.Served(whole, values)
 }
 
 // follow opens the second step: a part for each of the FollowParts shards with the highest
@@ -273,7 +273,7 @@
 		return
 	}
 	c.close(q, tracing.Refused, why)
-	q.Answerer.Refused(after)
+	q.Responder.Refused(after)
 }
 
 // fail ends a query without a promise that a retry is safe.
@@ -283,7 +283,7 @@
 		how = tracing.Expired
 	}
 	c.close(q, how, why)
-	q.Answerer.Failed(expired)
+	q.Responder.Failed(expired)
 }
 
 // mayHaveRun reports whether a node may have run an attempt of the part, or may yet.
--- a/internal/broker/storm_test.go
+++ b/internal/broker/storm_test.go
@@ -43,7 +43,7 @@
 	s.set.Module.Cells = 0
 	ask := func(n, try int) {
 		s.Post(func() {
-			if v, _ := s.Admit(Query{WireID: fmt.Sprintf("%d.%d", n, try), Left: time.Second, Text: fmt.Append(nil, n), Parts: []QueryPart{{Shard: 0, Weight: 1}}, Answerer: s}); v != Taken {
+			if v, _ := s.Admit(Query{WireID: fmt.Sprintf("%d.%d", n, try), Left: time.Second, Text: fmt.Append(nil, n), Parts: []QueryPart{{Shard: 0, Weight: 1}}, Responder: s}); v != Taken {
 				t.Fatalf("verdict %v", v)
 			}
 		})
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -276,7 +276,7 @@
 	}
 	id := strconv.FormatUint(f.rng.Uint64(), 16)
 	q.WireID = front.OwnPrefix + strings.Repeat("0", 16-len(id)) + id
-	q.Repeat, q.Answerer, q.Front, q.Context = k.again, k, "flight", k.context
+	q.Repeat, q.Responder, q.Front, q.Context = k.again, k, "flight", k.context
 	switch verdict, handle := f.core.Admit(q); verdict {
 	case broker.Taken:
 		k.handle = handle
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -230,7 +230,7 @@
 		return
 	}
 	r := &request{c: c, close: m.Close, id: q.WireID, came: now, due: now + q.Left}
-	q.Answerer = r
+	q.Responder = r
 	verdict, handle := c.f.core.Admit(q)
 	switch verdict {
 	case broker.Taken:
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -129,7 +129,7 @@
 			f := New(d, []decide.Class{{Name: "read"}}, nil, space{crowded: why == "descriptors"}, zerolog.Nop())
 			f.closing = why == "end"
 			f.Accept(l).Data(ask(""))
-			d.asked[0].Answerer.Failed(false)
+			d.asked[0].Responder.Failed(false)
 			got := []bool{strings.Contains(l.said, "Connection: close"), len(l.ends) > 0}
 			if diff := cmp.Diff([]bool{!loud, !loud}, got); diff != "" {
 				t.Errorf("%s, something waits %v: %s", why, loud, diff)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,8 +48,8 @@
 	Instant() time.Duration
 	// MaySend reports whether an attempt may be written now.
 	MaySend(a *broker.Attempt) bool
-	// Wrote checks an attempt that was written; told is the time left that its node was sent.
-	Wrote(a *broker.Attempt, told time.Duration)
+	// CheckWritten checks an attempt that was written; told is the time left that its node was sent.
+	CheckWritten(a *broker.Attempt, told time.Duration)
 }
 
 // Session speaks the protocol of one connection.
@@ -208,8 +208,8 @@
 	return idle <= 0 || l.ls.core.Now()-l.used < idle-time.Duration(idleMargin*float64(idle))-sweepPace
 }
 
-// Known implements broker.Nodes.
-func (ls *Links) Known(list []broker.Node) {
+// SetNodes implements broker.Nodes.
+func (ls *Links) SetNodes(list []broker.Node) {
 	for _, p := range ls.peers {
 		p.listed = false
 	}
@@ -390,7 +390,7 @@
 	l.asks()
 	l.session.Send(batch)
 	for _, t := range batch {
-		l.ls.core.Wrote(t.Attempt, t.told)
+		l.ls.core.CheckWritten(t.Attempt, t.told)
 		if t.Traced() {
 			t.Connected(l.used)
 			if at, all := l.session.Sent(t); all && l.conn.Written(at) {
