--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	maxPending   = 1 << 20                // bytes that may wait for a peer that reads slowly
-	maxUnhandled = 256 << 10              // bytes read on one connection that wait for the owner's goroutine
-	fairUnread   = 96 << 10               // the same while there is much on all: as much as a client's longest request
-	maxSkimmed   = 80 << 20               // bytes passed over while a client takes our last words
-	stallTime    = 2 * time.Second        // how long a peer may take for what waits for it
-	retryLeast   = time.Millisecond       // after a write that the system did not take, doubled up to
-	retryMost    = 20 * time.Millisecond  // this while it takes nothing
-	mostUnread   = 30 * time.Second       // longer than anything waits unread
-	endWait      = 200 * time.Millisecond // by when the poller tells of the end of a connection on which a write failed
+	maxPendingBytes       = 1 << 20                // bytes that may wait for a peer that reads slowly
+	maxUnhandledBytes     = 256 << 10              // bytes read on one connection that wait for the owner's goroutine
+	fairShareBytes        = 96 << 10               // the same while there is much on all: as much as a client's longest request
+	maxDiscardedBytes     = 80 << 20               // bytes passed over while a client takes our last words
+	stallTimeout          = 2 * time.Second        // how long a peer may take for what waits for it
+	minWriteRetryInterval = time.Millisecond       // after a write that the system did not take, doubled up to
+	maxWriteRetryInterval = 20 * time.Millisecond  // this while it takes nothing
+	maxInputDelay         = 30 * time.Second       // longer than anything waits unread
+	pollerTimeout         = 200 * time.Millisecond // by when the poller tells of the end of a connection on which a write failed
 )
 
 // Handler is told what happens on a connection, on the owner's goroutine.
@@ -46,7 +46,7 @@
 // words: evidence for whoever looks for a lost request.
 type LateDataHandler interface{ LateData(b []byte) }
 
-const mostIgnored = 512 // bytes of it that are told
+const maxLateDataBytes = 512 // bytes of it that are told
 
 // Poster runs functions one after another on the owner's goroutine.
 type Poster interface{ Post(fn func()) }
@@ -72,39 +72,39 @@
 	opened time.Time
 
 	muted         atomic.Bool // nothing more is heard: we closed it, or it said too much
-	skims         atomic.Bool // what still comes is read and passed over
-	skimmed       int64       // bytes passed over; the worker's own
+	discards      atomic.Bool // what still comes is read and passed over
+	discarded     int64       // bytes passed over; the worker's own
 	unhandled     atomic.Int64
-	waited        time.Duration // how long the bytes that the owner looks at have waited for it; the owner's own
+	inputDelay    time.Duration // how long the bytes that the owner looks at have waited for it; the owner's own
 	net           *Net
 	send          sendFunc
 	in, reads     atomic.Int64
 	local, remote net.Addr
 
-	mu      sync.Mutex
-	fd      int
-	raw     bool  // the poller has let go of it; fd is our own duplicate
-	closed  bool  // fd may not be used any more
-	end     End   // why, once known
-	finish  End   // Open, or why we said our last words
-	queued  int64 // bytes handed to Write
-	written int64 // bytes that the kernel may have taken
-	writes  int64
-	pending []byte // what the kernel did not take at once
-	writing bool   // a goroutine is draining pending
-	broken  bool   // a write has failed
-	told    bool   // Ended has been posted
+	mu           sync.Mutex
+	fd           int
+	detached     bool  // the poller has let go of it; fd is our own duplicate
+	closed       bool  // fd may not be used any more
+	end          End   // why, once known
+	finishReason End   // Open, or why we said our last words
+	queued       int64 // bytes handed to Write
+	written      int64 // bytes that the kernel may have taken
+	writes       int64
+	pending      []byte // what the kernel did not take at once
+	writing      bool   // a goroutine is draining pending
+	broken       bool   // a write has failed
+	endPosted    bool   // Ended has been posted
 }
 
 // sendFunc writes to a descriptor without waiting; tests have it fail.
 type sendFunc func(fd int, b []byte) (int, error)
 
-func sendNow(fd int, b []byte) (int, error) {
+func sendNonblocking(fd int, b []byte) (int, error) {
 	return unix.SendmsgN(fd, b, nil, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 }
 
 func (n *Net) newConn(nc netpoll.Connection, dialed bool) *Conn {
-	c := &Conn{post: n.post, nc: nc, dialed: dialed, onEnd: n.onEnd, opened: time.Now(), net: n, send: sendNow,
+	c := &Conn{post: n.post, nc: nc, dialed: dialed, onEnd: n.onEnd, opened: time.Now(), net: n, send: sendNonblocking,
 		local: nc.LocalAddr(), remote: nc.RemoteAddr()}
 	if f, ok := nc.(netpoll.Conn); ok {
 		c.fd = f.Fd()
@@ -119,46 +119,46 @@
 	if n == 0 {
 		return
 	}
-	unread, left := c.arrival()
+	unread, left := c.arrivalInfo()
 	read := time.Now().Add(-unread)
 	c.in.Add(int64(n))
 	c.reads.Add(1)
-	take := 0
-	if !c.skims.Load() {
-		take = c.take(n)
-	} else if c.skimmed == 0 {
-		c.tellIgnored(r, n)
+	admitted := 0
+	if !c.discards.Load() {
+		admitted = c.admitted(n)
+	} else if c.discarded == 0 {
+		c.reportLateData(r, n)
 	}
-	p, err := r.Next(take)
+	p, err := r.Next(admitted)
 	if err != nil {
 		return // the connection ended; its close callback tells the handler
 	}
 	b := append([]byte(nil), p...)
-	if err := r.Skip(n - take); err != nil {
+	if err := r.Skip(n - admitted); err != nil {
 		return
 	}
 	_ = r.Release() // fails only on a closed connection
-	cut := take < n && !c.skims.Load()
-	if take < n {
-		c.skims.Store(true)
-		if c.skimmed += int64(n - take); c.dialed || c.skimmed > maxSkimmed {
+	cut := admitted < n && !c.discards.Load()
+	if admitted < n {
+		c.discards.Store(true)
+		if c.discarded += int64(n - admitted); c.dialed || c.discarded > maxDiscardedBytes {
 			c.Close(PeerFlooded)
 			return
 		}
 	}
-	if take == 0 && !cut {
+	if admitted == 0 && !cut {
 		return
 	}
 	c.post.Post(func() {
-		c.unhandled.Add(-int64(take))
-		c.net.backlog.Add(-int64(take))
-		c.waited = time.Since(read)
+		c.unhandled.Add(-int64(admitted))
+		c.net.backlog.Add(-int64(admitted))
+		c.inputDelay = time.Since(read)
 		// A peer's last words count, though it has left since; after an end of our
 		// own nothing does.
 		if !c.muted.Load() {
 			c.h.Data(b)
 		} else if h, ok := c.h.(LateDataHandler); ok {
-			h.LateData(b[:min(len(b), mostIgnored)])
+			h.LateData(b[:min(len(b), maxLateDataBytes)])
 		}
 		if h, ok := c.h.(ReadEOFHandler); ok && left && !c.muted.Load() {
 			h.ReadEOF()
@@ -169,10 +169,10 @@
 	})
 }
 
-// arrival is how long the bytes that are read now have lain with the system, on connections that
+// arrivalInfo is how long the bytes that are read now have lain with the system, on connections that
 // we accepted (they may have come long before we did so), and whether the peer has ended its side
 // since. Zero where the system does not tell.
-func (c *Conn) arrival() (unread time.Duration, left bool) {
+func (c *Conn) arrivalInfo() (unread time.Duration, left bool) {
 	if c.dialed {
 		return 0, false
 	}
@@ -186,21 +186,21 @@
 		return 0, false
 	}
 	if info.Bytes_received > 0 { // a system that counts knows the rest as well
-		unread = min(time.Duration(info.Last_data_recv)*time.Millisecond, mostUnread)
+		unread = min(time.Duration(info.Last_data_recv)*time.Millisecond, maxInputDelay)
 	}
 	return unread, info.State == closeWait || info.State == closed
 }
 
 // InputDelay is how long the bytes of the present Data have waited for the owner since they came.
-func (c *Conn) InputDelay() time.Duration { return c.waited }
+func (c *Conn) InputDelay() time.Duration { return c.inputDelay }
 
-// tellIgnored hands what is passed over, at first, to a handler that wants to know.
-func (c *Conn) tellIgnored(r netpoll.Reader, n int) {
+// reportLateData hands what is passed over, at first, to a handler that wants to know.
+func (c *Conn) reportLateData(r netpoll.Reader, n int) {
 	h, ok := c.h.(LateDataHandler)
 	if !ok {
 		return
 	}
-	p, err := r.Peek(min(n, mostIgnored))
+	p, err := r.Peek(min(n, maxLateDataBytes))
 	if err != nil {
 		return
 	}
@@ -208,16 +208,16 @@
 	c.post.Post(func() { h.LateData(b) })
 }
 
-// take counts how many of n bytes may wait for the owner's goroutine. It guards
+// admitted counts how many of n bytes may wait for the owner's goroutine. It guards
 // memory against peers that send faster than that works. A client's first bytes
 // are being looked at and earn it an error, so the rest is passed over; what a node
 // says is of no use with a gap.
-func (c *Conn) take(n int) int {
-	most := int64(maxUnhandled)
-	if c.net.backlog.Load() > c.net.most {
-		most = fairUnread
+func (c *Conn) admitted(n int) int {
+	limit := int64(maxUnhandledBytes)
+	if c.net.backlog.Load() > c.net.limit {
+		limit = fairShareBytes
 	}
-	n = int(max(0, min(int64(n), most-c.unhandled.Load())))
+	n = int(max(0, min(int64(n), limit-c.unhandled.Load())))
 	c.unhandled.Add(int64(n))
 	c.net.backlog.Add(int64(n))
 	return n
@@ -229,23 +229,23 @@
 	return c.end != Open
 }
 
-// hungUp runs when netpoll gives the connection up, before it closes the
+// pollerClosed runs when netpoll gives the connection up, before it closes the
 // descriptor. Netpoll takes a peer's FIN for the end; a client that has only
 // shut down its writing side still waits for its answer, so we keep a duplicate
 // of the descriptor to write to.
-func (c *Conn) hungUp() {
+func (c *Conn) pollerClosed() {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return
 	}
 	if c.end == Open {
-		c.end = c.finish
+		c.end = c.finishReason
 	}
-	half := c.end == Open && !c.dialed && finSeen(c.fd)
+	half := c.end == Open && !c.dialed && finReceived(c.fd)
 	if half {
 		if fd, err := unix.FcntlInt(uintptr(c.fd), unix.F_DUPFD_CLOEXEC, 0); err == nil {
-			c.fd, c.raw = fd, true
+			c.fd, c.detached = fd, true
 			c.mu.Unlock()
 			c.post.Post(func() {
 				if !c.ended() {
@@ -257,13 +257,13 @@
 	}
 	if c.end == Open {
 		c.end = PeerClosed
-		if !finSeen(c.fd) {
+		if !finReceived(c.fd) {
 			c.end = PeerReset
 		}
 	}
 	c.closed = true
 	c.mu.Unlock()
-	c.tell()
+	c.postEnd()
 }
 
 // States of a TCP connection, as TCP_INFO has them.
@@ -272,8 +272,8 @@
 	closeWait = 8 // TCP_CLOSE_WAIT: the peer has ended its side
 )
 
-// finSeen tells an orderly end from a reset.
-func finSeen(fd int) bool {
+// finReceived tells an orderly end from a reset.
+func finReceived(fd int) bool {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	return err == nil && info.State == closeWait
 }
@@ -282,7 +282,7 @@
 // no longer watches it, so the owner asks now and then.
 func (c *Conn) CloseIfReset() {
 	c.mu.Lock()
-	gone := c.raw && !c.closed && !finSeen(c.fd)
+	gone := c.detached && !c.closed && !finReceived(c.fd)
 	c.mu.Unlock()
 	if gone {
 		c.Close(PeerReset)
@@ -296,7 +296,7 @@
 	c.mu.Lock()
 	c.queued += int64(len(b))
 	end := c.queued
-	if c.closed || c.end != Open || c.finish != Open || c.broken || len(b) == 0 {
+	if c.closed || c.end != Open || c.finishReason != Open || c.broken || len(b) == 0 {
 		c.mu.Unlock()
 		return end
 	}
@@ -308,12 +308,12 @@
 		b = b[n:]
 		if err != nil {
 			b = nil
-			fail = c.failed()
+			fail = c.writeFailed()
 		}
 	}
 	if fail == Open && len(b) > 0 {
 		// Guards memory against a peer that has stopped reading.
-		if c.pending = append(c.pending, b...); len(c.pending) > maxPending {
+		if c.pending = append(c.pending, b...); len(c.pending) > maxPendingBytes {
 			fail = PeerStalled
 		} else if !c.writing {
 			// One goroutine for a connection that is stalled, none for a request.
@@ -328,17 +328,17 @@
 	return end
 }
 
-// failed notes that a write can't succeed any more. The poller will tell of the end; until
+// writeFailed notes that a write can't succeed any more. The poller will tell of the end; until
 // then, what the peer said before may still be heard. It returns how the connection ends at
 // once, or Open: nobody polls a half-closed one. The caller holds mu.
-func (c *Conn) failed() End {
+func (c *Conn) writeFailed() End {
 	c.broken, c.pending = true, nil
-	if c.raw {
+	if c.detached {
 		return WriteFailed
 	}
 	// Guards against an error that the poller doesn't see: whoever waits on the connection
 	// would wait for ever.
-	time.AfterFunc(endWait, func() { c.Close(WriteFailed) })
+	time.AfterFunc(pollerTimeout, func() { c.Close(WriteFailed) })
 	return Open
 }
 
@@ -363,7 +363,7 @@
 
 // drain writes what waits for a peer that reads slowly, or for a system without memory.
 func (c *Conn) drain() {
-	pause, progress := retryLeast, time.Now()
+	pause, progress := minWriteRetryInterval, time.Now()
 	for {
 		n, more, end := c.drainOnce()
 		if end != Open {
@@ -372,10 +372,10 @@
 		if !more {
 			return
 		}
-		if pause = min(2*pause, retryMost); n > 0 {
-			pause, progress = retryLeast, time.Now()
+		if pause = min(2*pause, maxWriteRetryInterval); n > 0 {
+			pause, progress = minWriteRetryInterval, time.Now()
 		}
-		if time.Since(progress) > stallTime {
+		if time.Since(progress) > stallTimeout {
 			c.Close(PeerStalled)
 		}
 		time.Sleep(pause)
@@ -392,14 +392,14 @@
 		n, err = c.writeNow(c.pending)
 		c.written += int64(n)
 		if c.pending = c.pending[n:]; err != nil {
-			end = c.failed()
+			end = c.writeFailed()
 		}
 	}
 	if len(c.pending) > 0 && !c.closed && c.end == Open {
 		return n, true, end
 	}
 	c.pending, c.writing = nil, false
-	c.lastWords()
+	c.shutdownWrite()
 	return n, false, end
 }
 
@@ -460,18 +460,18 @@
 func (c *Conn) Finish(e End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.end != Open || c.finish != Open {
+	if c.end != Open || c.finishReason != Open {
 		return
 	}
-	c.finish = e
+	c.finishReason = e
 	c.muted.Store(true)
-	c.skims.Store(true)
-	c.lastWords()
+	c.discards.Store(true)
+	c.shutdownWrite()
 }
 
-// lastWords ends our side once all is written. The caller holds mu.
-func (c *Conn) lastWords() {
-	if c.finish != Open && !c.writing && len(c.pending) == 0 && !c.closed && c.end == Open {
+// shutdownWrite ends our side once all is written. The caller holds mu.
+func (c *Conn) shutdownWrite() {
+	if c.finishReason != Open && !c.writing && len(c.pending) == 0 && !c.closed && c.end == Open {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only where the peer has reset
 	}
 }
@@ -485,25 +485,25 @@
 	}
 	c.end = e
 	c.muted.Store(true)
-	raw := c.raw
-	if raw {
+	detached := c.detached
+	if detached {
 		c.closed = true
 		_ = unix.Close(c.fd) // our own duplicate; nothing is left to do about an error
 	}
 	c.mu.Unlock()
-	if !raw {
+	if !detached {
 		_ = c.nc.Close() // leads to hungUp
 	}
-	c.tell()
+	c.postEnd()
 }
 
-func (c *Conn) tell() {
+func (c *Conn) postEnd() {
 	c.mu.Lock()
-	if c.told {
+	if c.endPosted {
 		c.mu.Unlock()
 		return
 	}
-	c.told = true
+	c.endPosted = true
 	c.net.open.Add(-1)
 	st := Stats{Local: c.local, Remote: c.remote, Dialed: c.dialed, Opened: c.opened, Ended: time.Now(),
 		In: c.in.Load(), Out: c.written, Reads: c.reads.Load(), Writes: c.writes, End: c.end}
@@ -518,7 +518,7 @@
 
 // attach hooks the connection's callbacks into netpoll's.
 func (c *Conn) attach() {
-	_ = c.nc.AddCloseCallback(func(netpoll.Connection) error { c.hungUp(); return nil }) // never fails
+	_ = c.nc.AddCloseCallback(func(netpoll.Connection) error { c.pollerClosed(); return nil }) // never fails
 	_ = c.nc.SetOnRequest(func(context.Context, netpoll.Connection) error { c.readable(); return nil })
 	// Guards against a peer that left before the callbacks were in place.
 	if !c.nc.IsActive() {
--- a/internal/transport/faults_test.go
+++ b/internal/transport/faults_test.go
@@ -17,26 +17,26 @@
 
 // Tests with system calls that fail as their pages say they may.
 
-// failing is a sendFunc that fails so many times, then writes a few bytes at a time.
-func failing(times int64, err error) sendFunc {
+// failingSend is a sendFunc that fails so many times, then writes a few bytes at a time.
+func failingSend(times int64, err error) sendFunc {
 	var left atomic.Int64
 	left.Store(times)
 	return func(fd int, b []byte) (int, error) {
 		if left.Add(-1) >= 0 {
 			return 0, err
 		}
-		return sendNow(fd, b[:min(len(b), 7)])
+		return sendNonblocking(fd, b[:min(len(b), 7)])
 	}
 }
 
-// TestAWriteThatFailsForAMoment: the system has no memory for what is written. The connection is
+// TestWriteRetriesTransientErrors: the system has no memory for what is written. The connection is
 // sound, and what was said on it is still owed.
-func TestAWriteThatFailsForAMoment(t *testing.T) {
+func TestWriteRetriesTransientErrors(t *testing.T) {
 	const first, second = "an answer that somebody waits for", "and the next one"
 	for _, err := range []unix.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EINTR} {
 		t.Run(unix.ErrnoName(err), func(t *testing.T) {
 			c, _, peer := accepted(t)
-			c.send = failing(3, err)
+			c.send = failingSend(3, err)
 			c.Write([]byte(first))
 			end := c.Write([]byte(second))
 			_ = peer.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -44,7 +44,7 @@
 			if n, err := io.ReadFull(peer, got); err != nil || string(got) != first+second {
 				t.Fatalf("got %q, %v", got[:n], err)
 			}
-			wait(t, "the last byte counts as written", func() bool { return c.Written(end) })
+			waitUntil(t, "the last byte counts as written", func() bool { return c.Written(end) })
 			if c.Broken() {
 				t.Error("Broken reports true after transient errors")
 			}
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestLastWordsThatCannotBeWrittenAtOnce: the same for what is written just before our side ends.
-func TestLastWordsThatCannotBeWrittenAtOnce(t *testing.T) {
+// TestFinishSendsPendingBytesAfterTransientErrors: the same for what is written just before our side ends.
+func TestFinishSendsPendingBytesAfterTransientErrors(t *testing.T) {
 	c, _, peer := accepted(t)
-	c.send = failing(5, unix.ENOBUFS)
+	c.send = failingSend(5, unix.ENOBUFS)
 	words := strings.Repeat("x", 1000)
 	c.Write([]byte(words))
 	c.Finish(LocalDone)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestBytesThatThePollerHoldsAreNotQuiet: the poller has read from the socket, and nobody has seen
+// TestInputIsNotDrainedWhileThePollerHoldsBytes: the poller has read from the socket, and nobody has seen
 // that yet. Whoever closes the connection now leaves a request that was read without an answer.
-func TestBytesThatThePollerHoldsAreNotQuiet(t *testing.T) {
+func TestInputIsNotDrainedWhileThePollerHoldsBytes(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }()
-	c := &Conn{nc: unpolled{}, fd: int(file.Fd()), net: NewNet(newOwner(t), Limits{Conns: 10}, nil)}
+	c := &Conn{nc: unreadConnection{}, fd: int(file.Fd()), net: NewNet(newOwner(t), Limits{Conns: 10}, nil)}
 	if !c.InputDrained() {
 		t.Error("InputDrained is false though nothing has arrived")
 	}
@@ -96,7 +96,7 @@
 	if _, err := io.WriteString(peer, request); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the bytes have arrived", func() bool { return !c.InputDrained() })
+	waitUntil(t, "the bytes have arrived", func() bool { return !c.InputDrained() })
 	if n, err := unix.Read(c.fd, make([]byte, 100)); n != len(request) || err != nil {
 		t.Fatal(n, err)
 	}
@@ -109,18 +109,18 @@
 	}
 }
 
-// unpolled is a connection of which the poller has shown nothing yet.
-type unpolled struct{ netpoll.Connection }
+// unreadConnection is a connection of which the poller has shown nothing yet.
+type unreadConnection struct{ netpoll.Connection }
 
-func (unpolled) Reader() netpoll.Reader { return nothingRead{} }
+func (unreadConnection) Reader() netpoll.Reader { return emptyReader{} }
 
-type nothingRead struct{ netpoll.Reader }
+type emptyReader struct{ netpoll.Reader }
 
-func (nothingRead) Len() int { return 0 }
+func (emptyReader) Len() int { return 0 }
 
-// TestPeersThatLeaveAtOnce: a server's machine takes connections and resets or closes them before we
+// TestEveryDialEndsOnceWhenPeersCloseAtOnce: a server's machine takes connections and resets or closes them before we
 // have looked at them. Each dial ends once: in failure, or with a connection that ends.
-func TestPeersThatLeaveAtOnce(t *testing.T) {
+func TestEveryDialEndsOnceWhenPeersCloseAtOnce(t *testing.T) {
 	const dials = 1000
 	for _, linger := range []int{-1, 0} { // leaving in order, and by a reset
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,27 +141,27 @@
 		n := NewNet(newOwner(t), Limits{Conns: 100, Backlog: 1 << 20}, nil)
 		var ended atomic.Int64
 		for range dials {
-			h := &counted{ends: &ended}
+			h := &endCounter{ends: &ended}
 			n.Dial(ln.Addr().String(), time.Second, h, func(c *Conn, _ End) {
 				if c == nil {
 					ended.Add(1)
 				}
 			})
-			wait(t, "there is room", func() bool { return n.open.Load() < 20 })
+			waitUntil(t, "there is room", func() bool { return n.open.Load() < 20 })
 		}
-		wait(t, "all have ended", func() bool { return ended.Load() == dials && n.open.Load() == 0 })
+		waitUntil(t, "all have ended", func() bool { return ended.Load() == dials && n.open.Load() == 0 })
 	}
 }
 
-// counted counts its ends.
-type counted struct{ ends *atomic.Int64 }
+// endCounter counts its ends.
+type endCounter struct{ ends *atomic.Int64 }
 
-func (counted) Data([]byte)  {}
-func (counted) HalfClosed()  {}
-func (c *counted) Ended(End) { c.ends.Add(1) }
+func (endCounter) Data([]byte)  {}
+func (endCounter) HalfClosed()  {}
+func (c *endCounter) Ended(End) { c.ends.Add(1) }
 
-// TestDialsThatFailForWantOfOurOwn say nothing of the server.
-func TestDialsThatFailForWantOfOurOwn(t *testing.T) {
+// TestLocalDialFailuresAreNotBlamedOnTheServer say nothing of the server.
+func TestLocalDialFailuresAreNotBlamedOnTheServer(t *testing.T) {
 	for _, err := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EMFILE, unix.ENFILE} {
 		wrapped := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
 		if got := Outcome(dialEnd(wrapped), false); got != decide.Moot {
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	dialers       = 24  // dials under way at once; each may hang for the time to connect
-	maxDials      = 256 // dials that wait for one of them
-	directDialers = 2   // the same for a Direct dialer: a watch, and one call beside it
-	directDials   = 4
-	lackPause     = 10 * time.Millisecond // before a connect that failed for want of our own is tried again
-	reserve       = 8                     // one in so many connections is kept for those that we open
-	// readAtOnce bounds the kernel's buffer of what a peer has sent, and with it what
+	dialers                   = 24  // dials under way at once; each may hang for the time to connect
+	maxQueuedDials            = 256 // dials that wait for one of them
+	directDialers             = 2   // the same for a Direct dialer: a watch, and one call beside it
+	maxQueuedDirectDials      = 4
+	localFailureRetryInterval = 10 * time.Millisecond // before a connect that failed for want of our own is tried again
+	dialReserveDivisor        = 8                     // one in so many connections is kept for those that we open
+	// receiveBufferBytes bounds the kernel's buffer of what a peer has sent, and with it what
 	// netpoll makes room for at a time: up to 8 MB for a peer at full speed otherwise.
-	readAtOnce = 64 << 10
+	receiveBufferBytes = 64 << 10
 )
 
 // worker runs netpoll's callbacks, for all connections, on one goroutine: none
 // is started for a request. They can't run on the poller's own: a connection
 // closed within a callback would wait there for the poller, that is for itself.
-var worker = tasks{ready: make(chan struct{}, 1)}
+var worker = taskQueue{ready: make(chan struct{}, 1)}
 
-type tasks struct {
+type taskQueue struct {
 	mu    sync.Mutex
 	list  []func() // at most one for each connection
 	ready chan struct{}
 }
 
-func (t *tasks) add(_ context.Context, f func()) {
+func (t *taskQueue) add(_ context.Context, f func()) {
 	t.mu.Lock()
 	t.list = append(t.list, f)
 	t.mu.Unlock()
@@ -54,7 +54,7 @@
 	runtime.Gosched()
 }
 
-func (t *tasks) run() {
+func (t *taskQueue) run() {
 	for range t.ready {
 		t.mu.Lock()
 		list := t.list
@@ -66,24 +66,24 @@
 	}
 }
 
-// logs hands netpoll's own lines to where LogTo says; its poller may not block
+// netpollLog hands netpoll's own lines to where LogTo says; its poller may not block
 // on them.
-type logs struct{}
+type netpollLog struct{}
 
-var logTo atomic.Pointer[io.Writer]
+var logOutput atomic.Pointer[io.Writer]
 
 // SetLogOutput says where netpoll's own log lines go. Until then they are dropped.
-func SetLogOutput(w io.Writer) { logTo.Store(&w) }
+func SetLogOutput(w io.Writer) { logOutput.Store(&w) }
 
-func (logs) Write(b []byte) (int, error) {
-	if w := logTo.Load(); w != nil {
+func (netpollLog) Write(b []byte) (int, error) {
+	if w := logOutput.Load(); w != nil {
 		return (*w).Write(b)
 	}
 	return len(b), nil
 }
 
 func init() {
-	if err := netpoll.Configure(netpoll.Config{Runner: worker.add, LoadBalance: netpoll.RoundRobin, LoggerOutput: logs{}}); err != nil {
+	if err := netpoll.Configure(netpoll.Config{Runner: worker.add, LoadBalance: netpoll.RoundRobin, LoggerOutput: netpollLog{}}); err != nil {
 		panic(err) // the values are constants that netpoll accepts
 	}
 	go worker.run()
@@ -103,7 +103,7 @@
 	dials *dialQueue
 
 	backlog atomic.Int64 // bytes read that wait for the owner's goroutine
-	most    int64        // of them, before one connection may have only its fair share
+	limit   int64        // of them, before one connection may have only its fair share
 	mu      sync.Mutex
 	silent  []*Conn // accepted ones that had said nothing when last looked at, oldest first
 }
@@ -145,7 +145,7 @@
 // few connections that must not wait: dials that hang, and clients and servers that hold
 // all descriptors, do not keep it from its peer. The few that it can hold are the owner's
 // to reserve.
-func (n *Net) Direct() Dialer { return direct{n, newDialQueue(directDialers, directDials)} }
+func (n *Net) Direct() Dialer { return direct{n, newDialQueue(directDialers, maxQueuedDirectDials)} }
 
 type direct struct {
 	net   *Net
@@ -167,25 +167,25 @@
 // NewNet returns a Net whose callbacks are posted to p. OnEnd, which may be nil, is
 // told of each connection that ended.
 func NewNet(p Poster, lim Limits, onEnd func(Stats)) *Net {
-	return &Net{post: p, onEnd: onEnd, max: int64(lim.Conns), dials: newDialQueue(dialers, maxDials), most: lim.Backlog}
+	return &Net{post: p, onEnd: onEnd, max: int64(lim.Conns), dials: newDialQueue(dialers, maxQueuedDials), limit: lim.Backlog}
 }
 
 // Crowded reports whether accepted connections will soon be turned away.
-func (n *Net) Crowded() bool { return n.open.Load() > n.max-2*n.max/reserve }
+func (n *Net) Crowded() bool { return n.open.Load() > n.max-2*n.max/dialReserveDivisor }
 
 // Busy reports whether half of the connections that may be open are.
 func (n *Net) Busy() bool { return n.open.Load() > n.max/2 }
 
-// room makes room for one more accepted connection, where there is none, by
+// admit makes admit for one more accepted connection, where there is none, by
 // closing the one that has been silent for longest. It guards the clients that
 // ask against a crowd that connects and says nothing.
-func (n *Net) room(newcomer *Conn) bool {
+func (n *Net) admit(newcomer *Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if int64(len(n.silent)) > n.max/2 {
 		n.silent = slices.DeleteFunc(n.silent, func(c *Conn) bool { return c.in.Load() > 0 || c.ended() })
 	}
-	for n.open.Load() > n.max-n.max/reserve {
+	for n.open.Load() > n.max-n.max/dialReserveDivisor {
 		i := slices.IndexFunc(n.silent, func(c *Conn) bool { return c.in.Load() == 0 && !c.ended() && c.InputDrained() })
 		if i < 0 {
 			return false
@@ -231,8 +231,8 @@
 		}
 		c := n.newConn(nc, true)
 		c.h = d.h
-		_ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, readAtOnce) // a bound on memory, no need
-		n.post.Post(func() { d.done(c, Open) })                                   // before any Data of it
+		_ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes) // a bound on memory, no need
+		n.post.Post(func() { d.done(c, Open) })                                           // before any Data of it
 		c.attach()
 	}
 }
@@ -240,13 +240,13 @@
 // connect opens the connection. What fails for want of our own is tried again until the time to
 // connect is over: such a lack passes in a moment, and says nothing of the peer.
 func (d dial) connect() (nc netpoll.Connection, err error) {
-	for begun := time.Now(); ; time.Sleep(lackPause) {
+	for begun := time.Now(); ; time.Sleep(localFailureRetryInterval) {
 		left := d.timeout
 		if d.timeout > 0 {
 			left = max(time.Millisecond, d.timeout-time.Since(begun))
 		}
 		nc, err = netpoll.DialConnection("tcp", d.addr, left)
-		if err == nil || dialEnd(err) != LocalFailure && dialEnd(err) != NoDescriptor || time.Since(begun)+lackPause >= d.timeout {
+		if err == nil || dialEnd(err) != LocalFailure && dialEnd(err) != NoDescriptor || time.Since(begun)+localFailureRetryInterval >= d.timeout {
 			return nc, err
 		}
 	}
@@ -277,7 +277,7 @@
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		if e := raw.Control(func(fd uintptr) { // what is accepted inherits it
-			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, readAtOnce)
+			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes)
 		}); e != nil {
 			return e
 		}
@@ -294,13 +294,13 @@
 	prepare := func(nc netpoll.Connection) context.Context {
 		n.open.Add(1)
 		c := n.newConn(nc, false)
-		if !n.room(c) {
+		if !n.admit(c) {
 			n.open.Add(-1)
 			_ = nc.Close() // guards the limit on descriptors; the client tries elsewhere
 			return context.Background()
 		}
 		c.h = accept(c)
-		_ = nc.AddCloseCallback(func(netpoll.Connection) error { c.hungUp(); return nil }) // never fails
+		_ = nc.AddCloseCallback(func(netpoll.Connection) error { c.pollerClosed(); return nil }) // never fails
 		return context.WithValue(context.Background(), connKey{}, c)
 	}
 	loop, err := netpoll.NewEventLoop(func(ctx context.Context, nc netpoll.Connection) error {
--- a/internal/transport/packets.go
+++ b/internal/transport/packets.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// mostPackets is how many datagrams may wait for the owner's goroutine.
-const mostPackets = 512
+// maxWaitingPackets is how many datagrams may wait for the owner's goroutine.
+const maxWaitingPackets = 512
 
 // PacketConn sends and takes datagrams at one address. What comes is posted to the owner,
 // as far as that keeps up; the rest is dropped and counted.
@@ -55,7 +55,7 @@
 			continue // of one datagram; the socket has no other end
 		}
 		// Guards memory and the loop against a flood.
-		if n > most || p.waiting.Load() >= mostPackets {
+		if n > most || p.waiting.Load() >= maxWaitingPackets {
 			p.dropped.Add(1)
 			continue
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -37,20 +37,20 @@
 
 func (o owner) Post(fn func()) { o <- fn }
 
-// heard records what a connection's handler is told.
-type heard struct {
+// recorder records what a connection's handler is told.
+type recorder struct {
 	mu   sync.Mutex
 	data string
 	half bool
 	ends []End
 }
 
-func (h *heard) Data(b []byte)  { h.with(func() { h.data += string(b) }) }
-func (h *heard) HalfClosed()    { h.with(func() { h.half = true }) }
-func (h *heard) Ended(e End)    { h.with(func() { h.ends = append(h.ends, e) }) }
-func (h *heard) with(fn func()) { h.mu.Lock(); defer h.mu.Unlock(); fn() }
+func (h *recorder) Data(b []byte)    { h.locked(func() { h.data += string(b) }) }
+func (h *recorder) HalfClosed()      { h.locked(func() { h.half = true }) }
+func (h *recorder) Ended(e End)      { h.locked(func() { h.ends = append(h.ends, e) }) }
+func (h *recorder) locked(fn func()) { h.mu.Lock(); defer h.mu.Unlock(); fn() }
 
-func wait(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -59,19 +59,19 @@
 	}
 }
 
-func (h *heard) ended(t *testing.T, want End) {
+func (h *recorder) expectEnd(t *testing.T, want End) {
 	t.Helper()
 	var got []End
-	wait(t, "the connection has ended", func() bool { h.with(func() { got = h.ends }); return len(got) > 0 })
+	waitUntil(t, "the connection has ended", func() bool { h.locked(func() { got = h.ends }); return len(got) > 0 })
 	if diff := cmp.Diff([]End{want}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // accepted returns a served connection, its handler and the peer's end of it.
-func accepted(t *testing.T) (*Conn, *heard, *net.TCPConn) {
+func accepted(t *testing.T) (*Conn, *recorder, *net.TCPConn) {
 	t.Helper()
-	h, conns := &heard{}, make(chan *Conn, 1)
+	h, conns := &recorder{}, make(chan *Conn, 1)
 	n := NewNet(newOwner(t), Limits{Conns: 10, Backlog: 1 << 20}, nil)
 	ln, err := n.Listen("127.0.0.1:0", func(c *Conn) Handler { conns <- c; return h })
 	if err != nil {
@@ -122,13 +122,13 @@
 		_, h, peer := accepted(t)
 		_ = peer.SetLinger(0)
 		_ = peer.Close()
-		h.ended(t, PeerReset)
+		h.expectEnd(t, PeerReset)
 	})
 	t.Run("half closed, then answered", func(t *testing.T) {
 		c, h, peer := accepted(t)
 		_, _ = io.WriteString(peer, "hello")
 		_ = peer.CloseWrite()
-		wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
+		waitUntil(t, "the half close is told", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
 		c.CloseIfReset() // it is not
 		if h.data != "hello" {
 			t.Errorf("data %q", h.data)
@@ -139,29 +139,29 @@
 		if string(b) != "answer" || err != nil {
 			t.Errorf("peer read %q, %v", b, err)
 		}
-		h.ended(t, LocalDone)
+		h.expectEnd(t, LocalDone)
 	})
 	t.Run("closed, noticed by a write", func(t *testing.T) {
 		c, h, peer := accepted(t)
 		_ = peer.Close()
-		wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
+		waitUntil(t, "the half close is told", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
 		c.Write([]byte("H"))
-		wait(t, "the reset is seen", func() bool {
+		waitUntil(t, "the reset is seen", func() bool {
 			c.CloseIfReset()
 			var n int
-			h.with(func() { n = len(h.ends) })
+			h.locked(func() { n = len(h.ends) })
 			return n > 0
 		})
-		h.ended(t, PeerReset)
+		h.expectEnd(t, PeerReset)
 	})
 }
 
-// TestWhatWasReadIsKnownBeforeTheOwnerLooks: bytes that we have read, but that wait for the
+// TestInputIsNotDrainedWhileTheOwnerIsBusy: bytes that we have read, but that wait for the
 // owner, are owed an answer; a connection on which some wait does not rest.
-func TestWhatWasReadIsKnownBeforeTheOwnerLooks(t *testing.T) {
+func TestInputIsNotDrainedWhileTheOwnerIsBusy(t *testing.T) {
 	conns, held := make(chan *Conn, 1), make(chan func(), 100) // the owner is busy
 	n := NewNet(owner(held), Limits{Conns: 10, Backlog: 1 << 20}, nil)
-	h := &heard{}
+	h := &recorder{}
 	ln, err := n.Listen("127.0.0.1:0", func(c *Conn) Handler { conns <- c; return h })
 	if err != nil {
 		t.Fatal(err)
@@ -173,8 +173,8 @@
 		t.Error("InputDrained is false though nothing was sent")
 	}
 	_, _ = io.WriteString(peer, "hello")
-	wait(t, "the input is noticed", func() bool { return !c.InputDrained() })
-	wait(t, "the input has been read", func() bool { return len(held) > 0 })
+	waitUntil(t, "the input is noticed", func() bool { return !c.InputDrained() })
+	waitUntil(t, "the input has been read", func() bool { return len(held) > 0 })
 	if c.InputDrained() {
 		t.Error("InputDrained is true while read bytes wait for the owner")
 	}
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestAPeerThatDoesNotRead shows that netpoll's own Flush blocks there, and that
+// TestWriteDoesNotBlockOnAPeerThatDoesNotRead shows that netpoll's own Flush blocks there, and that
 // Write does not.
-func TestAPeerThatDoesNotRead(t *testing.T) {
+func TestWriteDoesNotBlockOnAPeerThatDoesNotRead(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.SetReadBuffer(4096)
 	chunk := []byte(strings.Repeat("x", 256<<10))
@@ -202,7 +202,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("Write blocked")
 	}
-	h.ended(t, PeerStalled)
+	h.expectEnd(t, PeerStalled)
 	if c.Written(100 * int64(len(chunk))) {
 		t.Error("bytes that were never written count as written")
 	}
@@ -231,7 +231,7 @@
 	<-flushed
 }
 
-func TestASlowPeerGetsEverything(t *testing.T) {
+func TestSlowPeerReceivesEverything(t *testing.T) {
 	c, _, peer := accepted(t)
 	_ = peer.SetReadBuffer(64 << 10)
 	var want strings.Builder
@@ -247,32 +247,32 @@
 	if _, err := io.ReadFull(peer, got); err != nil || string(got) != want.String() {
 		t.Errorf("peer read something else, %v", err)
 	}
-	wait(t, "nothing waits", c.Flushed)
+	waitUntil(t, "nothing waits", c.Flushed)
 }
 
-// TestAHalfClosedPeerThatDoesNotRead is closed in the end, and its descriptor's
+// TestHalfClosedPeerThatDoesNotReadIsClosed is closed in the end, and its descriptor's
 // number, which others get, is not written to any more.
-func TestAHalfClosedPeerThatDoesNotRead(t *testing.T) {
+func TestHalfClosedPeerThatDoesNotReadIsClosed(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.CloseWrite()
-	wait(t, "the half close is told", func() bool { var half bool; h.with(func() { half = h.half }); return half })
+	waitUntil(t, "the half close is told", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
 	for c.Flushed() {
 		c.Write([]byte(strings.Repeat("x", 64<<10)))
 	}
 	c.Close(LocalStop)
-	h.ended(t, LocalStop)
+	h.expectEnd(t, LocalStop)
 	c.mu.Lock()
 	c.pending = []byte("x")
 	c.mu.Unlock()
 	if n, _, _ := c.drainOnce(); n > 0 {
 		t.Error("written to a closed descriptor")
 	}
-	wait(t, "the drain stops", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.writing })
+	waitUntil(t, "the drain stops", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.writing })
 }
 
-// TestLastWordsAreHeard has the peer answer and leave before the owner has had a
+// TestDataBeforeTheEndIsDelivered has the peer answer and leave before the owner has had a
 // turn: what it said still comes, and before the end.
-func TestLastWordsAreHeard(t *testing.T) {
+func TestDataBeforeTheEndIsDelivered(t *testing.T) {
 	for _, linger := range []int{-1, 0} { // leaving in order, and by a reset
 		o := make(owner, 1000) // nothing is run until the test does
 		n := NewNet(o, Limits{Conns: 10, Backlog: 1 << 20}, nil)
@@ -281,7 +281,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = ln.Close() })
-		h := &heard{}
+		h := &recorder{}
 		var c *Conn
 		n.Dial(ln.Addr().String(), time.Second, h, func(got *Conn, _ End) { c = got })
 		peer, err := ln.Accept()
@@ -290,10 +290,10 @@
 		}
 		(<-o)()
 		_, _ = io.WriteString(peer, "last words")
-		wait(t, "the bytes are read", func() bool { return c.in.Load() > 0 })
+		waitUntil(t, "the bytes are read", func() bool { return c.in.Load() > 0 })
 		_ = peer.(*net.TCPConn).SetLinger(linger)
 		_ = peer.Close()
-		wait(t, "the end is seen", c.ended)
+		waitUntil(t, "the end is seen", c.ended)
 		c.Write([]byte("too late"))
 		for len(h.ends) == 0 {
 			(<-o)()
@@ -308,7 +308,7 @@
 	n := NewNet(newOwner(t), Limits{Conns: 1, Backlog: 1 << 20}, nil)
 	dial := func(addr string) End {
 		ends := make(chan End, 1)
-		n.Dial(addr, 200*time.Millisecond, &heard{}, func(_ *Conn, e End) { ends <- e })
+		n.Dial(addr, 200*time.Millisecond, &recorder{}, func(_ *Conn, e End) { ends <- e })
 		return <-ends
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -331,7 +331,7 @@
 	stats := make(chan Stats, 1)
 	o := newOwner(t)
 	n := NewNet(o, Limits{Conns: 10, Backlog: 1 << 20}, func(s Stats) { stats <- s })
-	h := &heard{}
+	h := &recorder{}
 	ln, err := n.Listen("127.0.0.1:0", func(*Conn) Handler { return h })
 	if err != nil {
 		t.Fatal(err)
@@ -343,7 +343,7 @@
 	}
 	_, _ = io.WriteString(peer, "hello")
 	_ = peer.(*net.TCPConn).SetLinger(0)
-	wait(t, "the data is read", func() bool { var n int; h.with(func() { n = len(h.data) }); return n == 5 })
+	waitUntil(t, "the data is read", func() bool { var n int; h.locked(func() { n = len(h.data) }); return n == 5 })
 	_ = peer.Close()
 	s := <-stats
 	if s.In != 5 || s.Out != 0 || s.Dialed || s.End != PeerReset || s.Remote.String() != peer.LocalAddr().String() {
@@ -351,9 +351,9 @@
 	}
 }
 
-// TestLastWordsReachAPeerThatStillSends answers in the middle of a long message:
+// TestFinishReachesAPeerThatStillSends answers in the middle of a long message:
 // a close with bytes unread would reset the connection under the sender.
-func TestLastWordsReachAPeerThatStillSends(t *testing.T) {
+func TestFinishReachesAPeerThatStillSends(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.SetDeadline(time.Now().Add(10 * time.Second))
 	piece := make([]byte, 64<<10)
@@ -370,13 +370,13 @@
 		t.Errorf("read %q, %v", b, err)
 	}
 	_ = peer.Close()
-	h.ended(t, LocalDone)
+	h.expectEnd(t, LocalDone)
 }
 
 // TestSilentConnectionsMakeRoom connects more peers that say nothing than may be
 // open, then one that speaks.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
-	h := &heard{}
+	h := &recorder{}
 	n := NewNet(newOwner(t), Limits{Conns: 16, Backlog: 1 << 20}, nil)
 	ln, err := n.Listen("127.0.0.1:0", func(*Conn) Handler { return h })
 	if err != nil {
@@ -388,17 +388,17 @@
 	}
 	peer := connect(t, ln)
 	_, _ = io.WriteString(peer, "hello")
-	wait(t, "the data of the peer that sends has been delivered", func() bool { var d string; h.with(func() { d = h.data }); return d == "hello" })
+	waitUntil(t, "the data of the peer that sends has been delivered", func() bool { var d string; h.locked(func() { d = h.data }); return d == "hello" })
 	if open := n.open.Load(); open > n.max {
 		t.Errorf("%d open, at most %d may be", open, n.max)
 	}
 }
 
-// TestAFloodIsBounded has a peer send faster than the owner works.
-func TestAFloodIsBounded(t *testing.T) {
+// TestUnhandledBytesAreBounded has a peer send faster than the owner works.
+func TestUnhandledBytesAreBounded(t *testing.T) {
 	o := make(owner, 10000) // nobody works
 	n := NewNet(o, Limits{Conns: 10, Backlog: 1 << 20}, nil)
-	ln, err := n.Listen("127.0.0.1:0", func(*Conn) Handler { return &heard{} })
+	ln, err := n.Listen("127.0.0.1:0", func(*Conn) Handler { return &recorder{} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -408,7 +408,7 @@
 	if _, err := peer.Write(make([]byte, 8<<20)); err != nil {
 		t.Fatal(err)
 	}
-	if held := n.backlog.Load(); held == 0 || held > maxUnhandled {
-		t.Errorf("%d bytes held, at most %d may be", held, maxUnhandled)
+	if held := n.backlog.Load(); held == 0 || held > maxUnhandledBytes {
+		t.Errorf("%d bytes held, at most %d may be", held, maxUnhandledBytes)
 	}
 }
