--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWhatIsNotAFrame(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for text, want := range map[string]error{"\x00\x00\x00\x00": ErrEmpty, "\x7f\x00\x00\x01": ErrTooLong} {
 		if _, err := feed([]byte(text), 1); !errors.Is(err, want) {
 			t.Errorf("%q gave %v, want %v", text, err, want)
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	frameHeader   = 9
-	maxFrame      = 16 << 10 // bytes of a frame that we take: the least that we may ask for
-	maxHeaders    = 16 << 10 // bytes of header fields, unpacked
-	maxBlock      = 32 << 10 // bytes of a header block with its continuations
-	maxStreams    = 128      // streams that a client may have open
-	maxResets     = 512      // streams that a client may cancel before we have answered anything more
-	streamWindow  = 64 << 10 // bytes that a peer may send before we have taken them
-	defaultWindow = 65535
-	maxWindow     = 1<<31 - 1
-	maxPending    = 4 << 20 // bytes that wait for a stream's window
+	frameHeaderBytes    = 9
+	maxFrameBytes       = 16 << 10 // bytes of a frame that we take: the least that we may ask for
+	maxHeaderListBytes  = 16 << 10 // bytes of header fields, unpacked
+	maxHeaderBlockBytes = 32 << 10 // bytes of a header block with its continuations
+	maxStreams          = 128      // streams that a client may have open
+	maxResets           = 512      // streams that a client may cancel before we have answered anything more
+	streamWindow        = 64 << 10 // bytes that a peer may send before we have taken them
+	defaultWindow       = 65535
+	maxWindow           = 1<<31 - 1
+	maxPendingBytes     = 4 << 20 // bytes that wait for a stream's window
 )
 
 // Handler is told what happens on a connection's streams.
@@ -40,67 +40,67 @@
 
 // Conn is one side of a connection.
 type Conn struct {
-	server  bool
-	h       Handler
-	write   func([]byte) int64
-	in      []byte
-	preface int // bytes of the client's preface still to come
-	src     bytes.Reader
-	dst     bytes.Buffer
-	fr      *http2.Framer
-	enc     *hpack.Encoder
-	block   bytes.Buffer
-
-	streams     map[uint32]*Stream
-	nextID      uint32 // client: of the next stream
-	lastID      uint32 // server: of the latest stream
-	window      int64  // bytes that we may send
-	initial     int64  // window of a new stream
-	frameSize   int
-	peerStreams int   // streams that the peer lets us open
-	took        int64 // bytes received and not yet given back to the connection's window
-	resets      int
-	goingAway   bool // no new streams: the peer said so, or we did
-	err         error
+	server         bool
+	h              Handler
+	write          func([]byte) int64
+	in             []byte
+	missingPreface int // bytes of the client's preface still to come
+	src            bytes.Reader
+	dst            bytes.Buffer
+	framer         *http2.Framer
+	encoder        *hpack.Encoder
+	headerBlock    bytes.Buffer
+
+	streams        map[uint32]*Stream
+	nextID         uint32 // client: of the next stream
+	lastID         uint32 // server: of the latest stream
+	sendWindow     int64  // bytes that we may send
+	initialWindow  int64  // window of a new stream
+	maxSendFrame   int
+	maxPeerStreams int   // streams that the peer lets us open
+	consumed       int64 // bytes received and not yet given back to the connection's window
+	resets         int
+	goingAway      bool // no new streams: the peer said so, or we did
+	err            error
 }
 
 // Stream is one request and its response.
 type Stream struct {
-	ID      uint32
-	User    any // the handler's own
-	c       *Conn
-	window  int64
-	took    int64 // bytes received and not yet given back
-	recv    int64 // bytes that the peer may still send
-	pending []byte
-	end     bool // the last byte of pending ends the stream
-	trailer []hpack.HeaderField
-	ended   bool  // we have ended our side
-	done    bool  // the peer has ended its side
-	offset  int64 // of the byte that ended our side; 0: not sent yet
-	gone    bool
+	ID            uint32
+	User          any // the handler's own
+	c             *Conn
+	sendWindow    int64
+	consumed      int64 // bytes received and not yet given back
+	receiveWindow int64 // bytes that the peer may still send
+	pending       []byte
+	end           bool // the last byte of pending ends the stream
+	trailer       []hpack.HeaderField
+	localEnded    bool  // we have ended our side
+	peerEnded     bool  // the peer has ended its side
+	endOffset     int64 // of the byte that ended our side; 0: not sent yet
+	closed        bool
 }
 
 // New returns a connection that sends by write, which returns the offset of the
 // last byte. Its settings are sent at once.
 func New(server bool, h Handler, write func([]byte) int64) *Conn {
-	c := &Conn{server: server, h: h, write: write, streams: map[uint32]*Stream{}, nextID: 1, window: defaultWindow,
-		initial: defaultWindow, frameSize: maxFrame, peerStreams: maxStreams}
-	c.fr = http2.NewFramer(&c.dst, &c.src)
-	c.fr.SetMaxReadFrameSize(maxFrame)
-	c.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	c.fr.MaxHeaderListSize = maxHeaders
-	c.enc = hpack.NewEncoder(&c.block)
+	c := &Conn{server: server, h: h, write: write, streams: map[uint32]*Stream{}, nextID: 1, sendWindow: defaultWindow,
+		initialWindow: defaultWindow, maxSendFrame: maxFrameBytes, maxPeerStreams: maxStreams}
+	c.framer = http2.NewFramer(&c.dst, &c.src)
+	c.framer.SetMaxReadFrameSize(maxFrameBytes)
+	c.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	c.framer.MaxHeaderListSize = maxHeaderListBytes
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
 	settings := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: streamWindow},
-		{ID: http2.SettingMaxHeaderListSize, Val: maxHeaders}}
+		{ID: http2.SettingMaxHeaderListSize, Val: maxHeaderListBytes}}
 	if server {
-		c.preface = len(http2.ClientPreface)
+		c.missingPreface = len(http2.ClientPreface)
 		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: maxStreams})
 	} else {
 		c.dst.WriteString(http2.ClientPreface)
 		settings = append(settings, http2.Setting{ID: http2.SettingEnablePush, Val: 0})
 	}
-	_ = c.fr.WriteSettings(settings...) // writes to a buffer; so do all below
+	_ = c.framer.WriteSettings(settings...) // writes to a buffer; so do all below
 	c.flush()
 	return c
 }
@@ -125,16 +125,16 @@
 	if c.goingAway || c.err != nil || c.nextID > maxWindow-2 {
 		return 0
 	}
-	return max(0, c.peerStreams-len(c.streams))
+	return max(0, c.maxPeerStreams-len(c.streams))
 }
 
-// errConn is an error that ends the connection.
-type errConn struct {
-	code http2.ErrCode
-	why  string
+// connectionError is an error that ends the connection.
+type connectionError struct {
+	code   http2.ErrCode
+	reason string
 }
 
-func (e errConn) Error() string { return fmt.Sprintf("%v: %s", e.code, e.why) }
+func (e connectionError) Error() string { return fmt.Sprintf("%v: %s", e.code, e.reason) }
 
 // Receive takes bytes from the peer. After an error the connection is to be
 // closed; the peer has been told why.
@@ -143,10 +143,10 @@
 		return c.err
 	}
 	c.in = append(c.in, b...)
-	c.err = c.receive()
+	c.err = c.readFrames()
 	if c.err != nil {
 		code := http2.ErrCodeProtocol
-		var own errConn
+		var own connectionError
 		var theirs http2.ConnectionError
 		switch {
 		case errors.As(c.err, &own):
@@ -156,27 +156,27 @@
 		case errors.Is(c.err, http2.ErrFrameTooLarge):
 			code = http2.ErrCodeFrameSize
 		}
-		_ = c.fr.WriteGoAway(c.lastID, code, nil)
+		_ = c.framer.WriteGoAway(c.lastID, code, nil)
 	}
 	c.flush()
 	return c.err
 }
 
-func (c *Conn) receive() error {
-	if n := min(c.preface, len(c.in)); n > 0 {
-		at := len(http2.ClientPreface) - c.preface
+func (c *Conn) readFrames() error {
+	if n := min(c.missingPreface, len(c.in)); n > 0 {
+		at := len(http2.ClientPreface) - c.missingPreface
 		if string(c.in[:n]) != http2.ClientPreface[at:at+n] {
-			return errConn{http2.ErrCodeProtocol, "no HTTP/2 preface"}
+			return connectionError{http2.ErrCodeProtocol, "no HTTP/2 preface"}
 		}
-		c.in, c.preface = c.in[n:], c.preface-n
+		c.in, c.missingPreface = c.in[n:], c.missingPreface-n
 	}
-	for c.preface == 0 && c.err == nil {
-		n, err := c.whole()
+	for c.missingPreface == 0 && c.err == nil {
+		n, err := c.nextFrameLength()
 		if n == 0 || err != nil {
 			return err
 		}
 		c.src.Reset(c.in[:n])
-		f, err := c.fr.ReadFrame()
+		f, err := c.framer.ReadFrame()
 		c.in = c.in[n:]
 		if len(c.in) == 0 {
 			c.in = nil
@@ -184,11 +184,11 @@
 		var se http2.StreamError
 		switch {
 		case errors.As(err, &se):
-			c.streamError(se)
+			c.handleStreamError(se)
 		case err != nil:
 			return err
 		default:
-			if err := c.take(f); err != nil {
+			if err := c.handleFrame(f); err != nil {
 				return err
 			}
 		}
@@ -196,20 +196,20 @@
 	return nil
 }
 
-// whole is the length of the next frame, with the continuations of its header
+// nextFrameLength is the length of the next frame, with the continuations of its header
 // block, once all of it is there.
-func (c *Conn) whole() (int, error) {
+func (c *Conn) nextFrameLength() (int, error) {
 	for n := 0; ; {
-		if len(c.in) < n+frameHeader {
+		if len(c.in) < n+frameHeaderBytes {
 			return 0, nil
 		}
 		h := c.in[n:]
 		length := int(binary.BigEndian.Uint32(h) >> 8)
-		if length > maxFrame {
-			return 0, errConn{http2.ErrCodeFrameSize, "frame too long"}
+		if length > maxFrameBytes {
+			return 0, connectionError{http2.ErrCodeFrameSize, "frame too long"}
 		}
 		kind, flags := http2.FrameType(h[3]), http2.Flags(h[4])
-		if n += frameHeader + length; len(c.in) < n {
+		if n += frameHeaderBytes + length; len(c.in) < n {
 			return 0, nil
 		}
 		opens := kind == http2.FrameHeaders || kind == http2.FrameContinuation || kind == http2.FramePushPromise
@@ -217,53 +217,53 @@
 			return n, nil
 		}
 		// Guards memory against continuations without end.
-		if n > maxBlock {
-			return 0, errConn{http2.ErrCodeEnhanceYourCalm, "header block too long"}
+		if n > maxHeaderBlockBytes {
+			return 0, connectionError{http2.ErrCodeEnhanceYourCalm, "header block too long"}
 		}
 	}
 }
 
-func (c *Conn) streamError(se http2.StreamError) {
-	_ = c.fr.WriteRSTStream(se.StreamID, se.Code)
-	c.lastID = max(c.lastID, c.ifServer(se.StreamID))
+func (c *Conn) handleStreamError(se http2.StreamError) {
+	_ = c.framer.WriteRSTStream(se.StreamID, se.Code)
+	c.lastID = max(c.lastID, c.zeroForClient(se.StreamID))
 	if s := c.streams[se.StreamID]; s != nil {
-		s.forget()
+		s.remove()
 		c.h.Closed(s, se.Code, false)
 	}
 }
 
-func (c *Conn) ifServer(id uint32) uint32 {
+func (c *Conn) zeroForClient(id uint32) uint32 {
 	if c.server {
 		return id
 	}
 	return 0
 }
 
-func (c *Conn) take(f http2.Frame) error {
+func (c *Conn) handleFrame(f http2.Frame) error {
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
-		return c.settings(f)
+		return c.handleSettings(f)
 	case *http2.MetaHeadersFrame:
-		return c.headers(f)
+		return c.handleHeaders(f)
 	case *http2.DataFrame:
-		return c.data(f)
+		return c.handleData(f)
 	case *http2.WindowUpdateFrame:
-		return c.windowUpdate(f)
+		return c.handleWindowUpdate(f)
 	case *http2.RSTStreamFrame:
-		return c.reset(f)
+		return c.handleReset(f)
 	case *http2.PingFrame:
 		if !f.IsAck() {
-			_ = c.fr.WritePing(true, f.Data)
+			_ = c.framer.WritePing(true, f.Data)
 		}
 	case *http2.GoAwayFrame:
-		c.goAway(f)
+		c.handleGoAway(f)
 	case *http2.PushPromiseFrame:
-		return errConn{http2.ErrCodeProtocol, "PUSH_PROMISE although push is disabled"}
+		return connectionError{http2.ErrCodeProtocol, "PUSH_PROMISE although push is disabled"}
 	}
 	return nil
 }
 
-func (c *Conn) settings(f *http2.SettingsFrame) error {
+func (c *Conn) handleSettings(f *http2.SettingsFrame) error {
 	if f.IsAck() {
 		return nil
 	}
@@ -273,145 +273,145 @@
 		}
 		switch s.ID {
 		case http2.SettingInitialWindowSize:
-			by := int64(s.Val) - c.initial
-			c.initial = int64(s.Val)
+			by := int64(s.Val) - c.initialWindow
+			c.initialWindow = int64(s.Val)
 			for _, st := range c.streams {
-				if st.window += by; st.window > maxWindow {
-					return errConn{http2.ErrCodeFlowControl, "window too large"}
+				if st.sendWindow += by; st.sendWindow > maxWindow {
+					return connectionError{http2.ErrCodeFlowControl, "window too large"}
 				}
 			}
 		case http2.SettingMaxFrameSize:
-			c.frameSize = min(int(s.Val), maxFrame)
+			c.maxSendFrame = min(int(s.Val), maxFrameBytes)
 		case http2.SettingMaxConcurrentStreams:
-			c.peerStreams = int(min(s.Val, maxStreams))
+			c.maxPeerStreams = int(min(s.Val, maxStreams))
 		case http2.SettingHeaderTableSize:
-			c.enc.SetMaxDynamicTableSize(min(s.Val, 4096))
+			c.encoder.SetMaxDynamicTableSize(min(s.Val, 4096))
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	_ = c.fr.WriteSettingsAck()
-	c.pump()
+	_ = c.framer.WriteSettingsAck()
+	c.flushPending()
 	return nil
 }
 
-func (c *Conn) headers(f *http2.MetaHeadersFrame) error {
+func (c *Conn) handleHeaders(f *http2.MetaHeadersFrame) error {
 	s := c.streams[f.StreamID]
 	if s == nil {
 		if !c.server {
 			return nil // of a stream that we gave up
 		}
 		if f.StreamID%2 == 0 || f.StreamID <= c.lastID {
-			return errConn{http2.ErrCodeStreamClosed, "HEADERS on a closed stream"}
+			return connectionError{http2.ErrCodeStreamClosed, "HEADERS on a closed stream"}
 		}
 		c.lastID = f.StreamID
 		// Guards memory and the core against more than we said we take.
 		if len(c.streams) >= maxStreams || c.goingAway {
-			_ = c.fr.WriteRSTStream(f.StreamID, http2.ErrCodeRefusedStream)
+			_ = c.framer.WriteRSTStream(f.StreamID, http2.ErrCodeRefusedStream)
 			return nil
 		}
-		s = c.add(f.StreamID)
+		s = c.addStream(f.StreamID)
 	}
-	if s.done {
-		return errConn{http2.ErrCodeStreamClosed, "HEADERS after the end of a stream"}
+	if s.peerEnded {
+		return connectionError{http2.ErrCodeStreamClosed, "HEADERS after the end of a stream"}
 	}
 	if f.Truncated {
 		s.Reset(http2.ErrCodeEnhanceYourCalm)
 		c.h.Closed(s, http2.ErrCodeEnhanceYourCalm, false)
 		return nil
 	}
-	s.done = f.StreamEnded()
-	c.h.Headers(s, f.Fields, s.done)
-	s.maybeForget()
+	s.peerEnded = f.StreamEnded()
+	c.h.Headers(s, f.Fields, s.peerEnded)
+	s.removeIfEnded()
 	return nil
 }
 
-func (c *Conn) add(id uint32) *Stream {
-	s := &Stream{ID: id, c: c, window: c.initial, recv: streamWindow}
+func (c *Conn) addStream(id uint32) *Stream {
+	s := &Stream{ID: id, c: c, sendWindow: c.initialWindow, receiveWindow: streamWindow}
 	c.streams[id] = s
 	return s
 }
 
-func (c *Conn) data(f *http2.DataFrame) error {
+func (c *Conn) handleData(f *http2.DataFrame) error {
 	n := int64(f.Length)
-	c.took += n
-	if c.took >= defaultWindow/2 {
-		_ = c.fr.WriteWindowUpdate(0, uint32(c.took))
-		c.took = 0
+	c.consumed += n
+	if c.consumed >= defaultWindow/2 {
+		_ = c.framer.WriteWindowUpdate(0, uint32(c.consumed))
+		c.consumed = 0
 	}
 	s := c.streams[f.StreamID]
 	if s == nil {
 		if c.server && f.StreamID > c.lastID || !c.server && f.StreamID >= c.nextID {
-			return errConn{http2.ErrCodeProtocol, "DATA on a stream that was never open"}
+			return connectionError{http2.ErrCodeProtocol, "DATA on a stream that was never open"}
 		}
 		return nil // of a stream that is over
 	}
-	if s.done {
-		return errConn{http2.ErrCodeStreamClosed, "DATA after the end of a stream"}
+	if s.peerEnded {
+		return connectionError{http2.ErrCodeStreamClosed, "DATA after the end of a stream"}
 	}
 	// Guards memory against a peer that disregards flow control.
-	if s.recv -= n; s.recv < 0 {
-		return errConn{http2.ErrCodeFlowControl, "DATA exceeds the receive window"}
+	if s.receiveWindow -= n; s.receiveWindow < 0 {
+		return connectionError{http2.ErrCodeFlowControl, "DATA exceeds the receive window"}
 	}
-	s.done = f.StreamEnded()
-	c.h.Data(s, f.Data(), s.done)
-	if s.gone {
+	s.peerEnded = f.StreamEnded()
+	c.h.Data(s, f.Data(), s.peerEnded)
+	if s.closed {
 		return nil
 	}
-	if s.took += n; s.took >= streamWindow/2 && !s.done {
-		_ = c.fr.WriteWindowUpdate(s.ID, uint32(s.took))
-		s.recv += s.took
-		s.took = 0
+	if s.consumed += n; s.consumed >= streamWindow/2 && !s.peerEnded {
+		_ = c.framer.WriteWindowUpdate(s.ID, uint32(s.consumed))
+		s.receiveWindow += s.consumed
+		s.consumed = 0
 	}
-	s.maybeForget()
+	s.removeIfEnded()
 	return nil
 }
 
-func (c *Conn) windowUpdate(f *http2.WindowUpdateFrame) error {
+func (c *Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) error {
 	by := int64(f.Increment)
 	if f.StreamID == 0 {
-		if c.window += by; c.window > maxWindow {
-			return errConn{http2.ErrCodeFlowControl, "window too large"}
+		if c.sendWindow += by; c.sendWindow > maxWindow {
+			return connectionError{http2.ErrCodeFlowControl, "window too large"}
 		}
-		c.pump()
+		c.flushPending()
 		return nil
 	}
 	if s := c.streams[f.StreamID]; s != nil {
-		if s.window += by; s.window > maxWindow {
+		if s.sendWindow += by; s.sendWindow > maxWindow {
 			s.Reset(http2.ErrCodeFlowControl)
 			c.h.Closed(s, http2.ErrCodeFlowControl, false)
 			return nil
 		}
-		s.pump()
+		s.flushPending()
 	}
 	return nil
 }
 
-func (c *Conn) reset(f *http2.RSTStreamFrame) error {
+func (c *Conn) handleReset(f *http2.RSTStreamFrame) error {
 	// Guards against a client that opens and cancels streams in a loop.
 	if c.server {
 		if c.resets++; c.resets > maxResets {
-			return errConn{http2.ErrCodeEnhanceYourCalm, "too many streams cancelled without a response in between"}
+			return connectionError{http2.ErrCodeEnhanceYourCalm, "too many streams cancelled without a response in between"}
 		}
 	}
 	if s := c.streams[f.StreamID]; s != nil {
-		s.forget()
+		s.remove()
 		c.h.Closed(s, f.ErrCode, f.ErrCode == http2.ErrCodeRefusedStream)
 	}
 	return nil
 }
 
-// goAway ends the streams that the peer says it will never act on.
-func (c *Conn) goAway(f *http2.GoAwayFrame) {
+// handleGoAway ends the streams that the peer says it will never act on.
+func (c *Conn) handleGoAway(f *http2.GoAwayFrame) {
 	c.goingAway = true
 	if c.server {
 		return
 	}
-	for _, s := range c.sorted() {
+	for _, s := range c.sortedStreams() {
 		if s.ID > f.LastStreamID {
-			s.forget()
+			s.remove()
 			c.h.Closed(s, f.ErrCode, true)
 		}
 	}
@@ -421,20 +421,20 @@
 func (c *Conn) GoAway() {
 	if !c.goingAway {
 		c.goingAway = true
-		_ = c.fr.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
+		_ = c.framer.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
 		c.flush()
 	}
 }
 
 // Ping sends a ping, whose answer means nothing to us.
 func (c *Conn) Ping() {
-	_ = c.fr.WritePing(false, [8]byte{})
+	_ = c.framer.WritePing(false, [8]byte{})
 	c.flush()
 }
 
 // Open begins a stream. The caller has looked at Room.
 func (c *Conn) Open(fields []hpack.HeaderField, data []byte) *Stream {
-	s := c.add(c.nextID)
+	s := c.addStream(c.nextID)
 	c.nextID += 2
 	c.writeHeaders(s, fields, false)
 	s.Write(data, true)
@@ -442,47 +442,47 @@
 }
 
 func (c *Conn) writeHeaders(s *Stream, fields []hpack.HeaderField, end bool) {
-	c.block.Reset()
+	c.headerBlock.Reset()
 	for _, f := range fields {
-		_ = c.enc.WriteField(f) // writes to a buffer
+		_ = c.encoder.WriteField(f) // writes to a buffer
 	}
-	b := c.block.Bytes()
-	n := min(len(b), c.frameSize)
-	_ = c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: b[:n], EndStream: end,
+	b := c.headerBlock.Bytes()
+	n := min(len(b), c.maxSendFrame)
+	_ = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: b[:n], EndStream: end,
 		EndHeaders: n == len(b)})
 	for b = b[n:]; len(b) > 0; b = b[n:] {
-		n = min(len(b), c.frameSize)
-		_ = c.fr.WriteContinuation(s.ID, n == len(b), b[:n])
+		n = min(len(b), c.maxSendFrame)
+		_ = c.framer.WriteContinuation(s.ID, n == len(b), b[:n])
 	}
 }
 
 // Headers sends header fields, which end our side if end is set.
 func (s *Stream) Headers(fields []hpack.HeaderField, end bool) {
-	if s.gone || s.ended {
+	if s.closed || s.localEnded {
 		return
 	}
 	s.c.resets = 0
 	s.c.writeHeaders(s, fields, end)
-	s.finish(end)
+	s.flushAndEnd(end)
 }
 
-func (s *Stream) finish(end bool) {
+func (s *Stream) flushAndEnd(end bool) {
 	at := s.c.flush()
 	if end {
-		s.ended, s.offset = true, at
-		s.maybeForget()
+		s.localEnded, s.endOffset = true, at
+		s.removeIfEnded()
 	}
 }
 
 // Write sends bytes as far as the windows allow; the rest waits for them.
 func (s *Stream) Write(b []byte, end bool) {
-	if s.gone || s.ended || s.end {
+	if s.closed || s.localEnded || s.end {
 		return
 	}
 	s.pending, s.end = append(s.pending, b...), end
-	s.pump()
+	s.flushPending()
 	// Guards memory against a peer that opens no window.
-	if len(s.pending) > maxPending {
+	if len(s.pending) > maxPendingBytes {
 		s.Reset(http2.ErrCodeEnhanceYourCalm)
 		s.c.h.Closed(s, http2.ErrCodeEnhanceYourCalm, false)
 	}
@@ -491,70 +491,70 @@
 // Trailers ends our side with header fields, after all that was written.
 func (s *Stream) Trailers(fields []hpack.HeaderField) {
 	s.trailer = fields
-	s.pump()
+	s.flushPending()
 }
 
 // Open reports whether the stream has not ended on both sides.
-func (s *Stream) Open() bool { return !s.gone }
+func (s *Stream) Open() bool { return !s.closed }
 
 // Sent is the offset of the byte that ended our side, and whether it was handed
 // to the connection.
-func (s *Stream) Sent() (int64, bool) { return s.offset, s.ended }
+func (s *Stream) Sent() (int64, bool) { return s.endOffset, s.localEnded }
 
-func (s *Stream) pump() {
-	if s.gone || s.ended {
+func (s *Stream) flushPending() {
+	if s.closed || s.localEnded {
 		return
 	}
 	for len(s.pending) > 0 || s.end {
-		n := int(min(int64(len(s.pending)), int64(s.c.frameSize), s.window, s.c.window))
+		n := int(min(int64(len(s.pending)), int64(s.c.maxSendFrame), s.sendWindow, s.c.sendWindow))
 		if n <= 0 && len(s.pending) > 0 {
 			break
 		}
 		end := s.end && n == len(s.pending)
-		_ = s.c.fr.WriteData(s.ID, end, s.pending[:n])
+		_ = s.c.framer.WriteData(s.ID, end, s.pending[:n])
 		s.pending = s.pending[n:]
-		s.window -= int64(n)
-		s.c.window -= int64(n)
+		s.sendWindow -= int64(n)
+		s.c.sendWindow -= int64(n)
 		if end {
-			s.finish(true)
+			s.flushAndEnd(true)
 			return
 		}
 	}
 	if len(s.pending) == 0 && s.trailer != nil {
 		s.c.writeHeaders(s, s.trailer, true)
-		s.finish(true)
+		s.flushAndEnd(true)
 		return
 	}
 	s.c.flush()
 }
 
-// pump goes on with every stream that waits for the connection's window, in the
+// flushPending goes on with every stream that waits for the connection's window, in the
 // order of their ids.
-func (c *Conn) pump() {
-	for _, s := range c.sorted() {
+func (c *Conn) flushPending() {
+	for _, s := range c.sortedStreams() {
 		if len(s.pending) > 0 {
-			s.pump()
+			s.flushPending()
 		}
 	}
 }
 
 // Reset ends the stream with an error code; the handler is not told.
 func (s *Stream) Reset(code http2.ErrCode) {
-	if s.gone {
+	if s.closed {
 		return
 	}
-	_ = s.c.fr.WriteRSTStream(s.ID, code)
-	s.forget()
+	_ = s.c.framer.WriteRSTStream(s.ID, code)
+	s.remove()
 	s.c.flush()
 }
 
-func (s *Stream) maybeForget() {
-	if s.ended && s.done {
-		s.forget()
+func (s *Stream) removeIfEnded() {
+	if s.localEnded && s.peerEnded {
+		s.remove()
 	}
 }
 
-func (s *Stream) forget() {
-	s.gone, s.pending = true, nil
+func (s *Stream) remove() {
+	s.closed, s.pending = true, nil
 	delete(s.c.streams, s.ID)
 }
--- a/internal/h2/grpc.go
+++ b/internal/h2/grpc.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/codes"
 )
 
-const messageHead = 5 // bytes before each gRPC message
+const messageHeaderBytes = 5 // bytes before each gRPC message
 
 // ErrTooLong and ErrCompressed are gRPC messages that are not taken.
 var (
@@ -22,7 +22,7 @@
 	ErrCompressed = errors.New("gRPC message compressed")
 )
 
-func (c *Conn) sorted() []*Stream {
+func (c *Conn) sortedStreams() []*Stream {
 	return slices.SortedFunc(maps.Values(c.streams), func(a, b *Stream) int { return int(a.ID) - int(b.ID) })
 }
 
@@ -35,7 +35,7 @@
 // Add takes bytes and returns the messages that are whole now.
 func (m *MessageParser) Add(b []byte) (list [][]byte, err error) {
 	m.buf = append(m.buf, b...)
-	for len(m.buf) >= messageHead {
+	for len(m.buf) >= messageHeaderBytes {
 		n := binary.BigEndian.Uint32(m.buf[1:])
 		if m.buf[0] != 0 {
 			return list, ErrCompressed
@@ -43,11 +43,11 @@
 		if uint64(n) > uint64(m.MaxBytes) {
 			return list, ErrTooLong
 		}
-		end := messageHead + int(n)
+		end := messageHeaderBytes + int(n)
 		if len(m.buf) < end {
 			break
 		}
-		list = append(list, m.buf[messageHead:end:end])
+		list = append(list, m.buf[messageHeaderBytes:end:end])
 		m.buf = m.buf[end:]
 	}
 	return list, nil
@@ -112,7 +112,7 @@
 func (s Status) Trailer() []hpack.HeaderField {
 	f := []hpack.HeaderField{{Name: "grpc-status", Value: strconv.Itoa(int(s.Code))}}
 	if s.Message != "" {
-		f = append(f, hpack.HeaderField{Name: "grpc-message", Value: escape(s.Message)})
+		f = append(f, hpack.HeaderField{Name: "grpc-message", Value: percentEncode(s.Message)})
 	}
 	if s.Pushback > 0 {
 		f = append(f, hpack.HeaderField{Name: "grpc-retry-pushback-ms",
@@ -140,8 +140,8 @@
 	return s, ok
 }
 
-// escape percent-encodes what a header field can't hold.
-func escape(s string) string {
+// percentEncode percent-encodes what a header field can't hold.
+func percentEncode(s string) string {
 	var b strings.Builder
 	for i := range len(s) {
 		if c := s[i]; c >= ' ' && c <= '~' && c != '%' {
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -13,21 +13,21 @@
 	"google.golang.org/grpc/codes"
 )
 
-// side is one end of a connection in memory.
-type side struct {
-	conn    *Conn
-	wire    []byte // what it has sent and the other has not received
-	sent    int64
-	streams []*Stream
-	data    map[uint32]string
-	ended   map[uint32]bool
-	closed  map[uint32]http2.ErrCode
-	never   map[uint32]bool
-	onEnd   func(s *Stream)
+// endpoint is one end of a connection in memory.
+type endpoint struct {
+	conn     *Conn
+	wire     []byte // what it has sent and the other has not received
+	sent     int64
+	streams  []*Stream
+	data     map[uint32]string
+	ended    map[uint32]bool
+	closed   map[uint32]http2.ErrCode
+	neverRan map[uint32]bool
+	onEnd    func(s *Stream)
 }
 
-func newSide(server bool) *side {
-	s := &side{data: map[uint32]string{}, ended: map[uint32]bool{}, closed: map[uint32]http2.ErrCode{}, never: map[uint32]bool{}}
+func newEndpoint(server bool) *endpoint {
+	s := &endpoint{data: map[uint32]string{}, ended: map[uint32]bool{}, closed: map[uint32]http2.ErrCode{}, neverRan: map[uint32]bool{}}
 	s.conn = New(server, s, func(b []byte) int64 {
 		s.wire = append(s.wire, b...)
 		s.sent += int64(len(b))
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *side) Headers(st *Stream, _ []hpack.HeaderField, end bool) {
+func (s *endpoint) Headers(st *Stream, _ []hpack.HeaderField, end bool) {
 	if st.User == nil {
 		st.User = true
 		s.streams = append(s.streams, st)
@@ -44,12 +44,12 @@
 	s.end(st, end)
 }
 
-func (s *side) Data(st *Stream, b []byte, end bool) {
+func (s *endpoint) Data(st *Stream, b []byte, end bool) {
 	s.data[st.ID] += string(b)
 	s.end(st, end)
 }
 
-func (s *side) end(st *Stream, end bool) {
+func (s *endpoint) end(st *Stream, end bool) {
 	if end {
 		s.ended[st.ID] = true
 		if s.onEnd != nil {
@@ -58,15 +58,15 @@
 	}
 }
 
-func (s *side) Closed(st *Stream, code http2.ErrCode, never bool) {
-	s.closed[st.ID], s.never[st.ID] = code, never
+func (s *endpoint) Closed(st *Stream, code http2.ErrCode, neverRan bool) {
+	s.closed[st.ID], s.neverRan[st.ID] = code, neverRan
 }
 
-// talk carries bytes in pieces of n until both sides are silent.
-func talk(t *testing.T, a, b *side, n int) {
+// exchange carries bytes in pieces of n until both sides are silent.
+func exchange(t *testing.T, a, b *endpoint, n int) {
 	t.Helper()
 	for len(a.wire) > 0 || len(b.wire) > 0 {
-		for _, p := range [][2]*side{{a, b}, {b, a}} {
+		for _, p := range [][2]*endpoint{{a, b}, {b, a}} {
 			w := p[0].wire
 			p[0].wire = nil
 			for len(w) > 0 {
@@ -82,9 +82,9 @@
 
 var request = []hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/x"}}
 
-func TestLargeBodiesKeepToTheWindows(t *testing.T) {
+func TestLargeBodiesRespectFlowControl(t *testing.T) {
 	for _, n := range []int{1, 7, 1 << 20} {
-		client, server := newSide(false), newSide(true)
+		client, server := newEndpoint(false), newEndpoint(true)
 		up, down := strings.Repeat("u", 300_000), strings.Repeat("d", 500_000)
 		server.onEnd = func(s *Stream) {
 			s.Headers([]hpack.HeaderField{{Name: ":status", Value: "200"}}, false)
@@ -95,37 +95,37 @@
 		if _, sent := s.Sent(); sent {
 			t.Error("all was sent, though the window is smaller")
 		}
-		talk(t, client, server, n)
+		exchange(t, client, server, n)
 		if server.data[1] != up || client.data[1] != down || !client.ended[1] || client.conn.Streams()+server.conn.Streams() != 0 {
 			t.Errorf("in pieces of %d: %d up, %d down, ended %v", n, len(server.data[1]), len(client.data[1]), client.ended[1])
 		}
 	}
 }
 
-func TestCancelledStreamsAreTold(t *testing.T) {
-	client, server := newSide(false), newSide(true)
+func TestCancelledStreamIsReported(t *testing.T) {
+	client, server := newEndpoint(false), newEndpoint(true)
 	s := client.conn.Open(request, []byte("x"))
-	talk(t, client, server, 100)
+	exchange(t, client, server, 100)
 	s.Reset(http2.ErrCodeCancel)
-	talk(t, client, server, 100)
+	exchange(t, client, server, 100)
 	if server.closed[1] != http2.ErrCodeCancel || server.conn.Streams()+client.conn.Streams() != 0 {
 		t.Errorf("closed %v, %d and %d streams left", server.closed, client.conn.Streams(), server.conn.Streams())
 	}
 }
 
-func TestGoAwayNamesWhatNeverRan(t *testing.T) {
-	client, server := newSide(false), newSide(true)
+func TestGoAwayReportsStreamsThatNeverRan(t *testing.T) {
+	client, server := newEndpoint(false), newEndpoint(true)
 	client.conn.Open(request, nil)
-	talk(t, client, server, 100)
+	exchange(t, client, server, 100)
 	server.conn.GoAway()
 	client.conn.Open(request, nil) // crosses the word to go
-	talk(t, client, server, 100)
-	if !client.never[3] || client.never[1] || client.conn.Room() != 0 {
-		t.Errorf("never ran: %v, room %d", client.never, client.conn.Room())
+	exchange(t, client, server, 100)
+	if !client.neverRan[3] || client.neverRan[1] || client.conn.Room() != 0 {
+		t.Errorf("never ran: %v, room %d", client.neverRan, client.conn.Room())
 	}
 }
 
-func TestBrokenPeersEndTheConnection(t *testing.T) {
+func TestProtocolViolationsEndTheConnection(t *testing.T) {
 	frame := func(write func(f *http2.Framer) error) string {
 		var b bytes.Buffer
 		f := http2.NewFramer(&b, nil)
@@ -145,7 +145,7 @@
 			return f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: block.Bytes(), EndHeaders: endHeaders})
 		})
 	}
-	data := frame(func(f *http2.Framer) error { return f.WriteData(1, false, make([]byte, maxFrame)) })
+	data := frame(func(f *http2.Framer) error { return f.WriteData(1, false, make([]byte, maxFrameBytes)) })
 	resets := open(1, true)
 	for id := uint32(3); id < 4*maxResets; id += 2 {
 		resets += open(id, true) + frame(func(f *http2.Framer) error { return f.WriteRSTStream(id, http2.ErrCodeCancel) })
@@ -163,9 +163,9 @@
 		"window too large":                       http2.ClientPreface + frame(func(f *http2.Framer) error { return f.WriteWindowUpdate(0, maxWindow) }),
 	}
 	for name, text := range tests {
-		s := newSide(true)
+		s := newEndpoint(true)
 		s.onEnd = nil
-		stalled := &stalledSide{s}
+		stalled := &stalledEndpoint{s}
 		s.conn.h = stalled
 		if err := s.conn.Receive([]byte(text)); err == nil {
 			t.Errorf("%s: no error", name)
@@ -173,11 +173,11 @@
 	}
 }
 
-// stalledSide keeps to the handler's contract but takes no data off a stream's
+// stalledEndpoint keeps to the handler's contract but takes no data off a stream's
 // window, as a broken peer that sends on regardless would find.
-type stalledSide struct{ *side }
+type stalledEndpoint struct{ *endpoint }
 
-func (s *stalledSide) Data(st *Stream, _ []byte, _ bool) { st.recv -= streamWindow / 2 }
+func (s *stalledEndpoint) Data(st *Stream, _ []byte, _ bool) { st.receiveWindow -= streamWindow / 2 }
 
 func TestMessagesInPieces(t *testing.T) {
 	text := AppendMessage(AppendMessage(nil, []byte("abc")), nil)
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestStatusesComeBack(t *testing.T) {
+func TestStatusRoundTrip(t *testing.T) {
 	want := Status{Code: codes.Unavailable, Message: "refused", Pushback: 50 * time.Millisecond}
 	got, ok := ParseStatus(want.Trailer())
 	if diff := cmp.Diff(want, got); !ok || diff != "" {
@@ -239,14 +239,14 @@
 // FuzzReceive checks that whatever a client sends is taken or ends the
 // connection, with the limits kept.
 func FuzzReceive(f *testing.F) {
-	client := newSide(false)
+	client := newEndpoint(false)
 	client.conn.Open(request, []byte("hello"))
 	f.Add(client.wire, 5)
 	f.Fuzz(func(t *testing.T, b []byte, n int) {
 		if n < 1 || len(b) > 1<<16 {
 			return
 		}
-		s := newSide(true)
+		s := newEndpoint(true)
 		s.onEnd = func(st *Stream) { st.Headers(Status{}.Trailer(), true) }
 		for len(b) > 0 {
 			k := min(n, len(b))
@@ -255,7 +255,7 @@
 			}
 			b = b[k:]
 		}
-		if s.conn.Streams() > maxStreams || len(s.conn.in) > maxBlock+maxFrame+frameHeader {
+		if s.conn.Streams() > maxStreams || len(s.conn.in) > maxHeaderBlockBytes+maxFrameBytes+frameHeaderBytes {
 			t.Errorf("%d streams, %d bytes held", s.conn.Streams(), len(s.conn.in))
 		}
 	})
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -11,10 +11,10 @@
 
 // Limits of what is taken.
 const (
-	MaxHeadBytes = 16 << 10 // bytes of start line and header fields
-	MaxBodyBytes = 64 << 10 // bytes of a client's body
-	maxLine      = 256      // bytes of a chunk's size line
-	maxTrail     = 4 << 10  // bytes of trailer fields
+	MaxHeadBytes     = 16 << 10 // bytes of start line and header fields
+	MaxBodyBytes     = 64 << 10 // bytes of a client's body
+	maxChunkSizeLine = 256      // bytes of a chunk's size line
+	maxTrailerBytes  = 4 << 10  // bytes of trailer fields
 )
 
 // Error is input that can't be taken. Status is the answer it deserves.
@@ -25,7 +25,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-func bad(format string, args ...any) *Error { return &Error{400, fmt.Sprintf(format, args...)} }
+func malformed(format string, args ...any) *Error { return &Error{400, fmt.Sprintf(format, args...)} }
 
 // Header holds fields by their lower-case names. A repeated field keeps its
 // values, joined by commas.
@@ -46,17 +46,17 @@
 
 // Parser takes one side's stream of messages.
 type Parser struct {
-	response bool
-	maxBody  int
-	buf      []byte
-	scanned  int // bytes of buf in which the head's end was already looked for
-	msg      *Message
-	state    state
-	need     int // bytes missing from the body or chunk
-	trailer  int
-	eof      bool
-	expects  bool // the client waits for a word before it sends the body
-	err      error
+	response        bool
+	maxBody         int
+	buf             []byte
+	scanned         int // bytes of buf in which the head's end was already looked for
+	msg             *Message
+	state           state
+	missing         int // bytes missing from the body or chunk
+	trailerBytes    int
+	eof             bool
+	expectsContinue bool // the client waits for a word before it sends the body
+	err             error
 }
 
 type state int
@@ -68,7 +68,7 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	toEOF
+	inBodyUntilEOF
 )
 
 // NewRequestParser returns a parser of requests, whose bodies hold at most
@@ -94,8 +94,8 @@
 // ExpectsContinue reports, once a message, whether its sender waits to be told to go on
 // with the body.
 func (p *Parser) ExpectsContinue() bool {
-	e := p.expects && p.state != inHead && len(p.msg.Body) == 0 && len(p.buf) == 0
-	p.expects = p.expects && !e
+	e := p.expectsContinue && p.state != inHead && len(p.msg.Body) == 0 && len(p.buf) == 0
+	p.expectsContinue = p.expectsContinue && !e
 	return e
 }
 
@@ -113,7 +113,7 @@
 		}
 		if done {
 			m := p.msg
-			p.msg, p.state, p.scanned, p.trailer, p.expects = nil, inHead, 0, 0, false
+			p.msg, p.state, p.scanned, p.trailerBytes, p.expectsContinue = nil, inHead, 0, 0, false
 			if len(p.buf) == 0 {
 				p.buf = nil // an idle connection holds no memory
 			}
@@ -129,12 +129,12 @@
 func (p *Parser) advance() (done, more bool, err error) {
 	switch p.state {
 	case inHead:
-		return p.head()
+		return p.parseHead()
 	case inBody, inChunk:
-		n := min(p.need, len(p.buf))
+		n := min(p.missing, len(p.buf))
 		p.msg.Body = append(p.msg.Body, p.buf[:n]...)
-		p.take(n)
-		if p.need -= n; p.need > 0 {
+		p.consume(n)
+		if p.missing -= n; p.missing > 0 {
 			return false, false, nil
 		}
 		if p.state == inBody {
@@ -148,19 +148,19 @@
 			return false, false, err
 		}
 		if len(line) > 0 {
-			return false, false, bad("a chunk is longer than its size")
+			return false, false, malformed("a chunk is longer than its size")
 		}
 		p.state = inChunkSize
 		return false, true, nil
 	case inChunkSize:
-		return p.chunkSize()
+		return p.parseChunkSize()
 	case inTrailer:
-		line, ok, err := p.line(maxTrail)
+		line, ok, err := p.line(maxTrailerBytes)
 		if err != nil || !ok {
 			return false, false, err
 		}
 		// Guards against trailers without end.
-		if p.trailer += len(line); p.trailer > maxTrail {
+		if p.trailerBytes += len(line); p.trailerBytes > maxTrailerBytes {
 			return false, false, &Error{431, "trailer too long"}
 		}
 		return len(line) == 0, len(line) > 0, nil
@@ -174,7 +174,7 @@
 	}
 }
 
-func (p *Parser) take(n int) { p.buf = p.buf[n:] }
+func (p *Parser) consume(n int) { p.buf = p.buf[n:] }
 
 // line returns the next line without its end. It is an error if none ends
 // within max bytes.
@@ -184,26 +184,26 @@
 		return "", false, nil
 	}
 	if i < 0 || i > max {
-		return "", false, bad("line too long")
+		return "", false, malformed("line too long")
 	}
 	s := strings.TrimSuffix(string(p.buf[:i]), "\r")
-	p.take(i + 1)
+	p.consume(i + 1)
 	return s, true, nil
 }
 
-func (p *Parser) chunkSize() (done, more bool, err error) {
-	line, ok, err := p.line(maxLine)
+func (p *Parser) parseChunkSize() (done, more bool, err error) {
+	line, ok, err := p.line(maxChunkSizeLine)
 	if err != nil || !ok {
 		return false, false, err
 	}
 	size, _, _ := strings.Cut(line, ";") // extensions mean nothing to us
 	size = strings.TrimRight(size, " \t")
 	if len(size) == 0 || len(size) > 8 || strings.Trim(size, "0123456789abcdefABCDEF") != "" {
-		return false, false, bad("chunk size %q", size)
+		return false, false, malformed("chunk size %q", size)
 	}
 	n, err := strconv.ParseUint(size, 16, 32)
 	if err != nil {
-		return false, false, bad("chunk size %q", size)
+		return false, false, malformed("chunk size %q", size)
 	}
 	if n == 0 {
 		p.state = inTrailer
@@ -212,16 +212,16 @@
 	if len(p.msg.Body)+int(n) > p.maxBody {
 		return false, false, &Error{413, "body too long"}
 	}
-	p.need, p.state = int(n), inChunk
+	p.missing, p.state = int(n), inChunk
 	return false, true, nil
 }
 
-// head parses start line and fields once all of them are there.
-func (p *Parser) head() (done, more bool, err error) {
+// parseHead parses start line and fields once all of them are there.
+func (p *Parser) parseHead() (done, more bool, err error) {
 	for p.scanned == 0 && len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') {
-		p.take(1) // empty lines before a message are passed over
+		p.consume(1) // empty lines before a message are passed over
 	}
-	end, after := headEnd(p.buf, max(0, p.scanned-3))
+	end, after := findHeadEnd(p.buf, max(0, p.scanned-3))
 	if end < 0 {
 		if p.scanned = len(p.buf); p.scanned > MaxHeadBytes {
 			return false, false, &Error{431, "header fields too long"}
@@ -232,16 +232,16 @@
 		return false, false, &Error{431, "header fields too long"}
 	}
 	text := string(p.buf[:end])
-	p.take(after)
+	p.consume(after)
 	p.scanned = 0
-	if err := p.parseHead(text); err != nil {
+	if err := p.parseHeadLines(text); err != nil {
 		return false, false, err
 	}
-	return p.frame()
+	return p.parseBodyFraming()
 }
 
-// headEnd finds the empty line: where the head ends, and where the body begins.
-func headEnd(b []byte, from int) (end, after int) {
+// findHeadEnd finds the empty line: where the head ends, and where the body begins.
+func findHeadEnd(b []byte, from int) (end, after int) {
 	for i := from; i < len(b); i++ {
 		if b[i] != '\n' {
 			continue
@@ -257,7 +257,7 @@
 	return -1, 0
 }
 
-func (p *Parser) parseHead(text string) error {
+func (p *Parser) parseHeadLines(text string) error {
 	lines := strings.Split(text, "\n")
 	m := &Message{Header: Header{}}
 	first := strings.TrimSuffix(lines[0], "\r")
@@ -268,13 +268,13 @@
 		code, _, _ := strings.Cut(rest, " ")
 		n, err := strconv.Atoi(code)
 		if err != nil || len(code) != 3 || n < 100 {
-			return bad("status line %q", first)
+			return malformed("status line %q", first)
 		}
 		m.Status = n
 	} else {
 		f := strings.Split(first, " ")
-		if len(f) != 3 || !token(f[0]) || f[1] == "" {
-			return bad("request line %q", first)
+		if len(f) != 3 || !isToken(f[0]) || f[1] == "" {
+			return malformed("request line %q", first)
 		}
 		m.Method, m.Target, version = f[0], f[1], f[2]
 	}
@@ -283,22 +283,22 @@
 		m.Minor = 1
 	case "HTTP/1.0":
 	default:
-		return bad("version %q", version)
+		return malformed("version %q", version)
 	}
 	for _, line := range lines[1:] {
 		line = strings.TrimSuffix(line, "\r")
 		name, value, ok := strings.Cut(line, ":")
 		// A space before the colon, and a folded line, are ways to smuggle.
-		if !ok || !token(name) {
-			return bad("header field %q", line)
+		if !ok || !isToken(name) {
+			return malformed("header field %q", line)
 		}
 		name, value = strings.ToLower(name), strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\x00\r") {
-			return bad("header field %q", line)
+			return malformed("header field %q", line)
 		}
 		if old, again := m.Header[name]; again {
 			if name == "content-length" && old != value {
-				return bad("two lengths")
+				return malformed("two lengths")
 			}
 			if name != "content-length" {
 				value = old + "," + value
@@ -306,13 +306,13 @@
 		}
 		m.Header[name] = value
 	}
-	m.Close = closes(m)
-	p.expects = strings.EqualFold(m.Header["expect"], "100-continue")
+	m.Close = closesConnection(m)
+	p.expectsContinue = strings.EqualFold(m.Header["expect"], "100-continue")
 	p.msg = m
 	return nil
 }
 
-func closes(m *Message) bool {
+func closesConnection(m *Message) bool {
 	keep := m.Minor >= 1
 	for _, t := range strings.Split(strings.ToLower(m.Header["connection"]), ",") {
 		switch strings.Trim(t, " \t") {
@@ -325,14 +325,14 @@
 	return !keep
 }
 
-// frame finds how the body is framed.
-func (p *Parser) frame() (done, more bool, err error) {
+// parseBodyFraming finds how the body is framed.
+func (p *Parser) parseBodyFraming() (done, more bool, err error) {
 	m := p.msg
 	length, hasLength := m.Header["content-length"]
 	coding, hasCoding := m.Header["transfer-encoding"]
 	switch {
 	case hasCoding && hasLength:
-		return false, false, bad("both a length and a transfer coding") // a way to smuggle
+		return false, false, malformed("both a length and a transfer coding") // a way to smuggle
 	case hasCoding:
 		if !strings.EqualFold(coding, "chunked") {
 			return false, false, &Error{501, "unknown transfer coding"}
@@ -341,11 +341,11 @@
 		return false, true, nil
 	case hasLength:
 		if length == "" || len(length) > 18 || strings.Trim(length, "0123456789") != "" {
-			return false, false, bad("length %q", length)
+			return false, false, malformed("length %q", length)
 		}
 		n, err := strconv.Atoi(length)
 		if err != nil {
-			return false, false, bad("length %q", length)
+			return false, false, malformed("length %q", length)
 		}
 		if n > p.maxBody {
 			return false, false, &Error{413, "body too long"}
@@ -353,17 +353,17 @@
 		if n == 0 {
 			return true, false, nil
 		}
-		p.need, p.state = n, inBody
+		p.missing, p.state = n, inBody
 		return false, true, nil
 	case p.response && m.Status >= 200 && m.Status != 204 && m.Status != 304:
 		m.Close = true
-		p.state = toEOF
+		p.state = inBodyUntilEOF
 		return false, true, nil
 	}
 	return true, false, nil
 }
 
-func token(s string) bool {
+func isToken(s string) bool {
 	if s == "" {
 		return false
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestWhatIsNotTaken(t *testing.T) {
+func TestRejectedRequests(t *testing.T) {
 	const head = "POST /a HTTP/1.1\r\n"
 	tests := []struct {
 		name, text string
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestABodyOfTheMostBytesIsTaken(t *testing.T) {
+func TestBodyOfMaximumLengthIsAccepted(t *testing.T) {
 	got, err := feed(NewRequestParser(), "POST /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"+strings.Repeat("x", MaxBodyBytes), 999)
 	if err != nil || len(got) != 1 || len(got[0].Body) != MaxBodyBytes {
 		t.Errorf("%d messages, error %v", len(got), err)
