--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -134,7 +134,7 @@
 		Zone: zone.Config{Cold: cfg.Settings.Module.Cold, ColdFrom: cfg.Settings.Module.ColdFrom, Manual: !cfg.LeaveZones}}, log)
 	t.steer.Changed = func() { t.limit(core, cfg) }
 	a.Order = t.steer.Order
-	core.Observe(t.survey)
+	core.SetObserver(t.survey)
 	return checks, nil
 }
 
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -220,16 +220,16 @@
 
 // Attempt is one send of a part to a node.
 type Attempt struct {
-	WireID string // id of the query that nodes see
-	Shard  int
-	Key    string // idempotency key; "": none
-	Class  string // name of the query's class
-	Second bool   // it belongs to the second step
-	From   []int  // second step: the shards that were answered in the first
-	Whole  bool   // second step: the answer of the first was whole
-	Text   []byte // request text
-	Node   Node
-	Link   any // state of the Nodes implementation
+	WireID          string // id of the query that nodes see
+	Shard           int
+	Key             string // idempotency key; "": none
+	Class           string // name of the query's class
+	SecondStep      bool   // it belongs to the second step
+	FirstStepShards []int  // second step: the shards that were answered in the first
+	Whole           bool   // second step: the answer of the first was whole
+	Text            []byte // request text
+	Node            Node
+	TransportState  any // state of the Nodes implementation
 
 	p    *part
 	n    int           // index among the part's attempts
@@ -243,11 +243,11 @@
 	trace    int32 // index in the query's trace; -1: not recorded
 }
 
-// Left returns how long the attempt will still be waited for.
-func (a *Attempt) Left(now time.Duration) time.Duration { return a.stop - now }
+// TimeLeft returns how long the attempt will still be waited for.
+func (a *Attempt) TimeLeft(now time.Duration) time.Duration { return a.stop - now }
 
-// Over reports whether the attempt has ended.
-func (a *Attempt) Over() bool { return a.over }
+// HasEnded reports whether the attempt has ended.
+func (a *Attempt) HasEnded() bool { return a.over }
 
 // Connected records in the trace when a connection was available for the attempt.
 func (a *Attempt) Connected(now time.Duration) { a.p.q.trace.Connected(a.trace, now) }
@@ -599,7 +599,7 @@
 	a.p.q.trace.AttemptOver(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
 	a.over, a.neverRan = true, o.NeverRan()
 	if c.observer != nil {
-		c.observer.Seen(c.members[a.Node.ID], o, c.now-a.sent, a.p.q.class.Aim)
+		c.observer.Observe(c.members[a.Node.ID], o, c.now-a.sent, a.p.q.class.Aim)
 	}
 	c.saw(outcomes[o], a.WireID, a.Node.ID)
 	a.p.out--
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -265,7 +265,7 @@
 	s.at(tick)
 	s.at(2 * tick)
 	a := s.calls[1][0]
-	if diff := cmp.Diff([]int{0, 2}, a.From); diff != "" || a.Shard != 2 || !a.Second || a.Whole {
+	if diff := cmp.Diff([]int{0, 2}, a.FirstStepShards); diff != "" || a.Shard != 2 || !a.SecondStep || a.Whole {
 		t.Fatalf("second step's attempt %+v", a)
 	}
 	s.Post(func() { s.Ended(a, decide.OK, 0, []byte("second")) })
--- a/internal/broker/observe.go
+++ b/internal/broker/observe.go
@@ -8,13 +8,13 @@
 
 // Observer is told how attempts and checks of nodes end, in addition to the module.
 type Observer interface {
-	// Seen reports the outcome of an attempt or check, the time that it took, and the aim of
+	// Observe reports the outcome of an attempt or check, the time that it took, and the aim of
 	// the query's class. For a check, aim is the shortest of all classes.
-	Seen(m ListedNode, o decide.Outcome, took, aim time.Duration)
+	Observe(m ListedNode, o decide.Outcome, took, aim time.Duration)
 }
 
-// Observe sets the observer of all attempts.
-func (c *Core) Observe(o Observer) { c.observer = o }
+// SetObserver sets the observer of all attempts.
+func (c *Core) SetObserver(o Observer) { c.observer = o }
 
 // EachNode calls do for each listed node, in no particular order.
 func (c *Core) EachNode(do func(m ListedNode)) {
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -122,7 +122,7 @@
 		return nil
 	}
 	q := p.q
-	a := &Attempt{WireID: q.WireID, Shard: p.shard, Key: q.Key, Class: q.class.Name, Second: p.second, Text: q.Text,
+	a := &Attempt{WireID: q.WireID, Shard: p.shard, Key: q.Key, Class: q.class.Name, SecondStep: p.second, Text: q.Text,
 		Node: Node{ID: s.Server}, p: p, n: len(p.attempts), sent: c.now, trace: -1}
 	p.attempts = append(p.attempts, a)
 	a.stop = q.end
@@ -140,7 +140,7 @@
 	}
 	m := c.members[s.Server]
 	if p.second {
-		a.From, a.Whole = q.from, q.whole
+		a.FirstStepShards, a.Whole = q.from, q.whole
 	}
 	a.Node.Addr, a.begun = m.Addr, true
 	c.saw(choices[s.Why], q.WireID, m.ID)
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -102,9 +102,9 @@
 				continue
 			}
 			if x.dark[m.Zone] {
-				x.s.Seen(m, decide.TimedOut, 400*ms, time.Second)
+				x.s.Observe(m, decide.TimedOut, 400*ms, time.Second)
 			} else {
-				x.s.Seen(m, decide.OK, 10*ms, time.Second)
+				x.s.Observe(m, decide.OK, 10*ms, time.Second)
 			}
 		}
 	}
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -113,8 +113,8 @@
 	return s.seen[m.Zone]
 }
 
-// Seen implements broker.Observer: an attempt has ended, or a check of a node.
-func (s *Survey) Seen(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
+// Observe implements broker.Observer: an attempt has ended, or a check of a node.
+func (s *Survey) Observe(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
 	x, late := s.of(m), took > time.Duration(timely*float64(aim))
 	if x == nil {
 		return
@@ -179,7 +179,7 @@
 		left = stand.Share == 0
 	}
 	if left || s.Silent(m.Zone) || o != decide.OK {
-		s.Seen(m, o, took, aim)
+		s.Observe(m, o, took, aim)
 	}
 	if o == decide.OK {
 		now := s.core.Now()
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -68,7 +68,7 @@
 		for _, h := range p.both {
 			for _, m := range h.Nodes {
 				o, took := do(h.name, m)
-				h.s.Seen(m, o, took, time.Second)
+				h.s.Observe(m, o, took, time.Second)
 			}
 		}
 	}
@@ -140,9 +140,9 @@
 		took time.Duration
 	}{{decide.OK, 100 * ms}, {decide.OK, 300 * ms}, {decide.Cancelled, 100 * ms}, {decide.Cancelled, 300 * ms}, {decide.TimedOut, 900 * ms}, {decide.Failed, 1},
 		{decide.Full, 1}, {decide.Reset, 1}, {decide.ConnectFailed, 1}, {decide.Moot, 0}} {
-		s.Seen(m, x.o, x.took, time.Second)
+		s.Observe(m, x.o, x.took, time.Second)
 	}
-	s.Seen(broker.ListedNode{}, decide.OK, 1, time.Second) // not listed any more
+	s.Observe(broker.ListedNode{}, decide.OK, 1, time.Second) // not listed any more
 	e := s.seen[0].Evidence
 	e.Latency = nil
 	if diff := cmp.Diff(zone.Evidence{InTime: 1, Late: 1, Silent: 2, Failed: 2, Refused: 1, Unreached: 1}, e); diff != "" {
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -83,7 +83,7 @@
 	used  time.Duration // when bytes last came
 }
 
-// call is one stream, and its query's way back. It implements broker.Answerer.
+// call is one stream, and its query's way back. It implements broker.Responder.
 type call struct {
 	c       *client
 	s       *h2.Stream
@@ -291,7 +291,7 @@
 	}
 }
 
-// Served implements broker.Answerer.
+// Served implements broker.Responder.
 func (k *call) Served(whole bool, values []broker.Value) {
 	list, err := columns.Encode(values, []byte(`{"entire":`+strconv.FormatBool(whole)+`}`))
 	if err != nil {
@@ -302,12 +302,12 @@
 	k.answer(list)
 }
 
-// Refused implements broker.Answerer.
+// Refused implements broker.Responder.
 func (k *call) Refused(after time.Duration) {
 	k.status(h2.Status{Code: codes.Unavailable, Message: "refused", Pushback: max(after, time.Millisecond)})
 }
 
-// Failed implements broker.Answerer.
+// Failed implements broker.Responder.
 func (k *call) Failed(expired bool) {
 	if expired {
 		k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "out of time"})
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -85,7 +85,7 @@
 	said    string // the id of the query answered last
 }
 
-// request is a query's way back to its client. It implements broker.Answerer.
+// request is a query's way back to its client. It implements broker.Responder.
 type request struct {
 	c      *client
 	handle *broker.QueryHandle
@@ -283,7 +283,7 @@
 	return q, 0, ""
 }
 
-// Served implements broker.Answerer.
+// Served implements broker.Responder.
 func (r *request) Served(whole bool, values []broker.Value) {
 	b := append([]byte(`{"entire":`), strconv.FormatBool(whole)...)
 	b = append(b, `,"items":[`...)
@@ -303,12 +303,12 @@
 	r.done(200, "application/json", append(b, "]}"...), 0)
 }
 
-// Refused implements broker.Answerer.
+// Refused implements broker.Responder.
 func (r *request) Refused(after time.Duration) {
 	r.done(503, "text/plain", []byte("refused\n"), after)
 }
 
-// Failed implements broker.Answerer.
+// Failed implements broker.Responder.
 func (r *request) Failed(expired bool) {
 	if expired {
 		r.done(504, "text/plain", []byte("out of time\n"), 0)
--- a/internal/node/flight/flight.go
+++ b/internal/node/flight/flight.go
@@ -60,24 +60,24 @@
 
 // ticket is the JSON content of a Flight ticket.
 type ticket struct {
-	ID     string `json:"id"`
-	Class  string `json:"class"`
-	Slice  int    `json:"slice"`
-	Filter string `json:"filter"`
-	From   []int  `json:"from,omitempty"`
-	Whole  *bool  `json:"whole,omitempty"`
+	ID              string `json:"id"`
+	Class           string `json:"class"`
+	Slice           int    `json:"slice"`
+	Filter          string `json:"filter"`
+	FirstStepShards []int  `json:"from,omitempty"`
+	Whole           *bool  `json:"whole,omitempty"`
 }
 
 // Send implements node.Session.
 func (s *session) Send(call []*node.Ticket) {
 	for _, t := range call {
 		tk := ticket{ID: t.ID, Class: t.Class, Slice: t.Shard, Filter: string(t.Text)}
-		if t.Second {
-			tk.From, tk.Whole = t.From, &t.Whole
+		if t.SecondStep {
+			tk.FirstStepShards, tk.Whole = t.FirstStepShards, &t.Whole
 		}
 		p := &part{t: t, msgs: h2.MessageParser{MaxBytes: maxMessage}}
 		t.User = p
-		fields := head("DoGet", h2.FormatTimeout(s.l.Left(t)))
+		fields := head("DoGet", h2.FormatTimeout(s.l.TimeLeft(t)))
 		if t.Key != "" {
 			fields = append(fields, hpack.HeaderField{Name: "idempotency-key", Value: t.Key})
 		}
--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -28,8 +28,8 @@
 	if t.Key != "" {
 		b = append(append(b, ",k="...), t.Key...)
 	}
-	if t.Second {
-		for i, s := range t.From {
+	if t.SecondStep {
+		for i, s := range t.FirstStepShards {
 			if i == 0 {
 				b = append(b, ",from="...)
 			} else {
@@ -50,7 +50,7 @@
 func (s *frameSession) Send(call []*Ticket) {
 	parts := make([]frames.Part, 0, len(call))
 	for _, t := range call {
-		parts = append(parts, frames.Part{ID: t.ID, Shard: t.Shard, Parameters: list(t, s.l.Left(t)), Text: t.Text})
+		parts = append(parts, frames.Part{ID: t.ID, Shard: t.Shard, Parameters: list(t, s.l.TimeLeft(t)), Text: t.Text})
 	}
 	end := s.l.Write(frames.AppendCall(nil, parts))
 	for _, t := range call {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -234,7 +234,7 @@
 // WireID returns the id of an attempt's part on the wire.
 func WireID(a *broker.Attempt) string {
 	id := a.WireID + "." + strconv.Itoa(a.Shard)
-	if a.Second {
+	if a.SecondStep {
 		id += ".phase2"
 	}
 	return id
@@ -242,7 +242,7 @@
 
 // Send implements broker.Nodes.
 func (ls *Links) Send(n broker.Node, call []*broker.Attempt) {
-	call = slices.DeleteFunc(call, (*broker.Attempt).Over) // the same step may have ended some
+	call = slices.DeleteFunc(call, (*broker.Attempt).HasEnded) // the same step may have ended some
 	p := ls.peer(n)
 	for len(call) > 0 {
 		l := ls.find(p, call)
@@ -255,7 +255,7 @@
 		var batch []*Ticket
 		for len(call) > 0 && (len(batch) == 0 || l.takes(call[:1])) {
 			t := &Ticket{Attempt: call[0], ID: WireID(call[0]), link: l}
-			l.out[t.ID], t.Link = t, t
+			l.out[t.ID], t.TransportState = t, t
 			batch, call = append(batch, t), call[1:]
 		}
 		if l.session == nil {
@@ -373,7 +373,7 @@
 func (l *Link) send(batch []*Ticket) {
 	batch = slices.DeleteFunc(batch, func(t *Ticket) bool {
 		drop := !l.ls.core.MaySend(t.Attempt)
-		if drop && !t.Over() {
+		if drop && !t.HasEnded() {
 			// Moot, as the node is not at fault. Not at once, as the core must not be called
 			// back within a step.
 			l.ls.core.After(0, func() { l.Done(t, decide.Moot, 0, nil) })
@@ -402,7 +402,7 @@
 
 // GiveUp implements broker.Nodes.
 func (ls *Links) GiveUp(a *broker.Attempt) {
-	t, ok := a.Link.(*Ticket)
+	t, ok := a.TransportState.(*Ticket)
 	if !ok || t.link.out[t.ID] != t {
 		return
 	}
@@ -490,9 +490,9 @@
 // Write sends bytes. It returns the offset of the last one in the connection's output.
 func (l *Link) Write(b []byte) int64 { return l.conn.Write(b) }
 
-// Left returns how long a ticket will still be waited for, and records it as sent to the node.
-func (l *Link) Left(t *Ticket) time.Duration {
-	t.told = t.Attempt.Left(l.ls.core.Instant())
+// TimeLeft returns how long a ticket will still be waited for, and records it as sent to the node.
+func (l *Link) TimeLeft(t *Ticket) time.Duration {
+	t.told = t.Attempt.TimeLeft(l.ls.core.Instant())
 	return t.told
 }
 
