--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	maxPendingBytes       = 1 << 20                // bytes that may wait for a peer that reads slowly
-	maxUnhandledBytes     = 256 << 10              // bytes read on one connection that wait for the owner's goroutine
-	fairShareBytes        = 96 << 10               // the same while there is much on all: as much as a client's longest request
-	maxDiscardedBytes     = 80 << 20               // bytes passed over while a client takes our last words
-	stallTimeout          = 2 * time.Second        // how long a peer may take for what waits for it
-	minWriteRetryInterval = time.Millisecond       // after a write that the system did not take, doubled up to
-	maxWriteRetryInterval = 20 * time.Millisecond  // this while it takes nothing
-	maxInputDelay         = 30 * time.Second       // longer than anything waits unread
-	pollerTimeout         = 200 * time.Millisecond // by when the poller tells of the end of a connection on which a write failed
+	maxPendingBytes       = 1 << 20                // bytes that may wait for a peer that reads slowly; more ends the connection
+	maxUnhandledBytes     = 256 << 10              // bytes read on one connection that may wait for the owner's goroutine
+	fairShareBytes        = 96 << 10               // the same while the backlog of all connections is above its limit: room for a client's longest request
+	maxDiscardedBytes     = 80 << 20               // bytes discarded while a client reads what was written before Finish
+	stallTimeout          = 2 * time.Second        // how long a peer may read nothing of what waits for it
+	minWriteRetryInterval = time.Millisecond       // pause after a write that the kernel did not accept; doubled up to
+	maxWriteRetryInterval = 20 * time.Millisecond  // this while the kernel accepts nothing
+	maxInputDelay         = 30 * time.Second       // bound on InputDelay; nothing really waits for as long
+	pollerTimeout         = 200 * time.Millisecond // by when the poller reports the end of a connection on which a write failed
 )
 
-// Handler is told what happens on a connection, on the owner's goroutine.
+// Handler receives the events of a connection. Its methods run on the owner's goroutine.
 type Handler interface {
-	// Data brings bytes from the peer. The slice is the handler's to keep.
+	// Data delivers bytes from the peer. The handler may keep the slice.
 	Data(b []byte)
-	// HalfClosed says that the peer will send nothing more but may still read.
+	// HalfClosed reports that the peer has shut down its sending side but may still read.
 	HalfClosed()
-	// Ended is called once, last.
+	// Ended reports the end of the connection. It is the last call, and comes once.
 	Ended(e End)
 }
 
-// ReadEOFHandler is a Handler for which a peer that sends nothing more has gone. It is told together with
-// the last bytes that came, so that nothing begins for them meanwhile.
+// ReadEOFHandler is a Handler that treats a peer which has shut down its sending side as gone.
+// ReadEOF is called directly after the Data with the last bytes, so that the handler starts no
+// work for them in between.
 type ReadEOFHandler interface{ ReadEOF() }
 
-// Truncated is a Handler that wants to know when bytes of the peer's were dropped, because it
-// sent more than is held for one connection: nothing more comes after what came before.
+// Truncated is a Handler that is told when bytes from the peer were dropped because it
+// sent more than is held for one connection. No Data follows.
 type Truncated interface{ Truncated() }
 
-// LateDataHandler is a Handler that wants to know what came, at first, once it had said its last
-// words: evidence for whoever looks for a lost request.
+// LateDataHandler is a Handler that is given the first bytes which arrived after Finish or Close,
+// so that it can log a request that was lost that way.
 type LateDataHandler interface{ LateData(b []byte) }
 
-const maxLateDataBytes = 512 // bytes of it that are told
+const maxLateDataBytes = 512 // bytes passed to LateData at most
 
-// Poster runs functions one after another on the owner's goroutine.
+// Poster runs functions one after another on the owner's goroutine. Post may be called on any
+// goroutine.
 type Poster interface{ Post(fn func()) }
 
-// Stats is what a connection has carried, for flow records.
+// Stats counts what a connection has carried, for flow records.
 type Stats struct {
 	Local, Remote net.Addr
-	Dialed        bool // we opened it
+	Dialed        bool // opened by this process
 	Opened        time.Time
 	Ended         time.Time
 	In, Out       int64 // bytes
@@ -62,7 +64,8 @@
 	End           End
 }
 
-// Conn is one connection.
+// Conn is one TCP connection. Its methods may be called on any goroutine, except InputDelay, which
+// belongs to the owner's.
 type Conn struct {
 	post   Poster
 	nc     netpoll.Connection
@@ -71,11 +74,11 @@
 	dialed bool
 	opened time.Time
 
-	muted         atomic.Bool // nothing more is heard: we closed it, or it said too much
-	discards      atomic.Bool // what still comes is read and passed over
-	discarded     int64       // bytes passed over; the worker's own
+	muted         atomic.Bool // no more Data is delivered: Finish or Close was called
+	discards      atomic.Bool // what still arrives is read and discarded
+	discarded     int64       // bytes discarded; used by the worker only
 	unhandled     atomic.Int64
-	inputDelay    time.Duration // how long the bytes that the owner looks at have waited for it; the owner's own
+	inputDelay    time.Duration // of the bytes of the present Data; used by the owner's goroutine only
 	net           *Net
 	send          sendFunc
 	in, reads     atomic.Int64
@@ -83,20 +86,20 @@
 
 	mu           sync.Mutex
 	fd           int
-	detached     bool  // the poller has let go of it; fd is our own duplicate
+	detached     bool  // the poller no longer watches the connection; fd is a duplicate of its descriptor
 	closed       bool  // fd may not be used any more
-	end          End   // why, once known
-	finishReason End   // Open, or why we said our last words
+	end          End   // how the connection ended; Open until known
+	finishReason End   // the argument of Finish; Open before
 	queued       int64 // bytes handed to Write
 	written      int64 // bytes that the kernel may have taken
 	writes       int64
-	pending      []byte // what the kernel did not take at once
-	writing      bool   // a goroutine is draining pending
+	pending      []byte // what the kernel did not accept at once
+	writing      bool   // a goroutine is writing pending
 	broken       bool   // a write has failed
 	endPosted    bool   // Ended has been posted
 }
 
-// sendFunc writes to a descriptor without waiting; tests have it fail.
+// sendFunc writes to a descriptor without blocking. Tests replace it to inject errors.
 type sendFunc func(fd int, b []byte) (int, error)
 
 func sendNonblocking(fd int, b []byte) (int, error) {
@@ -112,7 +115,7 @@
 	return c
 }
 
-// readable runs on the worker's goroutine and must take all there is.
+// readable runs on the worker's goroutine. It has to take all that netpoll has read.
 func (c *Conn) readable() {
 	r := c.nc.Reader()
 	n := r.Len()
@@ -131,7 +134,7 @@
 	}
 	p, err := r.Next(admitted)
 	if err != nil {
-		return // the connection ended; its close callback tells the handler
+		return // the connection ended; its close callback informs the handler
 	}
 	b := append([]byte(nil), p...)
 	if err := r.Skip(n - admitted); err != nil {
@@ -153,8 +156,7 @@
 		c.unhandled.Add(-int64(admitted))
 		c.net.backlog.Add(-int64(admitted))
 		c.inputDelay = time.Since(read)
-		// A peer's last words count, though it has left since; after an end of our
-		// own nothing does.
+		// What the peer sent before it left is delivered. After Finish or Close nothing is.
 		if !c.muted.Load() {
 			c.h.Data(b)
 		} else if h, ok := c.h.(LateDataHandler); ok {
@@ -169,9 +171,9 @@
 	})
 }
 
-// arrivalInfo is how long the bytes that are read now have lain with the system, on connections that
-// we accepted (they may have come long before we did so), and whether the peer has ended its side
-// since. Zero where the system does not tell.
+// arrivalInfo returns how long the bytes that are read now have waited in the kernel, and whether
+// the peer has shut down its sending side since. Bytes on accepted connections may have arrived
+// long before the accept. Both are zero for dialed connections, and where the kernel does not tell.
 func (c *Conn) arrivalInfo() (unread time.Duration, left bool) {
 	if c.dialed {
 		return 0, false
@@ -185,16 +187,17 @@
 	if err != nil {
 		return 0, false
 	}
-	if info.Bytes_received > 0 { // a system that counts knows the rest as well
+	if info.Bytes_received > 0 { // a kernel that counts bytes fills in the other fields as well
 		unread = min(time.Duration(info.Last_data_recv)*time.Millisecond, maxInputDelay)
 	}
 	return unread, info.State == closeWait || info.State == closed
 }
 
-// InputDelay is how long the bytes of the present Data have waited for the owner since they came.
+// InputDelay returns how long the bytes of the present Data have waited since they arrived. It is
+// for the owner's goroutine, within Data.
 func (c *Conn) InputDelay() time.Duration { return c.inputDelay }
 
-// reportLateData hands what is passed over, at first, to a handler that wants to know.
+// reportLateData passes the first bytes that are discarded to a LateDataHandler.
 func (c *Conn) reportLateData(r netpoll.Reader, n int) {
 	h, ok := c.h.(LateDataHandler)
 	if !ok {
@@ -208,10 +211,10 @@
 	c.post.Post(func() { h.LateData(b) })
 }
 
-// admitted counts how many of n bytes may wait for the owner's goroutine. It guards
-// memory against peers that send faster than that works. A client's first bytes
-// are being looked at and earn it an error, so the rest is passed over; what a node
-// says is of no use with a gap.
+// admitted returns how many of n bytes may wait for the owner's goroutine, and counts them. It
+// bounds the memory used for peers that send faster than the owner works. The rest is dropped: a
+// client gets an error for the first bytes, which the owner is working on, so its connection goes
+// on discarding; a dialed connection is closed, as an answer with a gap is of no use.
 func (c *Conn) admitted(n int) int {
 	limit := int64(maxUnhandledBytes)
 	if c.net.backlog.Load() > c.net.limit {
@@ -229,10 +232,9 @@
 	return c.end != Open
 }
 
-// pollerClosed runs when netpoll gives the connection up, before it closes the
-// descriptor. Netpoll takes a peer's FIN for the end; a client that has only
-// shut down its writing side still waits for its answer, so we keep a duplicate
-// of the descriptor to write to.
+// pollerClosed runs when netpoll stops watching the connection, before it closes the descriptor.
+// Netpoll treats a FIN from the peer as the end. A client that has only shut down its writing
+// side still waits for its answer, so a duplicate of the descriptor is kept for writing to it.
 func (c *Conn) pollerClosed() {
 	c.mu.Lock()
 	if c.closed {
@@ -268,18 +270,18 @@
 
 // States of a TCP connection, as TCP_INFO has them.
 const (
-	closed    = 7 // TCP_CLOSE: the peer has reset it
-	closeWait = 8 // TCP_CLOSE_WAIT: the peer has ended its side
+	closed    = 7 // TCP_CLOSE: the peer has reset the connection
+	closeWait = 8 // TCP_CLOSE_WAIT: the peer has shut down its sending side
 )
 
-// finReceived tells an orderly end from a reset.
+// finReceived reports whether the peer's end was orderly, rather than a reset.
 func finReceived(fd int) bool {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	return err == nil && info.State == closeWait
 }
 
-// CloseIfReset ends a half-closed connection that has been reset since. Netpoll
-// no longer watches it, so the owner asks now and then.
+// CloseIfReset ends a half-closed connection that the peer has reset since. Netpoll no longer
+// watches a half-closed connection, so the owner has to call this from time to time.
 func (c *Conn) CloseIfReset() {
 	c.mu.Lock()
 	gone := c.detached && !c.closed && !finReceived(c.fd)
@@ -289,9 +291,9 @@
 	}
 }
 
-// Write sends b, which the caller gives away, and never blocks: what the kernel
-// does not take at once waits, up to maxPending. It returns the offset of b's
-// last byte, for Written.
+// Write sends b and never blocks. The caller may not use b afterwards. What the kernel does not
+// accept at once waits, up to maxPendingBytes; more ends the connection with PeerStalled. Write
+// returns the offset of the end of b, for Written. It drops b if the connection has ended.
 func (c *Conn) Write(b []byte) int64 {
 	c.mu.Lock()
 	c.queued += int64(len(b))
@@ -312,11 +314,11 @@
 		}
 	}
 	if fail == Open && len(b) > 0 {
-		// Guards memory against a peer that has stopped reading.
+		// Bounds the memory used for a peer that has stopped reading.
 		if c.pending = append(c.pending, b...); len(c.pending) > maxPendingBytes {
 			fail = PeerStalled
 		} else if !c.writing {
-			// One goroutine for a connection that is stalled, none for a request.
+			// Only a stalled connection needs a goroutine, never a request.
 			c.writing = true
 			go c.drain()
 		}
@@ -328,22 +330,23 @@
 	return end
 }
 
-// writeFailed notes that a write can't succeed any more. The poller will tell of the end; until
-// then, what the peer said before may still be heard. It returns how the connection ends at
-// once, or Open: nobody polls a half-closed one. The caller holds mu.
+// writeFailed records that no write can succeed any more. The poller is going to report the end;
+// until then, what the peer sent before may still be delivered. A half-closed connection is not
+// polled, so for it writeFailed returns the End with which the caller has to close it at once;
+// otherwise it returns Open. The caller holds mu.
 func (c *Conn) writeFailed() End {
 	c.broken, c.pending = true, nil
 	if c.detached {
 		return WriteFailed
 	}
-	// Guards against an error that the poller doesn't see: whoever waits on the connection
-	// would wait for ever.
+	// If the poller does not see the error, whoever waits on the connection would wait forever.
 	time.AfterFunc(pollerTimeout, func() { c.Close(WriteFailed) })
 	return Open
 }
 
-// writeNow writes what the system takes without waiting. An error means that the connection
-// is of no use any more; a lack of room or memory is none. The caller holds mu.
+// writeNow writes what the kernel accepts without blocking. An error means that the connection
+// can't be written to any more; a full buffer or a lack of memory is no error. The caller holds
+// mu.
 func (c *Conn) writeNow(b []byte) (int, error) {
 	n := 0
 	for n < len(b) {
@@ -361,7 +364,7 @@
 	return n, nil
 }
 
-// drain writes what waits for a peer that reads slowly, or for a system without memory.
+// drain writes pending bytes to a peer that reads slowly, or while the kernel lacks memory.
 func (c *Conn) drain() {
 	pause, progress := minWriteRetryInterval, time.Now()
 	for {
@@ -382,8 +385,8 @@
 	}
 }
 
-// drainOnce writes what the system takes of what waits. It returns how much that was, whether
-// there is more to do, and how the connection ends, or Open.
+// drainOnce writes as many pending bytes as the kernel accepts. It returns how many, whether more
+// are left, and the End with which the caller has to close the connection, or Open.
 func (c *Conn) drainOnce() (n int, more bool, end End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -403,30 +406,32 @@
 	return n, false, end
 }
 
-// Broken reports whether nothing more can be written.
+// Broken reports whether a write has failed or the connection has ended, so that nothing more can
+// be written.
 func (c *Conn) Broken() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.broken || c.end != Open
 }
 
-// Written reports whether all bytes up to the offset may have reached the peer.
+// Written reports whether the kernel has accepted all bytes up to the offset, so that they may have
+// reached the peer.
 func (c *Conn) Written(offset int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written >= offset
 }
 
-// Flushed reports whether nothing waits to be written.
+// Flushed reports whether the kernel has accepted all that was written.
 func (c *Conn) Flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.writing && len(c.pending) == 0
 }
 
-// InputDrained reports whether nothing that the peer has sent waits for the owner, as far as can
-// be known: a request that was read before the connection was shut is owed an answer, one
-// that was not may be sent anew.
+// InputDrained reports whether the owner has been given all that the peer has sent, as far as can
+// be known. A request that was read before the connection is closed must be answered; the client
+// may send one that was not read again.
 func (c *Conn) InputDrained() bool {
 	if c.unhandled.Load() > 0 || c.nc.Reader().Len() > 0 {
 		return false
@@ -439,23 +444,22 @@
 	if n, err := unix.IoctlGetInt(c.fd, unix.TIOCINQ); err == nil && n > 0 {
 		return false
 	}
-	// Guards against the moment in which the poller has read bytes and not shown them: the
-	// system has counted them.
+	// The poller may have read bytes that it does not show yet. The kernel has counted them.
 	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return true
 	}
 	received := int64(info.Bytes_received)
 	if info.State == closeWait {
-		received-- // the end of its side counts as a byte
+		received-- // the FIN counts as a byte
 	}
 	return received <= c.in.Load()
 }
 
-// Finish says that nothing more will be written and nothing more is heard. What
-// was written still reaches the peer: a close with bytes unread would reset the
-// connection and could take our last words with it, so what the peer goes on to
-// send is passed over until it leaves. The owner closes the connection if it
+// Finish ends writing and reading: later writes are dropped and no more Data is delivered. What
+// was written before still reaches the peer. Closing a socket with unread bytes would reset the
+// connection and could lose it, so what the peer still sends is read and discarded until it
+// closes its side; the connection then ends with e. The owner has to call Close if the peer
 // doesn't.
 func (c *Conn) Finish(e End) {
 	c.mu.Lock()
@@ -469,14 +473,15 @@
 	c.shutdownWrite()
 }
 
-// shutdownWrite ends our side once all is written. The caller holds mu.
+// shutdownWrite shuts down the sending side after Finish, once all is written. The caller holds mu.
 func (c *Conn) shutdownWrite() {
 	if c.finishReason != Open && !c.writing && len(c.pending) == 0 && !c.closed && c.end == Open {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only where the peer has reset
 	}
 }
 
-// Close ends the connection. Ended follows on the owner's goroutine.
+// Close ends the connection with e, unless it has ended. The handler's Ended follows on the owner's
+// goroutine.
 func (c *Conn) Close(e End) {
 	c.mu.Lock()
 	if c.end != Open {
@@ -488,11 +493,11 @@
 	detached := c.detached
 	if detached {
 		c.closed = true
-		_ = unix.Close(c.fd) // our own duplicate; nothing is left to do about an error
+		_ = unix.Close(c.fd) // the duplicate; nothing can be done about an error
 	}
 	c.mu.Unlock()
 	if !detached {
-		_ = c.nc.Close() // leads to hungUp
+		_ = c.nc.Close() // leads to pollerClosed
 	}
 	c.postEnd()
 }
@@ -516,11 +521,11 @@
 	})
 }
 
-// attach hooks the connection's callbacks into netpoll's.
+// attach registers the callbacks of a dialed connection with netpoll.
 func (c *Conn) attach() {
 	_ = c.nc.AddCloseCallback(func(netpoll.Connection) error { c.pollerClosed(); return nil }) // never fails
 	_ = c.nc.SetOnRequest(func(context.Context, netpoll.Connection) error { c.readable(); return nil })
-	// Guards against a peer that left before the callbacks were in place.
+	// The peer may have closed before the callbacks were in place.
 	if !c.nc.IsActive() {
 		_ = c.nc.Close()
 	}
--- a/internal/transport/faults_test.go
+++ b/internal/transport/faults_test.go
@@ -15,9 +15,10 @@
 	"kiteloft/decide"
 )
 
-// Tests with system calls that fail as their pages say they may.
+// These tests inject the errors that the manual pages of the system calls allow.
 
-// failingSend is a sendFunc that fails so many times, then writes a few bytes at a time.
+// failingSend returns a sendFunc that fails the given number of times, then writes a few bytes at a
+// time.
 func failingSend(times int64, err error) sendFunc {
 	var left atomic.Int64
 	left.Store(times)
@@ -29,8 +30,8 @@
 	}
 }
 
-// TestWriteRetriesTransientErrors: the system has no memory for what is written. The connection is
-// sound, and what was said on it is still owed.
+// TestWriteRetriesTransientErrors guards against closing a connection because the kernel lacks
+// memory or room for a write for a moment. All that was written must still arrive.
 func TestWriteRetriesTransientErrors(t *testing.T) {
 	const first, second = "an answer that somebody waits for", "and the next one"
 	for _, err := range []unix.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EINTR} {
@@ -52,7 +53,7 @@
 	}
 }
 
-// TestFinishSendsPendingBytesAfterTransientErrors: the same for what is written just before our side ends.
+// TestFinishSendsPendingBytesAfterTransientErrors does the same for bytes written just before Finish.
 func TestFinishSendsPendingBytesAfterTransientErrors(t *testing.T) {
 	c, _, peer := accepted(t)
 	c.send = failingSend(5, unix.ENOBUFS)
@@ -65,8 +66,9 @@
 	}
 }
 
-// TestInputIsNotDrainedWhileThePollerHoldsBytes: the poller has read from the socket, and nobody has seen
-// that yet. Whoever closes the connection now leaves a request that was read without an answer.
+// TestInputIsNotDrainedWhileThePollerHoldsBytes guards against closing a connection while the poller
+// has read bytes from the socket but not shown them yet: a request that was read would stay
+// without an answer.
 func TestInputIsNotDrainedWhileThePollerHoldsBytes(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// unreadConnection is a connection of which the poller has shown nothing yet.
+// unreadConnection is a connection on which the poller has not shown any bytes yet.
 type unreadConnection struct{ netpoll.Connection }
 
 func (unreadConnection) Reader() netpoll.Reader { return emptyReader{} }
@@ -118,11 +120,11 @@
 
 func (emptyReader) Len() int { return 0 }
 
-// TestEveryDialEndsOnceWhenPeersCloseAtOnce: a server's machine takes connections and resets or closes them before we
-// have looked at them. Each dial ends once: in failure, or with a connection that ends.
+// TestEveryDialEndsOnceWhenPeersCloseAtOnce has a server accept connections and close or reset them
+// at once. Each dial must end exactly once: with a failure, or with a connection that ends.
 func TestEveryDialEndsOnceWhenPeersCloseAtOnce(t *testing.T) {
 	const dials = 1000
-	for _, linger := range []int{-1, 0} { // leaving in order, and by a reset
+	for _, linger := range []int{-1, 0} { // an orderly close, and a reset
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -153,14 +155,15 @@
 	}
 }
 
-// endCounter counts its ends.
+// endCounter is a Handler that counts ends.
 type endCounter struct{ ends *atomic.Int64 }
 
 func (endCounter) Data([]byte)  {}
 func (endCounter) HalfClosed()  {}
 func (c *endCounter) Ended(End) { c.ends.Add(1) }
 
-// TestLocalDialFailuresAreNotBlamedOnTheServer say nothing of the server.
+// TestLocalDialFailuresAreNotBlamedOnTheServer guards against counting a dial that failed for want of
+// local resources as evidence about the server.
 func TestLocalDialFailuresAreNotBlamedOnTheServer(t *testing.T) {
 	for _, err := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EMFILE, unix.ENFILE} {
 		wrapped := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -19,22 +19,23 @@
 )
 
 const (
-	dialers                   = 24  // dials under way at once; each may hang for the time to connect
-	maxQueuedDials            = 256 // dials that wait for one of them
-	directDialers             = 2   // the same for a Direct dialer: a watch, and one call beside it
-	maxQueuedDirectDials      = 4
-	localFailureRetryInterval = 10 * time.Millisecond // before a connect that failed for want of our own is tried again
-	dialReserveDivisor        = 8                     // one in so many connections is kept for those that we open
-	// receiveBufferBytes bounds the kernel's buffer of what a peer has sent, and with it what
-	// netpoll makes room for at a time: up to 8 MB for a peer at full speed otherwise.
+	dialers                   = 24                    // concurrent dials; each may block for its whole timeout
+	maxQueuedDials            = 256                   // dials that may wait for one of the dialers
+	directDialers             = 2                     // dialers of a Direct dialer: for a watch, and one call beside it
+	maxQueuedDirectDials      = 4                     // dials that may wait for one of them
+	localFailureRetryInterval = 10 * time.Millisecond // before a dial that failed for a local reason is retried
+	dialReserveDivisor        = 8                     // one in this many connections is reserved for dialed ones
+	// receiveBufferBytes is the size of a socket's receive buffer. It also bounds the memory that
+	// netpoll allocates for one read, up to 8 MB otherwise for a peer that sends at full speed.
 	receiveBufferBytes = 64 << 10
 )
 
-// worker runs netpoll's callbacks, for all connections, on one goroutine: none
-// is started for a request. They can't run on the poller's own: a connection
-// closed within a callback would wait there for the poller, that is for itself.
+// worker runs netpoll's callbacks for all connections on one goroutine, so that none is started
+// for a request. They can't run on the poller's goroutine: closing a connection within a callback
+// waits for the poller, which would then wait for itself.
 var worker = taskQueue{ready: make(chan struct{}, 1)}
 
+// taskQueue runs functions one after another on the goroutine that calls run.
 type taskQueue struct {
 	mu    sync.Mutex
 	list  []func() // at most one for each connection
@@ -49,8 +50,8 @@
 	case t.ready <- struct{}{}:
 	default:
 	}
-	// Guards memory against peers at full speed: the poller would go on reading, for as
-	// long as it isn't preempted, what nobody has looked at.
+	// Bounds memory with peers that send at full speed: the poller would otherwise go on reading
+	// until it is preempted, while nothing handles what it has read.
 	runtime.Gosched()
 }
 
@@ -66,13 +67,13 @@
 	}
 }
 
-// netpollLog hands netpoll's own lines to where LogTo says; its poller may not block
-// on them.
+// netpollLog passes netpoll's log lines to the writer set by SetLogOutput.
 type netpollLog struct{}
 
 var logOutput atomic.Pointer[io.Writer]
 
-// SetLogOutput says where netpoll's own log lines go. Until then they are dropped.
+// SetLogOutput sets the writer of netpoll's log lines, which are dropped before. The writer may not
+// block, as netpoll's poller writes to it.
 func SetLogOutput(w io.Writer) { logOutput.Store(&w) }
 
 func (netpollLog) Write(b []byte) (int, error) {
@@ -89,12 +90,12 @@
 	go worker.run()
 }
 
-// Dialer opens connections without blocking.
+// Dialer opens connections without blocking. For the meaning of the parameters see Net.Dial.
 type Dialer interface {
 	Dial(addr string, timeout time.Duration, h Handler, done func(*Conn, End))
 }
 
-// Net opens and accepts connections for one owner.
+// Net opens and accepts connections for one owner, up to a limit on all of them together.
 type Net struct {
 	post  Poster
 	onEnd func(Stats)
@@ -102,12 +103,13 @@
 	open  atomic.Int64
 	dials *dialQueue
 
-	backlog atomic.Int64 // bytes read that wait for the owner's goroutine
-	limit   int64        // of them, before one connection may have only its fair share
+	backlog atomic.Int64 // bytes read on all connections that wait for the owner's goroutine
+	limit   int64        // above it, each connection may hold only fairShareBytes
 	mu      sync.Mutex
-	silent  []*Conn // accepted ones that had said nothing when last looked at, oldest first
+	silent  []*Conn // accepted connections on which nothing had arrived when last checked, oldest first
 }
 
+// dial is a request to open a connection; for its fields see Net.Dial.
 type dial struct {
 	addr    string
 	timeout time.Duration
@@ -115,7 +117,7 @@
 	done    func(*Conn, End)
 }
 
-// dialQueue holds dials until one of its goroutines is free; they start with the first dial.
+// dialQueue holds dials until one of its goroutines is free. The goroutines start with the first dial.
 type dialQueue struct {
 	waiting chan dial
 	workers int
@@ -126,7 +128,7 @@
 	return &dialQueue{waiting: make(chan dial, waiting), workers: workers}
 }
 
-// add hands over a dial, or reports that there is no room.
+// add queues a dial. It reports false if the queue is full.
 func (q *dialQueue) add(n *Net, d dial) bool {
 	q.once.Do(func() {
 		for range q.workers {
@@ -141,10 +143,9 @@
 	}
 }
 
-// Direct is a Dialer with a queue of its own and without the limit on connections, for a
-// few connections that must not wait: dials that hang, and clients and servers that hold
-// all descriptors, do not keep it from its peer. The few that it can hold are the owner's
-// to reserve.
+// Direct returns a Dialer with a queue of its own and without the limit on connections. It is for
+// a few connections that must not wait: neither dials that hang nor clients and servers that use
+// up the limit delay it. The owner has to reserve descriptors for these connections.
 func (n *Net) Direct() Dialer { return direct{n, newDialQueue(directDialers, maxQueuedDirectDials)} }
 
 type direct struct {
@@ -158,27 +159,27 @@
 	d.net.enqueue(d.queue, dial{addr, timeout, h, done})
 }
 
-// Limits bound what a Net holds.
+// Limits bound the resources of a Net.
 type Limits struct {
-	Conns   int   // connections
-	Backlog int64 // bytes read that wait for the owner's goroutine
+	Conns   int   // open connections; Direct dialers may exceed it
+	Backlog int64 // bytes read that wait for the owner's goroutine; above it, each connection is held to fairShareBytes
 }
 
-// NewNet returns a Net whose callbacks are posted to p. OnEnd, which may be nil, is
-// told of each connection that ended.
+// NewNet returns a Net whose callbacks are posted to p. OnEnd, which may be nil, is called on the
+// owner's goroutine for each connection that ended.
 func NewNet(p Poster, lim Limits, onEnd func(Stats)) *Net {
 	return &Net{post: p, onEnd: onEnd, max: int64(lim.Conns), dials: newDialQueue(dialers, maxQueuedDials), limit: lim.Backlog}
 }
 
-// Crowded reports whether accepted connections will soon be turned away.
+// Crowded reports whether the limit is so near that accepted connections will soon be closed.
 func (n *Net) Crowded() bool { return n.open.Load() > n.max-2*n.max/dialReserveDivisor }
 
-// Busy reports whether half of the connections that may be open are.
+// Busy reports whether more than half of the allowed connections are open.
 func (n *Net) Busy() bool { return n.open.Load() > n.max/2 }
 
-// admit makes admit for one more accepted connection, where there is none, by
-// closing the one that has been silent for longest. It guards the clients that
-// ask against a crowd that connects and says nothing.
+// admit reports whether one more accepted connection may stay open. At the limit it closes the
+// oldest connection on which nothing has arrived, so that peers that connect and send nothing
+// don't keep out clients that send requests.
 func (n *Net) admit(newcomer *Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,10 +199,11 @@
 	return true
 }
 
-// Dial opens a connection without blocking; done is posted with it, or with the
-// way in which it failed. A timeout of zero means netpoll's own.
+// Dial opens a connection to addr, an IP address and port, without blocking. Done is posted with
+// the connection and Open, before any call to h, or with nil and the reason of the failure. A
+// timeout of zero means netpoll's default.
 func (n *Net) Dial(addr string, timeout time.Duration, h Handler, done func(*Conn, End)) {
-	// Guards the limit on descriptors.
+	// Keeps to the limit on descriptors.
 	if n.open.Add(1) > n.max {
 		n.open.Add(-1)
 		n.post.Post(func() { done(nil, NoDescriptor) })
@@ -210,10 +212,10 @@
 	n.enqueue(n.dials, dial{addr, timeout, h, done})
 }
 
-// enqueue queues a dial that has been counted as open.
+// enqueue queues a dial that has been counted in open.
 func (n *Net) enqueue(q *dialQueue, d dial) {
-	_, err := netip.ParseAddrPort(d.addr) // guards against names: there is no DNS
-	// The queue guards against dials that all hang.
+	_, err := netip.ParseAddrPort(d.addr) // rejects host names: there is no DNS
+	// The queue is bounded in case all dials hang.
 	if err != nil || !q.add(n, d) {
 		n.open.Add(-1)
 		n.post.Post(func() { d.done(nil, NotDialed) })
@@ -231,14 +233,14 @@
 		}
 		c := n.newConn(nc, true)
 		c.h = d.h
-		_ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes) // a bound on memory, no need
-		n.post.Post(func() { d.done(c, Open) })                                           // before any Data of it
+		_ = unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes) // bounds memory; the connection works without it
+		n.post.Post(func() { d.done(c, Open) })                                           // before attach, so that it comes before any Data
 		c.attach()
 	}
 }
 
-// connect opens the connection. What fails for want of our own is tried again until the time to
-// connect is over: such a lack passes in a moment, and says nothing of the peer.
+// connect opens the connection. It retries after local failures until the timeout is over: they
+// pass quickly, and are not evidence about the peer.
 func (d dial) connect() (nc netpoll.Connection, err error) {
 	for begun := time.Now(); ; time.Sleep(localFailureRetryInterval) {
 		left := d.timeout
@@ -252,6 +254,7 @@
 	}
 }
 
+// dialEnd returns the End for the error of a dial.
 func dialEnd(err error) End {
 	var timeout interface{ Timeout() bool }
 	switch {
@@ -266,17 +269,17 @@
 	return Refused
 }
 
-// Listener accepts connections.
+// Listener is a listening socket, made by Net.Listen.
 type Listener struct {
 	ln netpoll.Listener
 }
 
-// Listen accepts connections at the address. Accept is called on the poller's
-// goroutine and returns the connection's handler.
+// Listen accepts connections at the address. Accept is called for each connection, on the poller's
+// goroutine, and returns the connection's handler.
 func (n *Net) Listen(addr string, accept func(*Conn) Handler) (*Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
-		if e := raw.Control(func(fd uintptr) { // what is accepted inherits it
+		if e := raw.Control(func(fd uintptr) { // accepted sockets inherit it
 			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes)
 		}); e != nil {
 			return e
@@ -296,7 +299,7 @@
 		c := n.newConn(nc, false)
 		if !n.admit(c) {
 			n.open.Add(-1)
-			_ = nc.Close() // guards the limit on descriptors; the client tries elsewhere
+			_ = nc.Close() // keeps to the limit on descriptors; the client retries elsewhere
 			return context.Background()
 		}
 		c.h = accept(c)
@@ -318,12 +321,12 @@
 
 type connKey struct{}
 
-// Addr is the address listened at.
+// Addr returns the address listened at.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
-// Close stops accepting; connections live on. It shuts the socket down and
-// leaves the descriptor to the end of the program: netpoll's own Close closes
-// the number twice and might hit a connection that has got it since.
+// Close stops accepting; accepted connections stay open. It shuts the socket down and leaves the
+// descriptor open until the program ends: netpoll's own Close closes the descriptor twice, and the
+// second time may hit a connection that has been given the same number.
 func (l *Listener) Close() error {
 	if err := unix.Shutdown(l.ln.Fd(), unix.SHUT_RDWR); err != nil {
 		return fmt.Errorf("closing the listener: %w", err)
--- a/internal/transport/packets.go
+++ b/internal/transport/packets.go
@@ -13,8 +13,8 @@
 // maxWaitingPackets is how many datagrams may wait for the owner's goroutine.
 const maxWaitingPackets = 512
 
-// PacketConn sends and takes datagrams at one address. What comes is posted to the owner,
-// as far as that keeps up; the rest is dropped and counted.
+// PacketConn sends and receives UDP datagrams at one address. Received datagrams are posted to the
+// owner. Those that it can't keep up with are dropped and counted.
 type PacketConn struct {
 	conn    *net.UDPConn
 	raw     func(func(fd uintptr) bool) error
@@ -23,8 +23,9 @@
 	dropped atomic.Int64
 }
 
-// ListenPackets listens at an address. Netpoll serves streams only, so one goroutine
-// reads, for as long as the socket is open. Datagrams over most bytes are dropped.
+// ListenPackets listens at an IP address and port. Each datagram is passed to take on the owner's
+// goroutine; one of more than most bytes is dropped. Netpoll serves streams only, so a goroutine
+// of its own reads until the socket is closed.
 func ListenPackets(post Poster, addr string, most int, take func(from netip.AddrPort, b []byte)) (*PacketConn, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -52,9 +53,9 @@
 			return
 		}
 		if err != nil {
-			continue // of one datagram; the socket has no other end
+			continue // concerns one datagram; a socket ends only by Close
 		}
-		// Guards memory and the loop against a flood.
+		// Bounds memory and the work of the owner under a flood.
 		if n > most || p.waiting.Load() >= maxWaitingPackets {
 			p.dropped.Add(1)
 			continue
@@ -68,8 +69,8 @@
 	}
 }
 
-// Send sends a datagram. It never waits: what the kernel does not take is lost, as any
-// datagram may be.
+// Send sends a datagram to an IPv4 address and never blocks. What the kernel does not accept is
+// lost, as any datagram may be.
 func (p *PacketConn) Send(to netip.AddrPort, b []byte) {
 	addr := &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().Unmap().As4()}
 	_ = p.raw(func(fd uintptr) bool { // fails only once the socket is closed
@@ -78,11 +79,11 @@
 	})
 }
 
-// Dropped is how many datagrams were too large or too many, so far.
+// Dropped returns how many datagrams have been dropped so far, as too large or too many.
 func (p *PacketConn) Dropped() int64 { return p.dropped.Load() }
 
-// Addr is the address listened at.
+// Addr returns the address listened at.
 func (p *PacketConn) Addr() net.Addr { return p.conn.LocalAddr() }
 
-// Close ends it.
-func (p *PacketConn) Close() { _ = p.conn.Close() } // nobody reads it any more
+// Close closes the socket.
+func (p *PacketConn) Close() { _ = p.conn.Close() } // the error has no consequence
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,7 +15,7 @@
 	"kiteloft/decide"
 )
 
-// owner runs what is posted, one after another.
+// owner is a Poster that runs the functions one after another.
 type owner chan func()
 
 func newOwner(t *testing.T) owner {
@@ -37,7 +37,7 @@
 
 func (o owner) Post(fn func()) { o <- fn }
 
-// recorder records what a connection's handler is told.
+// recorder is a Handler that records its calls.
 type recorder struct {
 	mu   sync.Mutex
 	data string
@@ -68,7 +68,7 @@
 	}
 }
 
-// accepted returns a served connection, its handler and the peer's end of it.
+// accepted returns an accepted connection, its handler and the peer's end of it.
 func accepted(t *testing.T) (*Conn, *recorder, *net.TCPConn) {
 	t.Helper()
 	h, conns := &recorder{}, make(chan *Conn, 1)
@@ -156,8 +156,8 @@
 	})
 }
 
-// TestInputIsNotDrainedWhileTheOwnerIsBusy: bytes that we have read, but that wait for the
-// owner, are owed an answer; a connection on which some wait does not rest.
+// TestInputIsNotDrainedWhileTheOwnerIsBusy guards against treating a connection as idle while bytes
+// that were read on it wait for the owner: they may hold a request, which must be answered.
 func TestInputIsNotDrainedWhileTheOwnerIsBusy(t *testing.T) {
 	conns, held := make(chan *Conn, 1), make(chan func(), 100) // the owner is busy
 	n := NewNet(owner(held), Limits{Conns: 10, Backlog: 1 << 20}, nil)
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestWriteDoesNotBlockOnAPeerThatDoesNotRead shows that netpoll's own Flush blocks there, and that
-// Write does not.
+// TestWriteDoesNotBlockOnAPeerThatDoesNotRead also shows that netpoll's own Flush blocks on such a
+// peer, which is why Write doesn't use it.
 func TestWriteDoesNotBlockOnAPeerThatDoesNotRead(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.SetReadBuffer(4096)
@@ -235,7 +235,7 @@
 	c, _, peer := accepted(t)
 	_ = peer.SetReadBuffer(64 << 10)
 	var want strings.Builder
-	for i, after := 0, 0; after < 8; i++ { // some more once the kernel's buffers are full
+	for i, after := 0, 0; after < 8; i++ { // 8 more once the kernel's buffers are full
 		s := strings.Repeat(string(rune('a'+i%26)), 64<<10)
 		want.WriteString(s)
 		c.Write([]byte(s))
@@ -250,8 +250,8 @@
 	waitUntil(t, "nothing waits", c.Flushed)
 }
 
-// TestHalfClosedPeerThatDoesNotReadIsClosed is closed in the end, and its descriptor's
-// number, which others get, is not written to any more.
+// TestHalfClosedPeerThatDoesNotReadIsClosed also checks that the closed descriptor is not written to
+// any more, as another connection may have been given its number.
 func TestHalfClosedPeerThatDoesNotReadIsClosed(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.CloseWrite()
@@ -270,11 +270,11 @@
 	waitUntil(t, "the drain stops", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return !c.writing })
 }
 
-// TestDataBeforeTheEndIsDelivered has the peer answer and leave before the owner has had a
-// turn: what it said still comes, and before the end.
+// TestDataBeforeTheEndIsDelivered has the peer answer and close before the owner runs. The answer
+// must still be delivered, and before the end.
 func TestDataBeforeTheEndIsDelivered(t *testing.T) {
-	for _, linger := range []int{-1, 0} { // leaving in order, and by a reset
-		o := make(owner, 1000) // nothing is run until the test does
+	for _, linger := range []int{-1, 0} { // an orderly close, and a reset
+		o := make(owner, 1000) // the test runs the posted functions itself
 		n := NewNet(o, Limits{Conns: 10, Backlog: 1 << 20}, nil)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -351,8 +351,8 @@
 	}
 }
 
-// TestFinishReachesAPeerThatStillSends answers in the middle of a long message:
-// a close with bytes unread would reset the connection under the sender.
+// TestFinishReachesAPeerThatStillSends answers in the middle of a long message. Closing the socket
+// with unread bytes would reset the connection, and the sender would lose the answer.
 func TestFinishReachesAPeerThatStillSends(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.SetDeadline(time.Now().Add(10 * time.Second))
@@ -373,8 +373,8 @@
 	h.expectEnd(t, LocalDone)
 }
 
-// TestSilentConnectionsMakeRoom connects more peers that say nothing than may be
-// open, then one that speaks.
+// TestSilentConnectionsMakeRoom connects more peers that send nothing than may be open, then one
+// that sends.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	h := &recorder{}
 	n := NewNet(newOwner(t), Limits{Conns: 16, Backlog: 1 << 20}, nil)
@@ -396,7 +396,7 @@
 
 // TestUnhandledBytesAreBounded has a peer send faster than the owner works.
 func TestUnhandledBytesAreBounded(t *testing.T) {
-	o := make(owner, 10000) // nobody works
+	o := make(owner, 10000) // nothing runs the posted functions
 	n := NewNet(o, Limits{Conns: 10, Backlog: 1 << 20}, nil)
 	ln, err := n.Listen("127.0.0.1:0", func(*Conn) Handler { return &recorder{} })
 	if err != nil {
