--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -1,5 +1,6 @@
-// Package frames reads and writes the frames that mixers and stock nodes
-// exchange. It is pure: it holds no connection and knows no clock.
+// Package frames parses and encodes the frames that mixers and stock nodes exchange. A frame is a
+// length of four bytes, a byte for the type, and the payload. The package does no I/O and uses no
+// clock.
 package frames
 
 import (
@@ -10,42 +11,43 @@
 	"strconv"
 )
 
-// The letters of frames.
+// The types of frames.
 const (
-	Call        = '1' // mixer: parts, each a line and the query's text
-	GiveUp      = '2' // mixer: the id of a part
-	Probe       = '3' // both
-	LoadRequest = '4' // both
-	Result      = '5' // stock node: a line, then the value
-	Refusal     = 'X' // stock node: words; the connection is closed
+	Call        = '1' // from the mixer: parts, each a line and the query's text
+	GiveUp      = '2' // from the mixer: the id of a part that is no longer wanted
+	Probe       = '3' // from either side: a check of the node, and the answer to it
+	LoadRequest = '4' // from either side
+	Result      = '5' // from the node: a line, then the value
+	Refusal     = 'X' // from the node: a message, after which it closes the connection
 )
 
-// MaxLength is the longest frame taken: what its peer may make us hold.
+// MaxLength is the length in bytes of the longest frame accepted, from its type on. It bounds the
+// memory that a peer can occupy.
 const MaxLength = 1 << 20
 
-// ErrTooLong and ErrEmpty are frames that can't be taken.
+// ErrTooLong and ErrEmpty are returned for frames that are longer than MaxLength and that have no type.
 var (
 	ErrTooLong = errors.New("frame longer than 1 MiB")
 	ErrEmpty   = errors.New("frame without a type")
 )
 
-// Frame is one frame.
+// Frame is one frame, without its length.
 type Frame struct {
 	Type    byte
 	Payload []byte
 }
 
-// Parser takes a stream of frames.
+// Parser parses a stream of frames. Bytes go in by Write, frames come out of Next.
 type Parser struct {
 	buf []byte
 	err error
 }
 
-// Write adds bytes from the wire.
+// Write adds received bytes.
 func (p *Parser) Write(b []byte) { p.buf = append(p.buf, b...) }
 
-// Next returns the next whole frame; ok is false if more bytes are needed. After
-// an error the stream can't be read any further.
+// Next returns the next complete frame; ok is false if more bytes are needed. After an error the
+// stream can't be parsed any further.
 func (p *Parser) Next() (f Frame, ok bool, err error) {
 	if p.err != nil || len(p.buf) < 4 {
 		return f, false, p.err
@@ -67,24 +69,24 @@
 	return f, false, p.err
 }
 
-// Partial reports whether a frame has begun and not ended.
+// Partial reports whether part of a frame has arrived.
 func (p *Parser) Partial() bool { return len(p.buf) > 0 }
 
-// Append adds a frame to b.
+// Append appends a frame to b.
 func Append(b []byte, letter byte, rest []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(1+len(rest)))
 	return append(append(b, letter), rest...)
 }
 
-// Part is one part of a call.
+// Part is one part of a call: a sub-request to one slice.
 type Part struct {
 	ID         string
 	Shard      int
-	Parameters string // as d=240,k=5c0f
-	Text       []byte // the query's, unchanged
+	Parameters string // as d=240,k=5c0f: the deadline in ms, an idempotency key
+	Text       []byte // the query's text, unchanged
 }
 
-// AppendCall adds a frame with one call to b.
+// AppendCall appends a Call frame with the parts to b.
 func AppendCall(b []byte, parts []Part) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, Call)
@@ -99,22 +101,22 @@
 	return b
 }
 
-// Reply is a stock node's result for a part.
+// Reply is a stock node's result for a part, the payload of a Result frame.
 type Reply struct {
 	ID     string
-	End    byte // S, E or B
+	End    byte // S: served, E: failed, B: the node is full
 	Score  int64
-	Report string // "" where there is none
+	Report string // "" if there is none
 	Value  []byte
 }
 
-// ParseReply reads the rest of a result's frame.
+// ParseReply parses the payload of a Result frame.
 func ParseReply(rest []byte) (Reply, error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
 	if !ok {
 		return Reply{}, errors.New("result frame without a line end")
 	}
-	f := bytes.SplitN(line, []byte{' '}, 4) // a report is the node's own: one that can't be read spoils nothing
+	f := bytes.SplitN(line, []byte{' '}, 4) // the report may hold spaces; it is not parsed here, so that a malformed one does not lose the result
 	if len(f) != 4 || len(f[0]) == 0 || len(f[1]) != 1 {
 		return Reply{}, fmt.Errorf("result line %q: want 4 fields with an id and a status of one byte", line)
 	}
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -8,6 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// feed writes the text in pieces of n bytes and returns the frames.
 func feed(text []byte, n int) (list []Frame, err error) {
 	var p Parser
 	for len(text) > 0 && err == nil {
@@ -65,7 +66,8 @@
 	}
 }
 
-// FuzzParser checks that the size of the pieces changes nothing.
+// FuzzParser checks that the size of the pieces changes nothing, and that no payload makes
+// ParseReply panic.
 func FuzzParser(f *testing.F) {
 	f.Add(Append(AppendCall(nil, []Part{{ID: "a.1", Parameters: "d=1"}}), Probe, nil), 3)
 	f.Add([]byte{0, 0, 0, 0}, 1)
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -1,6 +1,7 @@
-// Package h2 speaks HTTP/2 and gRPC's framing on top of it, for either side of a
-// connection. It is pure: bytes go in by Receive and out by a function, and all
-// of it runs on one goroutine. No goroutine or timer belongs to a stream.
+// Package h2 implements HTTP/2, and gRPC's message framing on top of it, for the client and the
+// server side of a connection. It does no I/O: received bytes go in by Conn.Receive, bytes to send
+// go out by a function. All of a connection runs on one goroutine. Streams need no goroutine or
+// timer of their own.
 package h2
 
 import (
@@ -14,37 +15,40 @@
 )
 
 const (
-	frameHeaderBytes    = 9
-	maxFrameBytes       = 16 << 10 // bytes of a frame that we take: the least that we may ask for
-	maxHeaderListBytes  = 16 << 10 // bytes of header fields, unpacked
-	maxHeaderBlockBytes = 32 << 10 // bytes of a header block with its continuations
-	maxStreams          = 128      // streams that a client may have open
-	maxResets           = 512      // streams that a client may cancel before we have answered anything more
-	streamWindow        = 64 << 10 // bytes that a peer may send before we have taken them
-	defaultWindow       = 65535
-	maxWindow           = 1<<31 - 1
-	maxPendingBytes     = 4 << 20 // bytes that wait for a stream's window
+	frameHeaderBytes    = 9         // bytes of the header of a frame
+	maxFrameBytes       = 16 << 10  // bytes of a frame's payload: the smallest maximum that HTTP/2 allows
+	maxHeaderListBytes  = 16 << 10  // bytes of a list of header fields, uncompressed
+	maxHeaderBlockBytes = 32 << 10  // bytes of the frames of a header block, with its continuations
+	maxStreams          = 128       // streams that the peer may have open, or that are opened on it
+	maxResets           = 512       // streams that a client may cancel without an answer to any stream in between
+	streamWindow        = 64 << 10  // receive window of a stream in bytes
+	defaultWindow       = 65535     // HTTP/2's initial window in bytes, of a connection and of a stream
+	maxWindow           = 1<<31 - 1 // HTTP/2's largest window in bytes
+	maxPendingBytes     = 4 << 20   // bytes that may wait for a stream's send window
 )
 
-// Handler is told what happens on a connection's streams.
+// Handler receives the events of a connection's streams. It is called within Conn.Receive, and
+// Closed also within Stream.Write.
 type Handler interface {
-	// Headers brings the header fields that open a stream, a response's, or the
-	// trailers.
+	// Headers delivers the header fields that open a stream, those of a response, or trailers.
+	// End says that the peer ends its side of the stream with them.
 	Headers(s *Stream, fields []hpack.HeaderField, end bool)
-	// Data brings bytes; they are valid only during the call.
+	// Data delivers bytes, which are valid only during the call.
 	Data(s *Stream, b []byte, end bool)
-	// Closed says that the peer ended the stream with an error. NeverRan is true
-	// where HTTP/2 promises that the peer has not acted on it.
+	// Closed reports that the stream was ended with an error, by the peer or because the peer
+	// broke the protocol or a limit. NeverRan says that, by HTTP/2, the peer has not processed
+	// the stream.
 	Closed(s *Stream, code http2.ErrCode, neverRan bool)
 }
 
-// Conn is one side of a connection.
+// Conn is one side of an HTTP/2 connection. Its methods, and those of its streams, may be called
+// only on the owner's goroutine.
 type Conn struct {
 	server         bool
 	h              Handler
 	write          func([]byte) int64
 	in             []byte
-	missingPreface int // bytes of the client's preface still to come
+	missingPreface int // server: bytes of the client's preface that have not arrived
 	src            bytes.Reader
 	dst            bytes.Buffer
 	framer         *http2.Framer
@@ -52,37 +56,37 @@
 	headerBlock    bytes.Buffer
 
 	streams        map[uint32]*Stream
-	nextID         uint32 // client: of the next stream
-	lastID         uint32 // server: of the latest stream
-	sendWindow     int64  // bytes that we may send
-	initialWindow  int64  // window of a new stream
+	nextID         uint32 // client: id of the next stream
+	lastID         uint32 // server: id of the latest stream
+	sendWindow     int64  // bytes that may be sent on all streams together
+	initialWindow  int64  // send window of a new stream
 	maxSendFrame   int
-	maxPeerStreams int   // streams that the peer lets us open
-	consumed       int64 // bytes received and not yet given back to the connection's window
-	resets         int
-	goingAway      bool // no new streams: the peer said so, or we did
+	maxPeerStreams int   // streams that the peer allows to be open
+	consumed       int64 // bytes received and not yet returned to the peer by a WINDOW_UPDATE of the connection
+	resets         int   // server: streams that the client has cancelled since the last response
+	goingAway      bool  // no new streams: a GOAWAY was sent or received
 	err            error
 }
 
 // Stream is one request and its response.
 type Stream struct {
 	ID            uint32
-	User          any // the handler's own
+	User          any // for use by the Handler
 	c             *Conn
 	sendWindow    int64
-	consumed      int64 // bytes received and not yet given back
+	consumed      int64 // bytes received and not yet returned to the peer by a WINDOW_UPDATE of the stream
 	receiveWindow int64 // bytes that the peer may still send
 	pending       []byte
-	end           bool // the last byte of pending ends the stream
+	end           bool // the last byte of pending ends this side
 	trailer       []hpack.HeaderField
-	localEnded    bool  // we have ended our side
-	peerEnded     bool  // the peer has ended its side
-	endOffset     int64 // of the byte that ended our side; 0: not sent yet
-	closed        bool
+	localEnded    bool  // this side has ended
+	peerEnded     bool  // the peer's side has ended
+	endOffset     int64 // in the connection, of the last byte of this side; 0: not sent yet
+	closed        bool  // the stream is no longer in its connection
 }
 
-// New returns a connection that sends by write, which returns the offset of the
-// last byte. Its settings are sent at once.
+// New returns one side of a connection. Write sends bytes and returns the offset of the last one
+// in the connection's output. New sends the settings at once.
 func New(server bool, h Handler, write func([]byte) int64) *Conn {
 	c := &Conn{server: server, h: h, write: write, streams: map[uint32]*Stream{}, nextID: 1, sendWindow: defaultWindow,
 		initialWindow: defaultWindow, maxSendFrame: maxFrameBytes, maxPeerStreams: maxStreams}
@@ -100,11 +104,12 @@
 		c.dst.WriteString(http2.ClientPreface)
 		settings = append(settings, http2.Setting{ID: http2.SettingEnablePush, Val: 0})
 	}
-	_ = c.framer.WriteSettings(settings...) // writes to a buffer; so do all below
+	_ = c.framer.WriteSettings(settings...) // never fails, as it writes to a buffer; the same holds for all writes below
 	c.flush()
 	return c
 }
 
+// flush sends the buffered frames and returns the offset of the last byte sent.
 func (c *Conn) flush() int64 {
 	if c.dst.Len() == 0 {
 		return c.write(nil)
@@ -114,13 +119,13 @@
 	return c.write(b)
 }
 
-// Partial reports whether a frame has begun and not ended.
+// Partial reports whether part of a frame has arrived.
 func (c *Conn) Partial() bool { return len(c.in) > 0 }
 
-// Streams is the number of open streams.
+// Streams returns the number of open streams.
 func (c *Conn) Streams() int { return len(c.streams) }
 
-// Room is the number of streams that may still be opened.
+// Room returns how many more streams may be opened now.
 func (c *Conn) Room() int {
 	if c.goingAway || c.err != nil || c.nextID > maxWindow-2 {
 		return 0
@@ -128,7 +133,7 @@
 	return max(0, c.maxPeerStreams-len(c.streams))
 }
 
-// connectionError is an error that ends the connection.
+// connectionError is an error that ends the connection, with the code for its GOAWAY.
 type connectionError struct {
 	code   http2.ErrCode
 	reason string
@@ -136,8 +141,8 @@
 
 func (e connectionError) Error() string { return fmt.Sprintf("%v: %s", e.code, e.reason) }
 
-// Receive takes bytes from the peer. After an error the connection is to be
-// closed; the peer has been told why.
+// Receive processes bytes from the peer and calls the Handler for them. After an error, for which
+// a GOAWAY has been sent, the caller has to close the connection.
 func (c *Conn) Receive(b []byte) error {
 	if c.err != nil {
 		return c.err
@@ -162,6 +167,7 @@
 	return c.err
 }
 
+// readFrames processes all complete frames in c.in.
 func (c *Conn) readFrames() error {
 	if n := min(c.missingPreface, len(c.in)); n > 0 {
 		at := len(http2.ClientPreface) - c.missingPreface
@@ -196,8 +202,8 @@
 	return nil
 }
 
-// nextFrameLength is the length of the next frame, with the continuations of its header
-// block, once all of it is there.
+// nextFrameLength returns the length of the next frame, with the continuations of its header block,
+// once all of them have arrived, and 0 before.
 func (c *Conn) nextFrameLength() (int, error) {
 	for n := 0; ; {
 		if len(c.in) < n+frameHeaderBytes {
@@ -216,13 +222,14 @@
 		if !opens || flags.Has(http2.FlagHeadersEndHeaders) {
 			return n, nil
 		}
-		// Guards memory against continuations without end.
+		// Bounds continuations, which a peer may send without end.
 		if n > maxHeaderBlockBytes {
 			return 0, connectionError{http2.ErrCodeEnhanceYourCalm, "header block too long"}
 		}
 	}
 }
 
+// handleStreamError resets a stream on which the peer broke the protocol.
 func (c *Conn) handleStreamError(se http2.StreamError) {
 	_ = c.framer.WriteRSTStream(se.StreamID, se.Code)
 	c.lastID = max(c.lastID, c.zeroForClient(se.StreamID))
@@ -232,6 +239,7 @@
 	}
 }
 
+// zeroForClient returns id on the server side and 0 on the client side, which has no lastID.
 func (c *Conn) zeroForClient(id uint32) uint32 {
 	if c.server {
 		return id
@@ -301,13 +309,13 @@
 	s := c.streams[f.StreamID]
 	if s == nil {
 		if !c.server {
-			return nil // of a stream that we gave up
+			return nil // of a stream that was reset by this side
 		}
 		if f.StreamID%2 == 0 || f.StreamID <= c.lastID {
 			return connectionError{http2.ErrCodeStreamClosed, "HEADERS on a closed stream"}
 		}
 		c.lastID = f.StreamID
-		// Guards memory and the core against more than we said we take.
+		// A client may disregard the limit that the settings announced.
 		if len(c.streams) >= maxStreams || c.goingAway {
 			_ = c.framer.WriteRSTStream(f.StreamID, http2.ErrCodeRefusedStream)
 			return nil
@@ -346,12 +354,12 @@
 		if c.server && f.StreamID > c.lastID || !c.server && f.StreamID >= c.nextID {
 			return connectionError{http2.ErrCodeProtocol, "DATA on a stream that was never open"}
 		}
-		return nil // of a stream that is over
+		return nil // of a stream that has ended
 	}
 	if s.peerEnded {
 		return connectionError{http2.ErrCodeStreamClosed, "DATA after the end of a stream"}
 	}
-	// Guards memory against a peer that disregards flow control.
+	// Bounds memory with a peer that disregards flow control.
 	if s.receiveWindow -= n; s.receiveWindow < 0 {
 		return connectionError{http2.ErrCodeFlowControl, "DATA exceeds the receive window"}
 	}
@@ -390,7 +398,7 @@
 }
 
 func (c *Conn) handleReset(f *http2.RSTStreamFrame) error {
-	// Guards against a client that opens and cancels streams in a loop.
+	// A client may open and cancel streams in a loop, without exceeding maxStreams.
 	if c.server {
 		if c.resets++; c.resets > maxResets {
 			return connectionError{http2.ErrCodeEnhanceYourCalm, "too many streams cancelled without a response in between"}
@@ -403,7 +411,7 @@
 	return nil
 }
 
-// handleGoAway ends the streams that the peer says it will never act on.
+// handleGoAway ends the streams that the peer says it will not process.
 func (c *Conn) handleGoAway(f *http2.GoAwayFrame) {
 	c.goingAway = true
 	if c.server {
@@ -417,7 +425,7 @@
 	}
 }
 
-// GoAway tells the peer to open no more streams here.
+// GoAway tells the peer to open no more streams on this connection. Open streams go on.
 func (c *Conn) GoAway() {
 	if !c.goingAway {
 		c.goingAway = true
@@ -426,13 +434,14 @@
 	}
 }
 
-// Ping sends a ping, whose answer means nothing to us.
+// Ping sends a ping. Its answer is ignored.
 func (c *Conn) Ping() {
 	_ = c.framer.WritePing(false, [8]byte{})
 	c.flush()
 }
 
-// Open begins a stream. The caller has looked at Room.
+// Open opens a stream that sends the header fields and the data, and ends this side with them. The
+// caller has to check Room first.
 func (c *Conn) Open(fields []hpack.HeaderField, data []byte) *Stream {
 	s := c.addStream(c.nextID)
 	c.nextID += 2
@@ -444,7 +453,7 @@
 func (c *Conn) writeHeaders(s *Stream, fields []hpack.HeaderField, end bool) {
 	c.headerBlock.Reset()
 	for _, f := range fields {
-		_ = c.encoder.WriteField(f) // writes to a buffer
+		_ = c.encoder.WriteField(f)
 	}
 	b := c.headerBlock.Bytes()
 	n := min(len(b), c.maxSendFrame)
@@ -456,7 +465,7 @@
 	}
 }
 
-// Headers sends header fields, which end our side if end is set.
+// Headers sends header fields, which end this side if end is set.
 func (s *Stream) Headers(fields []hpack.HeaderField, end bool) {
 	if s.closed || s.localEnded {
 		return
@@ -466,6 +475,7 @@
 	s.flushAndEnd(end)
 }
 
+// flushAndEnd sends the buffered frames, the last of which ends this side if end is set.
 func (s *Stream) flushAndEnd(end bool) {
 	at := s.c.flush()
 	if end {
@@ -474,33 +484,35 @@
 	}
 }
 
-// Write sends bytes as far as the windows allow; the rest waits for them.
+// Write sends bytes as far as the flow-control windows allow, and the rest once they do. The last
+// byte ends this side if end is set.
 func (s *Stream) Write(b []byte, end bool) {
 	if s.closed || s.localEnded || s.end {
 		return
 	}
 	s.pending, s.end = append(s.pending, b...), end
 	s.flushPending()
-	// Guards memory against a peer that opens no window.
+	// Bounds memory with a peer that never opens its window.
 	if len(s.pending) > maxPendingBytes {
 		s.Reset(http2.ErrCodeEnhanceYourCalm)
 		s.c.h.Closed(s, http2.ErrCodeEnhanceYourCalm, false)
 	}
 }
 
-// Trailers ends our side with header fields, after all that was written.
+// Trailers ends this side with header fields, after all that was written.
 func (s *Stream) Trailers(fields []hpack.HeaderField) {
 	s.trailer = fields
 	s.flushPending()
 }
 
-// Open reports whether the stream has not ended on both sides.
+// Open reports whether the stream is still open on at least one side.
 func (s *Stream) Open() bool { return !s.closed }
 
-// Sent is the offset of the byte that ended our side, and whether it was handed
-// to the connection.
+// Sent returns the offset of the last byte of this side, and whether it has been passed to the
+// connection's write function.
 func (s *Stream) Sent() (int64, bool) { return s.endOffset, s.localEnded }
 
+// flushPending sends what the windows allow of the pending bytes, and the trailers after them.
 func (s *Stream) flushPending() {
 	if s.closed || s.localEnded {
 		return
@@ -528,8 +540,7 @@
 	s.c.flush()
 }
 
-// flushPending goes on with every stream that waits for the connection's window, in the
-// order of their ids.
+// flushPending continues every stream that waits for a window, in the order of their ids.
 func (c *Conn) flushPending() {
 	for _, s := range c.sortedStreams() {
 		if len(s.pending) > 0 {
@@ -538,7 +549,7 @@
 	}
 }
 
-// Reset ends the stream with an error code; the handler is not told.
+// Reset ends the stream with an error code. It does not call the Handler.
 func (s *Stream) Reset(code http2.ErrCode) {
 	if s.closed {
 		return
--- a/internal/h2/grpc.go
+++ b/internal/h2/grpc.go
@@ -16,23 +16,26 @@
 
 const messageHeaderBytes = 5 // bytes before each gRPC message
 
-// ErrTooLong and ErrCompressed are gRPC messages that are not taken.
+// ErrTooLong and ErrCompressed are returned for gRPC messages that are longer than MaxBytes, and
+// for compressed ones.
 var (
 	ErrTooLong    = errors.New("gRPC message too long")
 	ErrCompressed = errors.New("gRPC message compressed")
 )
 
+// sortedStreams returns the open streams in the order of their ids.
 func (c *Conn) sortedStreams() []*Stream {
 	return slices.SortedFunc(maps.Values(c.streams), func(a, b *Stream) int { return int(a.ID) - int(b.ID) })
 }
 
-// MessageParser cuts a stream's data into gRPC messages of at most Max bytes.
+// MessageParser splits a stream's data into gRPC messages of at most MaxBytes.
 type MessageParser struct {
 	MaxBytes int
 	buf      []byte
 }
 
-// Add takes bytes and returns the messages that are whole now.
+// Add adds received bytes and returns the messages that they complete. After an error the stream
+// can't be parsed any further.
 func (m *MessageParser) Add(b []byte) (list [][]byte, err error) {
 	m.buf = append(m.buf, b...)
 	for len(m.buf) >= messageHeaderBytes {
@@ -53,23 +56,24 @@
 	return list, nil
 }
 
-// Partial reports whether a message has begun and not ended.
+// Partial reports whether part of a message has arrived.
 func (m *MessageParser) Partial() bool { return len(m.buf) > 0 }
 
-// AppendMessage adds a gRPC message to b.
+// AppendMessage appends msg to b as an uncompressed gRPC message.
 func AppendMessage(b, msg []byte) []byte {
 	b = append(b, 0)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(msg)))
 	return append(b, msg...)
 }
 
+// timeUnits are the units of grpc-timeout, from the finest.
 var timeUnits = []struct {
 	letter byte
 	unit   time.Duration
 }{{'n', time.Nanosecond}, {'u', time.Microsecond}, {'m', time.Millisecond}, {'S', time.Second}, {'M', time.Minute},
 	{'H', time.Hour}}
 
-// ParseTimeout reads the value of grpc-timeout.
+// ParseTimeout parses a value of grpc-timeout. It returns at most 1000 hours.
 func ParseTimeout(s string) (time.Duration, error) {
 	if len(s) < 2 || len(s) > 9 {
 		return 0, fmt.Errorf("grpc-timeout %q", s)
@@ -80,7 +84,7 @@
 	}
 	for _, u := range timeUnits {
 		if u.letter == s[len(s)-1] {
-			const most = 1000 * time.Hour // far above any deadline, far under an overflow
+			const most = 1000 * time.Hour // far above any deadline, far below an overflow
 			if time.Duration(n) > most/u.unit {
 				return most, nil
 			}
@@ -90,7 +94,7 @@
 	return 0, fmt.Errorf("grpc-timeout %q: unknown unit", s)
 }
 
-// FormatTimeout writes a value of grpc-timeout, in the finest unit that fits.
+// FormatTimeout formats a value of grpc-timeout, in the finest unit that fits its 8 digits.
 func FormatTimeout(d time.Duration) string {
 	d = max(d, 0)
 	for _, u := range timeUnits {
@@ -101,14 +105,14 @@
 	return "99999999H"
 }
 
-// Status is how a call ended.
+// Status is the result of a gRPC call.
 type Status struct {
 	Code     codes.Code
 	Message  string
-	Pushback time.Duration // how long to wait before trying again; 0: nothing is said
+	Pushback time.Duration // how long the client should wait before a retry; 0: not stated
 }
 
-// Trailer returns the fields that end a call.
+// Trailer returns the trailer fields that state s.
 func (s Status) Trailer() []hpack.HeaderField {
 	f := []hpack.HeaderField{{Name: "grpc-status", Value: strconv.Itoa(int(s.Code))}}
 	if s.Message != "" {
@@ -121,8 +125,7 @@
 	return f
 }
 
-// ParseStatus reads the fields that end a call; ok is false where they have no
-// status.
+// ParseStatus parses the trailer fields of a call. Ok is false if they state no status.
 func ParseStatus(fields []hpack.HeaderField) (s Status, ok bool) {
 	for _, f := range fields {
 		switch f.Name {
@@ -140,7 +143,7 @@
 	return s, ok
 }
 
-// percentEncode percent-encodes what a header field can't hold.
+// percentEncode encodes the bytes that gRPC does not allow in grpc-message.
 func percentEncode(s string) string {
 	var b strings.Builder
 	for i := range len(s) {
@@ -153,7 +156,7 @@
 	return b.String()
 }
 
-// FieldValue returns the value of a header field, or "".
+// FieldValue returns the value of the first header field with the name, or "".
 func FieldValue(fields []hpack.HeaderField, name string) string {
 	for _, f := range fields {
 		if f.Name == name {
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -13,10 +13,10 @@
 	"google.golang.org/grpc/codes"
 )
 
-// endpoint is one end of a connection in memory.
+// endpoint is one side of a connection in memory. It is its own Handler.
 type endpoint struct {
 	conn     *Conn
-	wire     []byte // what it has sent and the other has not received
+	wire     []byte // bytes sent that the other side has not received
 	sent     int64
 	streams  []*Stream
 	data     map[uint32]string
@@ -62,7 +62,7 @@
 	s.closed[st.ID], s.neverRan[st.ID] = code, neverRan
 }
 
-// exchange carries bytes in pieces of n until both sides are silent.
+// exchange carries bytes in pieces of n until neither side sends any more.
 func exchange(t *testing.T, a, b *endpoint, n int) {
 	t.Helper()
 	for len(a.wire) > 0 || len(b.wire) > 0 {
@@ -118,7 +118,7 @@
 	client.conn.Open(request, nil)
 	exchange(t, client, server, 100)
 	server.conn.GoAway()
-	client.conn.Open(request, nil) // crosses the word to go
+	client.conn.Open(request, nil) // crosses the GOAWAY
 	exchange(t, client, server, 100)
 	if !client.neverRan[3] || client.neverRan[1] || client.conn.Room() != 0 {
 		t.Errorf("never ran: %v, room %d", client.neverRan, client.conn.Room())
@@ -173,8 +173,8 @@
 	}
 }
 
-// stalledEndpoint keeps to the handler's contract but takes no data off a stream's
-// window, as a broken peer that sends on regardless would find.
+// stalledEndpoint uses up a stream's receive window with each Data, so that a peer which sends on
+// regardless exceeds it.
 type stalledEndpoint struct{ *endpoint }
 
 func (s *stalledEndpoint) Data(st *Stream, _ []byte, _ bool) { st.receiveWindow -= streamWindow / 2 }
@@ -236,8 +236,8 @@
 	}
 }
 
-// FuzzReceive checks that whatever a client sends is taken or ends the
-// connection, with the limits kept.
+// FuzzReceive checks, on any input, that a server processes it or ends the connection, and that the
+// limits hold.
 func FuzzReceive(f *testing.F) {
 	client := newEndpoint(false)
 	client.conn.Open(request, []byte("hello"))
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 parses HTTP/1.1 messages as their bytes come in. It is pure: it
-// holds no connection and knows no clock.
+// Package http1 parses HTTP/1.1 messages incrementally, as their bytes arrive. It does no I/O and
+// uses no clock.
 package http1
 
 import (
@@ -9,15 +9,16 @@
 	"strings"
 )
 
-// Limits of what is taken.
+// Limits on the size of a message.
 const (
 	MaxHeadBytes     = 16 << 10 // bytes of start line and header fields
-	MaxBodyBytes     = 64 << 10 // bytes of a client's body
+	MaxBodyBytes     = 64 << 10 // bytes of a request body
 	maxChunkSizeLine = 256      // bytes of a chunk's size line
 	maxTrailerBytes  = 4 << 10  // bytes of trailer fields
 )
 
-// Error is input that can't be taken. Status is the answer it deserves.
+// Error is input that is malformed or over a limit. Status and Reason are the status and the text of
+// the answer to it.
 type Error struct {
 	Status int
 	Reason string
@@ -25,13 +26,14 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
+// malformed returns an Error with status 400.
 func malformed(format string, args ...any) *Error { return &Error{400, fmt.Sprintf(format, args...)} }
 
-// Header holds fields by their lower-case names. A repeated field keeps its
-// values, joined by commas.
+// Header holds header fields by their lower-case names. The values of a repeated field are joined
+// by commas.
 type Header map[string]string
 
-// Get returns a field's value; the name is in lower case.
+// Get returns a field's value, or "". The name has to be in lower case.
 func (h Header) Get(name string) string { return h[name] }
 
 // Message is a request or a response.
@@ -44,18 +46,19 @@
 	Close          bool // the connection ends after this message
 }
 
-// Parser takes one side's stream of messages.
+// Parser parses one direction of a connection: a stream of requests, or of responses. Bytes go in
+// by Write, messages come out of Next.
 type Parser struct {
 	response        bool
 	maxBody         int
 	buf             []byte
-	scanned         int // bytes of buf in which the head's end was already looked for
+	scanned         int // bytes of buf already searched for the end of the head
 	msg             *Message
 	state           state
-	missing         int // bytes missing from the body or chunk
-	trailerBytes    int
+	missing         int // bytes of the body or chunk that have not arrived
+	trailerBytes    int // bytes of trailer fields so far
 	eof             bool
-	expectsContinue bool // the client waits for a word before it sends the body
+	expectsContinue bool // the request has Expect: 100-continue, and ExpectsContinue has not reported it yet
 	err             error
 }
 
@@ -71,36 +74,34 @@
 	inBodyUntilEOF
 )
 
-// NewRequestParser returns a parser of requests, whose bodies hold at most
-// MaxBody bytes.
+// NewRequestParser returns a parser of requests with bodies of at most MaxBodyBytes.
 func NewRequestParser() *Parser { return &Parser{maxBody: MaxBodyBytes} }
 
-// NewResponseParser returns a parser of responses with bodies of at most max
-// bytes.
+// NewResponseParser returns a parser of responses with bodies of at most max bytes.
 func NewResponseParser(max int) *Parser { return &Parser{response: true, maxBody: max} }
 
-// Write adds bytes from the wire.
+// Write adds received bytes.
 func (p *Parser) Write(b []byte) { p.buf = append(p.buf, b...) }
 
-// EOF says that no more bytes come; a response without a length ends so.
+// EOF reports that no more bytes follow, which ends a response without a length.
 func (p *Parser) EOF() { p.eof = true }
 
-// Buffered is the number of bytes that wait to be parsed.
+// Buffered returns the number of bytes that wait to be parsed.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
 // Started reports whether a message has begun and not ended.
 func (p *Parser) Started() bool { return len(p.buf) > 0 || p.state != inHead }
 
-// ExpectsContinue reports, once a message, whether its sender waits to be told to go on
-// with the body.
+// ExpectsContinue reports whether the sender of the present message waits for status 100 before it
+// sends the body. It reports true at most once per message.
 func (p *Parser) ExpectsContinue() bool {
 	e := p.expectsContinue && p.state != inHead && len(p.msg.Body) == 0 && len(p.buf) == 0
 	p.expectsContinue = p.expectsContinue && !e
 	return e
 }
 
-// Next returns the next whole message, or nil if more bytes are needed. After
-// an error, always an *Error, the stream can't be read any further.
+// Next returns the next complete message, or nil if more bytes are needed. An error is always an
+// *Error; the stream can't be parsed any further after it.
 func (p *Parser) Next() (*Message, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -125,7 +126,8 @@
 	}
 }
 
-// advance does one step. More tells whether another may follow at once.
+// advance does one parsing step. Done says that the message is complete, more that another step
+// may follow with the bytes at hand.
 func (p *Parser) advance() (done, more bool, err error) {
 	switch p.state {
 	case inHead:
@@ -159,7 +161,7 @@
 		if err != nil || !ok {
 			return false, false, err
 		}
-		// Guards against trailers without end.
+		// Bounds trailers, which may be sent without end.
 		if p.trailerBytes += len(line); p.trailerBytes > maxTrailerBytes {
 			return false, false, &Error{431, "trailer too long"}
 		}
@@ -176,8 +178,8 @@
 
 func (p *Parser) consume(n int) { p.buf = p.buf[n:] }
 
-// line returns the next line without its end. It is an error if none ends
-// within max bytes.
+// line returns the next line without its line end, and whether it is complete. It is an error if no
+// line end follows within max bytes.
 func (p *Parser) line(max int) (string, bool, error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 && len(p.buf) <= max {
@@ -196,7 +198,7 @@
 	if err != nil || !ok {
 		return false, false, err
 	}
-	size, _, _ := strings.Cut(line, ";") // extensions mean nothing to us
+	size, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 	size = strings.TrimRight(size, " \t")
 	if len(size) == 0 || len(size) > 8 || strings.Trim(size, "0123456789abcdefABCDEF") != "" {
 		return false, false, malformed("chunk size %q", size)
@@ -216,10 +218,10 @@
 	return false, true, nil
 }
 
-// parseHead parses start line and fields once all of them are there.
+// parseHead parses the start line and the header fields once all of them have arrived.
 func (p *Parser) parseHead() (done, more bool, err error) {
 	for p.scanned == 0 && len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') {
-		p.consume(1) // empty lines before a message are passed over
+		p.consume(1) // empty lines before a message are skipped
 	}
 	end, after := findHeadEnd(p.buf, max(0, p.scanned-3))
 	if end < 0 {
@@ -240,7 +242,8 @@
 	return p.parseBodyFraming()
 }
 
-// findHeadEnd finds the empty line: where the head ends, and where the body begins.
+// findHeadEnd searches b, beginning at from, for the empty line after the head. It returns where the
+// head ends and where the body begins, or -1 and 0.
 func findHeadEnd(b []byte, from int) (end, after int) {
 	for i := from; i < len(b); i++ {
 		if b[i] != '\n' {
@@ -288,7 +291,7 @@
 	for _, line := range lines[1:] {
 		line = strings.TrimSuffix(line, "\r")
 		name, value, ok := strings.Cut(line, ":")
-		// A space before the colon, and a folded line, are ways to smuggle.
+		// A space before the colon and a folded line are rejected, as they allow request smuggling.
 		if !ok || !isToken(name) {
 			return malformed("header field %q", line)
 		}
@@ -312,6 +315,7 @@
 	return nil
 }
 
+// closesConnection reports whether the connection ends after the message.
 func closesConnection(m *Message) bool {
 	keep := m.Minor >= 1
 	for _, t := range strings.Split(strings.ToLower(m.Header["connection"]), ",") {
@@ -325,14 +329,14 @@
 	return !keep
 }
 
-// parseBodyFraming finds how the body is framed.
+// parseBodyFraming determines how the body ends: by a length, by chunks or with the connection.
 func (p *Parser) parseBodyFraming() (done, more bool, err error) {
 	m := p.msg
 	length, hasLength := m.Header["content-length"]
 	coding, hasCoding := m.Header["transfer-encoding"]
 	switch {
 	case hasCoding && hasLength:
-		return false, false, malformed("both a length and a transfer coding") // a way to smuggle
+		return false, false, malformed("both a length and a transfer coding") // allows request smuggling
 	case hasCoding:
 		if !strings.EqualFold(coding, "chunked") {
 			return false, false, &Error{501, "unknown transfer coding"}
@@ -363,6 +367,7 @@
 	return true, false, nil
 }
 
+// isToken reports whether s is a token of the HTTP grammar, such as a method or a field name.
 func isToken(s string) bool {
 	if s == "" {
 		return false
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// feed gives the text in pieces of n bytes and returns what comes out.
+// feed writes the text in pieces of n bytes and returns the messages.
 func feed(p *Parser, text string, n int) (list []*Message, err error) {
 	for len(text) > 0 && err == nil {
 		k := min(n, len(text))
@@ -95,8 +95,8 @@
 	}
 }
 
-// FuzzParser checks that the size of the pieces changes nothing and that limits
-// hold, whatever comes.
+// FuzzParser checks, on any input, that the size of the pieces changes nothing and that the limits
+// hold.
 func FuzzParser(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n", 3)
 	f.Add("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 1)
