--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -128,7 +128,7 @@
 		c, h, peer := accepted(t)
 		_, _ = io.WriteString(peer, "hello")
 		_ = peer.CloseWrite()
-		waitUntil(t, "the half close is told", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
+		waitUntil(t, "the half-close is reported", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
 		c.CloseIfReset() // it is not
 		if h.data != "hello" {
 			t.Errorf("data %q", h.data)
@@ -144,7 +144,7 @@
 	t.Run("closed, noticed by a write", func(t *testing.T) {
 		c, h, peer := accepted(t)
 		_ = peer.Close()
-		waitUntil(t, "the half close is told", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
+		waitUntil(t, "the half-close is reported", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
 		c.Write([]byte("H"))
 		waitUntil(t, "the reset is seen", func() bool {
 			c.CloseIfReset()
@@ -255,7 +255,7 @@
 func TestHalfClosedPeerThatDoesNotReadIsClosed(t *testing.T) {
 	c, h, peer := accepted(t)
 	_ = peer.CloseWrite()
-	waitUntil(t, "the half close is told", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
+	waitUntil(t, "the half-close is reported", func() bool { var half bool; h.locked(func() { half = h.half }); return half })
 	for c.Flushed() {
 		c.Write([]byte(strings.Repeat("x", 64<<10)))
 	}
