--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -76,7 +76,7 @@
 func (w *world) record(set settings.Settings) {
 	cfg := tracing.Config{Memory: 4 << 20, Spans: 200, Seed: 1}
 	for _, c := range set.Module.Classes {
-		cfg.Classes = append(cfg.Classes, tracing.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
+		cfg.Classes = append(cfg.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline})
 	}
 	r := tracing.New(cfg)
 	w.Record(r)
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
-	modules := map[int]*decide.Module{}
+	modules := map[int]*decide.StateMachine{}
 	for {
 		batch, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -41,7 +41,7 @@
 
 // step hands each instance all its events of the batch at once, instances in
 // the order in which they first appear.
-func step(modules map[int]*decide.Module, b wire.Batch, enc *wire.Encoder) error {
+func step(modules map[int]*decide.StateMachine, b wire.Batch, enc *wire.Encoder) error {
 	events := map[int][]decide.Event{}
 	var order []int
 	for _, it := range b.Items {
--- a/cmd/kiteloft/ending.go
+++ b/cmd/kiteloft/ending.go
@@ -23,9 +23,9 @@
 	mostWait    = 3 * time.Second
 	killMargin  = 700 * time.Millisecond
 	closeBefore = 600 * time.Millisecond
-	lastBefore  = 2*gate.HeldUp + 50*time.Millisecond // before we hear of the signal, and before we write
-	lingerOn    = 150 * time.Millisecond              // how long clients get to take their last answer
-	lastWrites  = 20 * time.Millisecond               // for the last flow records to leave
+	lastBefore  = 2*gate.MaxProcessPause + 50*time.Millisecond // before we hear of the signal, and before we write
+	lingerOn    = 150 * time.Millisecond                       // how long clients get to take their last answer
+	lastWrites  = 20 * time.Millisecond                        // for the last flow records to leave
 )
 
 func longest(classes []decide.Class) (d time.Duration) {
--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -127,11 +127,11 @@
 		}
 	}
 	t.link.Asked = a.Asked
-	t.survey = survey.New(core, topic{t.link, aboutZones}, a, cfg.Name, t.link.Zone(), cfg.Settings.Zones, cfg.Settings.Module.Cold, log)
+	t.survey = survey.New(core, topic{t.link, aboutZones}, a, cfg.Name, t.link.Zone(), cfg.Settings.Zones, cfg.Settings.Module.WarmupTime, log)
 	a.Zones = t.survey.Describe
-	checks := survey.Checks{Survey: t.survey, Nodes: nodes, Aim: cfg.Settings.Module.ShortestAim()}
+	checks := survey.Checks{Survey: t.survey, Nodes: nodes, Aim: cfg.Settings.Module.ShortestLatencyTarget()}
 	t.steer = steer.New(core, a, t.link, checks, t.survey, steer.Config{Zones: cfg.Settings.Zones, Seed: cfg.Seed,
-		Zone: zone.Config{Cold: cfg.Settings.Module.Cold, ColdFrom: cfg.Settings.Module.ColdFrom, Manual: !cfg.LeaveZones}}, log)
+		Zone: zone.Config{WarmupTime: cfg.Settings.Module.WarmupTime, WarmupStartShare: cfg.Settings.Module.WarmupStartShare, Manual: !cfg.LeaveZones}}, log)
 	t.steer.Changed = func() { t.limit(core, cfg) }
 	a.Order = t.steer.Order
 	core.SetObserver(t.survey)
@@ -153,7 +153,7 @@
 // limits are agreed rules as the core takes them.
 func limits(x accord.ActiveRules, cfg config.Config) broker.Limits {
 	r := x.Rules
-	l := broker.Limits{Version: x.Number, Copies: r.Copies, FurtherRatio: r.FurtherRatio, FurtherSpare: r.FurtherSpare, ColdShare: r.ColdShare,
+	l := broker.Limits{Version: x.Number, Copies: r.Copies, RetryBudgetRatio: r.RetryBudgetRatio, RetryBudgetBase: r.RetryBudgetBase, ColdShare: r.ColdShare,
 		Barred: r.Barred, Left: map[int]bool{}, Storm: storm.Shares{Retries: r.StormRetries, Good: r.StormGood}}
 	if r.Attempts < version.Unlimited {
 		l.MaxAttempts = r.Attempts
--- a/cmd/kiteloft/main.go
+++ b/cmd/kiteloft/main.go
@@ -221,7 +221,7 @@
 	started := time.Now()
 	clock := func() time.Duration { return clockStart + time.Since(started) }
 	set := cfg.Settings
-	set.Module.Remarks = cfg.Tracing.On()
+	set.Module.ReportShortages = cfg.Tracing.On()
 	core := broker.New(set, decide.New(set.Module, cfg.Seed), clock, coreLog{log})
 	traced, err := newTraces(core, cfg, started.Add(-clockStart), log)
 	if err != nil {
@@ -238,7 +238,7 @@
 	links := node.New(core, net, node.Limits{ConnectTimeout: set.ConnectTimeout, ConnIdle: set.ConnIdle,
 		StreamsPerConn: set.StreamsPerConn}, map[string]node.Protocol{"": node.Frames, nodeflight.Scheme: nodeflight.Protocol}, log)
 	dir := discovery.New(core, net.Direct(), cfg.Discovery, set.Zones, log)
-	dir.MixerCount, dir.PushedToAgent = set.Module.Aggregators, !set.Module.AskDiscovery
+	dir.MixerCount, dir.PushedToAgent = set.Module.Aggregators, !set.Module.WatchDiscovery
 	core.Use(links, dir)
 	core.Count(&count.set)
 	links.Counts, dir.Counts = &count.set, &count.set
--- a/cmd/kiteloft/traces.go
+++ b/cmd/kiteloft/traces.go
@@ -39,7 +39,7 @@
 	rc := tracing.Config{Memory: t.MemoryKB << 10, Spans: t.Spans, Seed: cfg.Seed ^ uint64(epoch.UnixNano())}
 	src := otlp.Source{Mixer: cfg.Name, Version: revision(), Epoch: epoch, Zones: cfg.Settings.Zones}
 	for _, c := range cfg.Settings.Module.Classes {
-		rc.Classes = append(rc.Classes, tracing.Class{Name: c.Name, Aim: c.Aim, AimStretch: c.AimStretch, Deadline: c.Deadline})
+		rc.Classes = append(rc.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, LatencyTargetPerWork: c.LatencyTargetPerWork, Deadline: c.Deadline})
 		src.Classes = append(src.Classes, c.Name)
 	}
 	var disk *segments.Writer
--- a/decide/api.go
+++ b/decide/api.go
@@ -12,29 +12,29 @@
 import "time"
 
 // Semantics tells whether a part may be repeated.
-type Semantics int
+type Idempotency int
 
 // The kinds of repetition that a class allows.
 const (
-	Repeatable Semantics = iota // may be repeated and refused freely
-	Keyed                       // a repeat is dropped for MemorySpan after the first attempt
-	Once                        // repeated only when no earlier attempt ran
+	Idempotent    Idempotency = iota // may be repeated and refused freely
+	Deduplicated                     // a repeat is dropped for MemorySpan after the first attempt
+	NonIdempotent                    // repeated only when no earlier attempt ran
 )
 
 // Class describes one class of query.
 type Class struct {
-	Name        string
-	Semantics   Semantics
-	Aim         time.Duration // an answer within it earns the full worth
-	AimStretch  float64       // the aim grows by this multiple of the query's own work
-	Deadline    time.Duration // how long a client waits over all its tries
-	MemorySpan  time.Duration // Keyed only: how long repeats are dropped
-	Worth       float64       // worth of a whole answer
-	LateValue   float64       // fraction of the worth earned after the aim
-	Need        float64       // fraction of the weight that makes an answer whole
-	Floor       float64       // least fraction for any answer
-	ShortWorth  float64       // factor on the worth of an answer that is not whole
-	FollowParts int           // parts of a second step; 0 means one step
+	Name                 string
+	Idempotency          Idempotency
+	LatencyTarget        time.Duration // an answer within it earns the full worth
+	LatencyTargetPerWork float64       // the aim grows by this multiple of the query's own work
+	Deadline             time.Duration // how long a client waits over all its tries
+	DedupWindow          time.Duration // Keyed only: how long repeats are dropped
+	Value                float64       // worth of a whole answer
+	LateValue            float64       // fraction of the worth earned after the aim
+	RequiredWeight       float64       // fraction of the weight that makes an answer whole
+	MinWeight            float64       // least fraction for any answer
+	PartialValue         float64       // factor on the worth of an answer that is not whole
+	SecondStepParts      int           // parts of a second step; 0 means one step
 }
 
 // Tenant describes one tenant's share over all aggregators.
@@ -52,41 +52,41 @@
 	Classes     []Class
 	Tenants     []Tenant
 
-	Cells        int // shard s is held by cells (s+k) mod Cells, k < Span
-	Span         int
-	PartsPerCall int // parts that one call to a server carries
-
-	AskDiscovery bool // the server list must be asked for (Watch, ReadList)
-
-	MaxOpen       int // queries and parts held at once
-	MaxAttempts   int // attempts per part
-	CancelAllowed bool
-	CopiesAllowed bool // a part may have two attempts out
-	ProbesAllowed bool
-	RetryAfter    bool // clients are given a time to stay away
-	MaxRetryAfter time.Duration
-
-	AskWithin     time.Duration // without a subscription, ask at least this often
-	DrainGrace    time.Duration // sends to a stopping server end within it
-	ColdFrom      float64       // share of capacity at a server's start
-	Cold          time.Duration // a server is warm this long after its start
-	Fall          time.Duration // window of the cold budget
-	FallMultiple  float64       // cold budget as a multiple of present capacity
-	FurtherWindow time.Duration // window of the further-attempt budget; 0: no such rule
-	FurtherSpare  float64       // further attempts allowed on top
-	FurtherRatio  float64       // further attempts per query or part taken
-
-	WorthByWork    bool    // worth counts in proportion to work
-	OverShareWorth float64 // worth factor above a tenant's share
-
-	Remarks bool // the caller wants Remark actions
+	Cells         int // shard s is held by cells (s+k) mod Cells, k < Span
+	CellsPerShard int
+	PartsPerCall  int // parts that one call to a server carries
+
+	WatchDiscovery bool // the server list must be asked for (Watch, ReadList)
+
+	MaxOpen        int // queries and parts held at once
+	MaxAttempts    int // attempts per part
+	CancelAllowed  bool
+	CopiesAllowed  bool // a part may have two attempts out
+	ProbesAllowed  bool
+	SendRetryAfter bool // clients are given a time to stay away
+	MaxRetryAfter  time.Duration
+
+	ListRefreshInterval time.Duration // without a subscription, ask at least this often
+	DrainGrace          time.Duration // sends to a stopping server end within it
+	WarmupStartShare    float64       // share of capacity at a server's start
+	WarmupTime          time.Duration // a server is warm this long after its start
+	ColdBudgetWindow    time.Duration // window of the cold budget
+	ColdBudgetFactor    float64       // cold budget as a multiple of present capacity
+	RetryBudgetWindow   time.Duration // window of the further-attempt budget; 0: no such rule
+	RetryBudgetBase     float64       // further attempts allowed on top
+	RetryBudgetRatio    float64       // further attempts per query or part taken
+
+	ValueByWork        bool    // worth counts in proportion to work
+	OverAllowanceValue float64 // worth factor above a tenant's share
+
+	ReportShortages bool // the caller wants Remark actions
 }
 
 // ShortestAim is of all classes; 0: none has one.
-func (s Settings) ShortestAim() (least time.Duration) {
+func (s Settings) ShortestLatencyTarget() (least time.Duration) {
 	for _, c := range s.Classes {
-		if c.Aim > 0 && (least == 0 || c.Aim < least) {
-			least = c.Aim
+		if c.LatencyTarget > 0 && (least == 0 || c.LatencyTarget < least) {
+			least = c.LatencyTarget
 		}
 	}
 	return least
@@ -104,12 +104,12 @@
 
 // Server is one entry of the server list.
 type Server struct {
-	ID      string
-	Zone    int
-	Cell    int
-	State   ServerState
-	Hint    float64       // relative capacity, if known
-	Started time.Duration // time of its last start; 0: long ago
+	ID           string
+	Zone         int
+	Cell         int
+	State        ServerState
+	CapacityHint float64       // relative capacity, if known
+	Started      time.Duration // time of its last start; 0: long ago
 }
 
 // Event is something that happened at the time of a Step.
@@ -199,13 +199,13 @@
 
 // Limits change figures of the Settings while the Module runs.
 type Limits struct {
-	MaxAttempts   int // attempts per part; 0: no limit
-	CopiesAllowed bool
-	FurtherRatio  float64
-	FurtherSpare  float64
-	FallMultiple  float64
-	Allowances    []float64 // by tenant
-	Shares        []float64 // by zone, of the parts that its servers would get; none: the whole
+	MaxAttempts      int // attempts per part; 0: no limit
+	CopiesAllowed    bool
+	RetryBudgetRatio float64
+	RetryBudgetBase  float64
+	ColdBudgetFactor float64
+	Allowances       []float64 // by tenant
+	Shares           []float64 // by zone, of the parts that its servers would get; none: the whole
 }
 
 // StreamBegun says that an attempt's streamed answer has begun.
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -63,12 +63,12 @@
 // acceptance terms. DrainMargin is kept of the grace of a server that drains: that, and the time that the
 // news of it may have been under way.
 const (
-	HeldUp      = 150 * time.Millisecond
-	DrainMargin = HeldUp + 100*time.Millisecond
+	MaxProcessPause = 150 * time.Millisecond
+	DrainMargin     = MaxProcessPause + 100*time.Millisecond
 )
 
 // Step takes all events of one instant and returns the actions to carry out, in order.
-func (m *Module) Step(now time.Duration, events []Event) []Action {
+func (m *StateMachine) Step(now time.Duration, events []Event) []Action {
 	m.now = max(now, m.now)
 	m.actions, m.calls = nil, map[*server]*call{}
 	for _, e := range events {
@@ -89,7 +89,7 @@
 	return m.actions
 }
 
-func (m *Module) take(e Event) {
+func (m *StateMachine) take(e Event) {
 	switch e := e.(type) {
 	case ListChange:
 		m.takeList(e)
@@ -115,9 +115,9 @@
 }
 
 // wake sets one timer at the earliest due moment: each step looks at everything anew, a stale one is no harm.
-func (m *Module) wake() {
+func (m *StateMachine) wake() {
 	due := time.Duration(math.MaxInt64)
-	if m.set.AskDiscovery && m.askAt >= 0 {
+	if m.set.WatchDiscovery && m.askAt >= 0 {
 		due = m.askAt
 	}
 	for _, q := range m.live {
@@ -139,7 +139,7 @@
 	m.act(Wake{After: due - m.now, Token: "due"})
 }
 
-func (m *Module) nextDue(q *query) time.Duration {
+func (m *StateMachine) nextDue(q *query) time.Duration {
 	due := m.lastCall(q)
 	if t := m.halfCall(q); t > m.now && q.untouched() {
 		due = min(due, t)
@@ -164,7 +164,7 @@
 // chooseOffset returns the offset whose servers have the fewest of our calls out; of equal ones that which
 // crosses zones least, then one by lot. A failing server counts as holding up to faultCalls more, or its
 // quick failures would make it look idle; a rare failure breaks no tie.
-func (m *Module) chooseOffset(parts []*part) int {
+func (m *StateMachine) chooseOffset(parts []*part) int {
 	offsets := 0
 	for _, p := range parts {
 		offsets = max(offsets, len(m.holdersOf(p.Shard)))
@@ -184,7 +184,7 @@
 	return best
 }
 
-func (m *Module) offsetLoad(parts []*part, j int) float64 {
+func (m *StateMachine) offsetLoad(parts []*part, j int) float64 {
 	load := 0.0
 	count := map[*server]int{}
 	for _, p := range parts {
@@ -205,7 +205,7 @@
 
 // route returns the server at offset j of the part's holders, unless it may not be used, is a suspect, or
 // would answer so late that another holder is clearly better: then the best of the others.
-func (m *Module) route(p *part, j int) *server {
+func (m *StateMachine) route(p *part, j int) *server {
 	hs := m.holdersOf(p.Shard)
 	if len(hs) == 0 {
 		return nil
@@ -220,7 +220,7 @@
 
 // departs guards against parts that would come too late from the server at their offset (slow, stalled,
 // failing or overloaded) while another holder has room. A part that gets only one try departs earlier.
-func (m *Module) departs(p *part, s, best *server) bool {
+func (m *StateMachine) departs(p *part, s, best *server) bool {
 	share := departShare
 	if !m.repeatable(p) {
 		share = carefulShare
@@ -233,7 +233,7 @@
 }
 
 // bestHolder returns the holder with the least expected delay: sound before suspect, untried before tried.
-func (m *Module) bestHolder(p *part) *server {
+func (m *StateMachine) bestHolder(p *part) *server {
 	var best *server
 	bestRank := math.Inf(1)
 	for _, s := range m.holdersOf(p.Shard) {
@@ -260,7 +260,7 @@
 // delay is the expected time of an answer in seconds: what answers took of late, scaled by our calls out
 // now against those out then, the other aggregators holding as many as we usually do; no less than the
 // silence so far, and longer where answers fail.
-func (m *Module) delay(s *server) float64 {
+func (m *StateMachine) delay(s *server) float64 {
 	latency, depth := m.usualAt(s)
 	shared := depth * float64(max(m.set.Aggregators, 1))
 	d := latency * (shared + float64(s.calls+1) - depth) / max(shared, 1)
@@ -273,56 +273,56 @@
 // ---- attempts: the one gate for every send ----
 
 // allowed tells whether the rules let the part go to the server now.
-func (m *Module) allowed(p *part, s *server) bool {
+func (m *StateMachine) allowed(p *part, s *server) bool {
 	return (!s.barred && s.State == Running || m.leaving(s)) && m.within(p, s) && m.coldRoom(s)
 }
 
 // leaving tells whether the server drains and may still take its share, unless it turns parts away. It guards
 // the other holders, which the rest of its load would fall on at once while the list is behind with the
 // successors: the rule leaves DrainGrace, of which leaveShare is used, since a send may wait to be written.
-func (m *Module) leaving(s *server) bool {
+func (m *StateMachine) leaving(s *server) bool {
 	window := min(time.Duration(leaveShare*float64(m.set.DrainGrace)), m.set.DrainGrace-DrainMargin)
 	return s.listed && s.State == Stopping && s.fault <= faultSuspect && m.now-s.barredAt < window
 }
 
 // coldRoom keeps a cold server's budget in every window: what a warm server bears from us, times the cold
 // one's share of capacity now, times the multiple.
-func (m *Module) coldRoom(s *server) bool {
+func (m *StateMachine) coldRoom(s *server) bool {
 	if !s.cold {
 		return true
 	}
 	age := m.now - s.coldSince
-	if age >= m.set.Cold {
+	if age >= m.set.WarmupTime {
 		s.cold, s.coldSends = false, nil
 		return true
 	}
-	s.coldSends = since(s.coldSends, m.now-m.set.Fall)
+	s.coldSends = since(s.coldSends, m.now-m.set.ColdBudgetWindow)
 	share := m.coldShare(s)
-	warm := m.bears() * m.set.Fall.Seconds()
-	room := coldCare * m.set.FallMultiple * share * warm
+	warm := m.bears() * m.set.ColdBudgetWindow.Seconds()
+	room := coldCare * m.set.ColdBudgetFactor * share * warm
 	if room >= 1 {
 		return float64(len(s.coldSends)+1) <= room
 	}
 	// A share of less than one part a window is one part in more than a window: with one in each, many
 	// aggregators would come to several times what the server bears. The first is spread, too.
-	pause := time.Duration(float64(m.set.Fall) * min(1/max(room, 0.01), coldPause))
+	pause := time.Duration(float64(m.set.ColdBudgetWindow) * min(1/max(room, 0.01), coldPause))
 	last := s.coldTold - time.Duration(s.coldDraw*float64(pause))
 	return m.now >= max(last, s.coldLast)+pause
 }
 
 // budget tells whether one more further attempt is within the share of the budget.
-func (m *Module) budget(share float64) bool {
-	if m.set.FurtherWindow <= 0 {
+func (m *StateMachine) budget(share float64) bool {
+	if m.set.RetryBudgetWindow <= 0 {
 		return true
 	}
-	m.taken = since(m.taken, m.now-m.set.FurtherWindow+1)
-	m.further = since(m.further, m.now-m.set.FurtherWindow)
-	limit := m.set.FurtherSpare + m.set.FurtherRatio*float64(len(m.taken))
+	m.taken = since(m.taken, m.now-m.set.RetryBudgetWindow+1)
+	m.further = since(m.further, m.now-m.set.RetryBudgetWindow)
+	limit := m.set.RetryBudgetBase + m.set.RetryBudgetRatio*float64(len(m.taken))
 	return float64(len(m.further)+1) <= share*limit
 }
 
 // mayTry tells whether the part's effect allows another attempt now.
-func (m *Module) mayTry(p *part) bool {
+func (m *StateMachine) mayTry(p *part) bool {
 	if p.done || p.q.over || (m.set.MaxAttempts > 0 && len(p.attempts) >= m.set.MaxAttempts) {
 		return false
 	}
@@ -333,20 +333,20 @@
 	if p.live() != nil && !m.set.CopiesAllowed {
 		return false
 	}
-	switch p.q.class.Semantics {
-	case Repeatable:
+	switch p.q.class.Idempotency {
+	case Idempotent:
 		return true
-	case Keyed:
-		return m.now+m.tick() <= a.sent+p.q.class.MemorySpan
+	case Deduplicated:
+		return m.now+m.tick() <= a.sent+p.q.class.DedupWindow
 	}
 	return false
 }
 
 // repeatable tells whether a part that ran may ever be sent again.
-func (m *Module) repeatable(p *part) bool { return p.q.class.Semantics != Once }
+func (m *StateMachine) repeatable(p *part) bool { return p.q.class.Idempotency != NonIdempotent }
 
 // place is the gate through which every send goes.
-func (m *Module) place(p *part, s *server, why Choice) bool {
+func (m *StateMachine) place(p *part, s *server, why Choice) bool {
 	if !m.mayTry(p) || !m.allowed(p, s) || (len(p.attempts) > 0 && !m.budget(1)) {
 		return false
 	}
@@ -377,7 +377,7 @@
 // idle returns how long the connection that a send to the server will use has shown no sign of life, and
 // closes it first where such ones broke of late. Guards against connections that are dropped unseen between
 // us and sound servers: a reset on one says nothing of its server, so it is not blamed.
-func (m *Module) idle(s *server) time.Duration {
+func (m *StateMachine) idle(s *server) time.Duration {
 	if m.now-m.idleLearned > idleMemory {
 		m.idleLimit = math.MaxInt64
 	}
@@ -394,14 +394,14 @@
 }
 
 // stopAt ends attempts when their answer can earn nothing more.
-func (m *Module) stopAt(q *query) time.Duration {
+func (m *StateMachine) stopAt(q *query) time.Duration {
 	if q.class.LateValue > 0 {
 		return q.end
 	}
 	return min(q.aim, q.end)
 }
 
-func (m *Module) takeOutcome(e AttemptDone) {
+func (m *StateMachine) takeOutcome(e AttemptDone) {
 	p := m.parts[e.Part]
 	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) || p.attempts[e.Attempt].over {
 		return
@@ -412,7 +412,7 @@
 	m.afterOutcome(a)
 }
 
-func (m *Module) afterOutcome(a *attempt) {
+func (m *StateMachine) afterOutcome(a *attempt) {
 	p := a.p
 	switch {
 	case p.q.over || p.shed:
@@ -432,7 +432,7 @@
 
 // expire gives up attempts whose outcome is overdue by a whole aim: a lost outcome must not hold state for
 // good.
-func (m *Module) expire() {
+func (m *StateMachine) expire() {
 	m.out = slices.DeleteFunc(m.out, func(a *attempt) bool {
 		if !a.over && m.now > a.stop+m.shortest {
 			m.release(a, TimedOut)
@@ -446,13 +446,13 @@
 }
 
 // callOff cancels what is still out for the part; one that was already late leaves its age as a sample.
-func (m *Module) callOff(p *part) {
+func (m *StateMachine) callOff(p *part) {
 	for _, a := range p.attempts {
 		if a.over || a.called {
 			continue
 		}
 		a.called = true
-		if age := m.now - a.sent; age > m.lateMark(a.s, p.q.class.Aim) {
+		if age := m.now - a.sent; age > m.lateMark(a.s, p.q.class.LatencyTarget) {
 			m.sample(a, age)
 			m.missed(a)
 		}
@@ -464,7 +464,7 @@
 
 // ---- admission: what is begun at all ----
 
-func (m *Module) takeQuery(e QueryArrived) {
+func (m *StateMachine) takeQuery(e QueryArrived) {
 	m.countTaken()
 	if m.queries[e.Number] != nil || m.ids[e.ID] != nil || e.Class >= len(m.set.Classes) || e.Class < 0 {
 		m.act(Fail{Query: e.ID, Why: NoClass}) // a class without figures: still one final answer
@@ -473,7 +473,7 @@
 	c := &m.set.Classes[e.Class]
 	q := &query{QueryArrived: e, class: c, end: m.now + e.Left}
 	elapsed := m.elapsed(e, c)
-	aim := min(c.Aim+time.Duration(c.AimStretch*float64(e.Work)), c.Deadline)
+	aim := min(c.LatencyTarget+time.Duration(c.LatencyTargetPerWork*float64(e.Work)), c.Deadline)
 	q.aim = min(m.now+aim-elapsed, q.end)
 	m.queries[e.Number], m.ids[e.ID] = q, q
 	m.live = append(m.live, q)
@@ -486,7 +486,7 @@
 // same time, and most tries are first ones; any other time is what is left of the deadline to a later try.
 // A time far under the aim is a client's patience, and worth a try while answers take half of it: hardly a
 // later try is left so little. The network takes its uneven bit off the time, which is not counted.
-func (m *Module) elapsed(e QueryArrived, c *Class) time.Duration {
+func (m *StateMachine) elapsed(e QueryArrived, c *Class) time.Duration {
 	u := &m.usual[e.Class]
 	if (e.Left - u.left).Abs() <= jitterTicks*m.tick() {
 		u.votes++
@@ -496,7 +496,7 @@
 		u.left, u.votes = e.Left, 1
 		return 0
 	}
-	if left := e.Left.Seconds(); left < hastyShare*c.Aim.Seconds() && left > 2*m.latency() {
+	if left := e.Left.Seconds(); left < hastyShare*c.LatencyTarget.Seconds() && left > 2*m.latency() {
 		return 0
 	}
 	return max(0, c.Deadline-e.Left)
@@ -504,7 +504,7 @@
 
 // admit begins the queries that can be in time, the most valuable first, and refuses the others while
 // nothing of them is out: work that comes too late takes the servers' time from work that would not.
-func (m *Module) admit() {
+func (m *StateMachine) admit() {
 	var fresh []*query
 	for _, q := range m.live {
 		if !q.begun && !q.over && len(q.parts) > 0 {
@@ -526,21 +526,21 @@
 }
 
 // worth is a query's worth for the same work, as a share of the greatest.
-func (m *Module) worth(q *query) float64 {
+func (m *StateMachine) worth(q *query) float64 {
 	w := 1.0
 	if m.topWorth > 0 {
-		w = q.class.Worth / m.topWorth
+		w = q.class.Value / m.topWorth
 	}
-	if !m.set.WorthByWork {
+	if !m.set.ValueByWork {
 		w /= math.Sqrt(float64(max(len(q.parts), 1)))
 	}
 	if m.overShare(q.Tenant) {
-		w *= m.set.OverShareWorth
+		w *= m.set.OverAllowanceValue
 	}
 	return w
 }
 
-func (m *Module) overShare(tenant int) bool {
+func (m *StateMachine) overShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(m.tenants) || m.set.Tenants[tenant].Allowance <= 0 {
 		return false
 	}
@@ -548,13 +548,13 @@
 }
 
 // inTime tells whether all needed parts can be expected within the query's share of the time to its aim.
-func (m *Module) inTime(q *query) bool {
+func (m *StateMachine) inTime(q *query) bool {
 	until := q.aim
 	if q.class.LateValue > 0 && q.aim <= m.now {
 		until = q.end
 	}
 	left := (until - m.now - m.margin()).Seconds()
-	if q.class.FollowParts > 0 {
+	if q.class.SecondStepParts > 0 {
 		left /= 2 // two steps have to fit
 	}
 	limit := left * (admitLow + (admitHigh-admitLow)*min(m.worth(q), 1))
@@ -568,11 +568,11 @@
 			reach += p.Weight
 		}
 	}
-	return reach >= q.class.Floor-weightSlack
+	return reach >= q.class.MinWeight-weightSlack
 }
 
 // try sends a part's first or next attempt: by the offset rule at first, then to the best other holder.
-func (m *Module) try(p *part) {
+func (m *StateMachine) try(p *part) {
 	s, why := m.route(p, p.q.offset), ByOffset
 	if len(p.attempts) > 0 {
 		s, why = m.bestHolder(p), NextBest
@@ -580,7 +580,7 @@
 		why = LeftSlow
 	}
 	if s == nil || !m.place(p, s, why) {
-		if m.set.Remarks && s == nil && m.coldOnly(p) {
+		if m.set.ReportShortages && s == nil && m.coldOnly(p) {
 			m.remark(p, ColdShort)
 		}
 		p.tryAt = m.now + m.trialPause()/8
@@ -591,10 +591,10 @@
 
 // margin is kept between an answer and the moment it is due. It guards against answers that leave in time
 // and come too late: a tick may be shorter than our own turns and the client's network take.
-func (m *Module) margin() time.Duration { return max(endTicks*m.tick(), endTime) }
+func (m *StateMachine) margin() time.Duration { return max(endTicks*m.tick(), endTime) }
 
 // lastCall is the moment at which a query must be ended.
-func (m *Module) lastCall(q *query) time.Duration {
+func (m *StateMachine) lastCall(q *query) time.Duration {
 	if q.class.LateValue > 0 || q.begun && q.second {
 		return q.end - m.margin()
 	}
@@ -602,22 +602,22 @@
 }
 
 // halfCall is half of the query's time: a query that no server has seen is not kept for longer.
-func (m *Module) halfCall(q *query) time.Duration {
+func (m *StateMachine) halfCall(q *query) time.Duration {
 	return q.end - q.Left/2 - m.margin()
 }
 
 // shortCall is the moment from which a short answer earns more than waiting: just before the aim, and
 // earlier where a second step has still to be fetched, which takes as long as its slowest parts.
-func (m *Module) shortCall(q *query) time.Duration {
+func (m *StateMachine) shortCall(q *query) time.Duration {
 	t := q.aim - m.margin()
-	if q.class.FollowParts > 0 && !q.second {
+	if q.class.SecondStepParts > 0 && !q.second {
 		t -= time.Duration(m.slow.value * float64(time.Second))
 	}
 	return t
 }
 
 // settle answers a query when its parts are in, ends it when it is due or hopeless, and retries failed parts.
-func (m *Module) settle(q *query) {
+func (m *StateMachine) settle(q *query) {
 	if q.over || !q.begun {
 		if !q.over && m.now >= m.lastCall(q) {
 			m.end(q, TimeUp)
@@ -627,9 +627,10 @@
 	weight, all := q.in()
 	short := m.answerable(q)
 	switch {
-	case all || (!q.second && q.class.Need < 1 && weight >= q.class.Need-weightSlack):
+	case all || (!q.second && q.class.RequiredWeight < 1 && weight >= q.class.RequiredWeight-weightSlack):
 		m.answer(q, !q.shortFst)
-	case short && m.now >= m.shortCall(q) && q.class.ShortWorth*weight >= q.class.LateValue*q.class.Need:
+	case short && m.now >= m.shortCall(q) &&
+		q.class.PartialValue*weight >= q.class.LateValue*q.class.RequiredWeight:
 		m.answer(q, false)
 	case m.now >= m.lastCall(q) || m.hopeless(q) || m.now >= m.halfCall(q) && q.untouched():
 		switch {
@@ -652,26 +653,26 @@
 }
 
 // answerable tells whether a short answer could be given now.
-func (m *Module) answerable(q *query) bool {
+func (m *StateMachine) answerable(q *query) bool {
 	weight, _ := q.in()
-	return q.class.Floor < q.class.Need && weight >= q.class.Floor-weightSlack
+	return q.class.MinWeight < q.class.RequiredWeight && weight >= q.class.MinWeight-weightSlack
 }
 
 // hopeless tells whether parts that can never come leave too little for any answer.
-func (m *Module) hopeless(q *query) bool {
+func (m *StateMachine) hopeless(q *query) bool {
 	reach := 0.0
 	for _, p := range q.parts {
 		if p.done || p.live() != nil || m.mayTry(p) {
 			reach += p.Weight
 		}
 	}
-	return len(q.parts) > 0 && reach < q.class.Floor-weightSlack
+	return len(q.parts) > 0 && reach < q.class.MinWeight-weightSlack
 }
 
 // answer gives the parts that are in. The first answer of two steps opens the second.
-func (m *Module) answer(q *query, whole bool) {
+func (m *StateMachine) answer(q *query, whole bool) {
 	m.act(Answer{Query: q.ID, Whole: whole})
-	if q.class.FollowParts > 0 && !q.second {
+	if q.class.SecondStepParts > 0 && !q.second {
 		m.shed(q)
 		q.second, q.shortFst, q.begun, q.parts = true, !whole, false, nil
 		return
@@ -680,8 +681,8 @@
 }
 
 // end refuses where that is honest, else fails. A refusal promises that nothing ran which may not run twice.
-func (m *Module) end(q *query, why Cause) {
-	if q.second || (q.class.Semantics != Repeatable && slices.ContainsFunc(q.parts, func(p *part) bool {
+func (m *StateMachine) end(q *query, why Cause) {
+	if q.second || (q.class.Idempotency != Idempotent && slices.ContainsFunc(q.parts, func(p *part) bool {
 		return p.mayHaveRun() != nil
 	})) {
 		m.act(Fail{Query: q.ID, Why: why})
@@ -692,8 +693,8 @@
 }
 
 // stayAway asks for the longest pause when the query has lost its worth already.
-func (m *Module) stayAway(q *query) time.Duration {
-	if !m.set.RetryAfter {
+func (m *StateMachine) stayAway(q *query) time.Duration {
+	if !m.set.SendRetryAfter {
 		return 0
 	}
 	if m.now >= q.aim-m.margin() {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,8 +10,8 @@
 // A gatherer owns the clock and the transport; the module only decides.
 func Example() {
 	m := decide.New(decide.Settings{
-		Aggregators: 1, Tick: time.Millisecond, Cells: 1, Span: 1, PartsPerCall: 4, CopiesAllowed: true,
-		Classes: []decide.Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
+		Aggregators: 1, Tick: time.Millisecond, Cells: 1, CellsPerShard: 1, PartsPerCall: 4, CopiesAllowed: true,
+		Classes: []decide.Class{{LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1}},
 	}, 1)
 	now := time.Second
 	actions := m.Step(now, []decide.Event{
--- a/decide/first_test.go
+++ b/decide/first_test.go
@@ -10,7 +10,7 @@
 // with all parts out none counts as stranded: it waited in vain for four times its aim.
 func TestTheFirstQueryAtASilentServer(t *testing.T) {
 	set := testSettings()
-	set.FurtherWindow, set.Aggregators, set.Classes[0].LateValue = 0, 5, 0.1
+	set.RetryBudgetWindow, set.Aggregators, set.Classes[0].LateValue = 0, 5, 0.1
 	r := newRig(t, set, "a", "b")
 	_, parts := r.query(0, 2)
 	first := r.sent[parts[0]][0].Server
@@ -40,7 +40,7 @@
 // seconds in which a zone was cut off, queries were lost.
 func TestLatePartsAreLookedAtNowAndThen(t *testing.T) {
 	set := testSettings()
-	set.Tick, set.FurtherWindow, set.Classes[0].LateValue = ms, 0, 0.1
+	set.Tick, set.RetryBudgetWindow, set.Classes[0].LateValue = ms, 0, 0.1
 	r := newRig(t, set, "a") // nobody else holds it
 	r.query(0, 3)
 	steps, due := 0, r.now
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -22,7 +22,7 @@
 	rng     *rand.Rand
 	set     Settings
 	now     time.Duration
-	modules []*Module
+	modules []*StateMachine
 	inbox   [][]Event
 	due     map[time.Duration][]fleetEvent // by tick
 	silent  map[string]bool
@@ -61,9 +61,9 @@
 		inbox: make([][]Event, aggregators), due: map[time.Duration][]fleetEvent{}, silent: map[string]bool{},
 		started: map[string]time.Duration{}, gone: map[string]time.Duration{}, cold: map[string][]time.Duration{},
 		asked: map[string]time.Duration{}, finals: map[string]int{}, sent: map[string]int{}, load: fleetLoad, untold: map[string][]time.Duration{}}
-	f.set.Aggregators, f.set.Cells, f.set.Span = aggregators, servers, 2
-	f.set.ColdFrom, f.set.Cold, f.set.FallMultiple = 0.2, 17*time.Second, 2.5
-	f.set.FurtherWindow = 0
+	f.set.Aggregators, f.set.Cells, f.set.CellsPerShard = aggregators, servers, 2
+	f.set.WarmupStartShare, f.set.WarmupTime, f.set.ColdBudgetFactor = 0.2, 17*time.Second, 2.5
+	f.set.RetryBudgetWindow = 0
 	for c := range servers {
 		f.ids = append(f.ids, fmt.Sprintf("s%03d", c))
 	}
@@ -186,7 +186,7 @@
 }
 
 func (f *fleet) send(i int, a Send, n int) {
-	if at := f.started[a.Server]; at > 0 && f.now < at+f.set.Cold {
+	if at := f.started[a.Server]; at > 0 && f.now < at+f.set.WarmupTime {
 		f.checkCold(a.Server, at, i)
 	}
 	if at, ok := f.gone[a.Server]; ok && f.now > at+f.set.DrainGrace {
@@ -210,14 +210,14 @@
 	if len(f.toldAt) > 0 && f.now < f.toldAt[module] {
 		f.untold[id] = append(f.untold[id], f.now)
 	}
-	share := f.set.ColdFrom + (1-f.set.ColdFrom)*max(0, f.now-started-f.set.Fall/2).Seconds()/f.set.Cold.Seconds()
-	limit := f.set.FallMultiple * share * fleetRate * f.set.Fall.Seconds()
+	share := f.set.WarmupStartShare + (1-f.set.WarmupStartShare)*max(0, f.now-started-f.set.ColdBudgetWindow/2).Seconds()/f.set.WarmupTime.Seconds()
+	limit := f.set.ColdBudgetFactor * share * fleetRate * f.set.ColdBudgetWindow.Seconds()
 	if f.chance {
 		limit += 2 * math.Sqrt(limit+2)
 	}
-	n, untold := within(f.cold[id], f.now-f.set.Fall), within(f.untold[id], f.now-f.set.Fall)
+	n, untold := within(f.cold[id], f.now-f.set.ColdBudgetWindow), within(f.untold[id], f.now-f.set.ColdBudgetWindow)
 	if float64(n) > limit && 3*untold < n {
-		f.t.Errorf("%v after its start %s got %d parts in %v, limit %.1f", f.now-started, id, n, f.set.Fall, limit)
+		f.t.Errorf("%v after its start %s got %d parts in %v, limit %.1f", f.now-started, id, n, f.set.ColdBudgetWindow, limit)
 	}
 }
 
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -11,7 +11,7 @@
 // rig drives one Module with hand-written events and keeps what it did.
 type rig struct {
 	t       *testing.T
-	m       *Module
+	m       *StateMachine
 	now     time.Duration
 	sent    map[string][]Send // by part
 	actions []Action          // of the last step
@@ -20,19 +20,19 @@
 
 func testSettings() Settings {
 	return Settings{
-		Aggregators: 2, Tick: 5 * ms, Cells: 1, Span: 1, PartsPerCall: 4,
+		Aggregators: 2, Tick: 5 * ms, Cells: 1, CellsPerShard: 1, PartsPerCall: 4,
 		MaxOpen: 200, MaxAttempts: 3, CancelAllowed: true, CopiesAllowed: true,
-		DrainGrace: time.Second, ColdFrom: 0.2, Cold: 10 * time.Second, Fall: 2 * time.Second, FallMultiple: 2,
-		FurtherWindow: 5 * time.Second, FurtherSpare: 5, FurtherRatio: 0.2,
+		DrainGrace: time.Second, WarmupStartShare: 0.2, WarmupTime: 10 * time.Second, ColdBudgetWindow: 2 * time.Second, ColdBudgetFactor: 2,
+		RetryBudgetWindow: 5 * time.Second, RetryBudgetBase: 5, RetryBudgetRatio: 0.2,
 		Classes: []Class{
-			{Name: "read", Semantics: Repeatable, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "write", Semantics: Once, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "mark", Semantics: Keyed, MemorySpan: time.Second, Aim: 2 * time.Second,
-				Deadline: 4 * time.Second, Worth: 1, LateValue: 0.2},
-			{Name: "some", Semantics: Repeatable, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1,
-				Floor: 0.5, ShortWorth: 0.9},
-			{Name: "steps", Semantics: Repeatable, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1,
-				FollowParts: 2},
+			{Name: "read", Idempotency: Idempotent, LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1},
+			{Name: "write", Idempotency: NonIdempotent, LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1},
+			{Name: "mark", Idempotency: Deduplicated, DedupWindow: time.Second, LatencyTarget: 2 * time.Second,
+				Deadline: 4 * time.Second, Value: 1, LateValue: 0.2},
+			{Name: "some", Idempotency: Idempotent, LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1,
+				MinWeight: 0.5, PartialValue: 0.9},
+			{Name: "steps", Idempotency: Idempotent, LatencyTarget: time.Second, Deadline: 4 * time.Second, Value: 1,
+				SecondStepParts: 2},
 		},
 	}
 }
--- a/decide/health.go
+++ b/decide/health.go
@@ -9,7 +9,7 @@
 
 // silence is how long the server has left us without a word while something was out. With nothing out it
 // fades as fast as it grew: evidence that nothing renews must not keep a server out for good.
-func (m *Module) silence(s *server) time.Duration {
+func (m *StateMachine) silence(s *server) time.Duration {
 	if s.out == 0 {
 		return max(0, s.silentFor-(m.now-s.idleSince))
 	}
@@ -17,14 +17,14 @@
 }
 
 // heard ends a silence. After a long one the server may have restarted unseen, so it counts as cold.
-func (m *Module) heard(s *server) {
-	if m.shortest > 0 && m.silence(s) > 4*m.shortest && m.set.Cold > 0 {
+func (m *StateMachine) heard(s *server) {
+	if m.shortest > 0 && m.silence(s) > 4*m.shortest && m.set.WarmupTime > 0 {
 		m.chill(s, m.now)
 	}
 	s.silentFor, s.waitSince, s.mute, s.misses = 0, m.now, false, 0
 }
 
-func (m *Module) judge(s *server, a *attempt, e AttemptDone) {
+func (m *StateMachine) judge(s *server, a *attempt, e AttemptDone) {
 	switch e.Outcome {
 	case OK:
 		m.heard(s)
@@ -56,7 +56,7 @@
 	}
 }
 
-func (m *Module) blame(s *server) {
+func (m *StateMachine) blame(s *server) {
 	if m.suspect(s) {
 		s.trials++
 	}
@@ -64,12 +64,14 @@
 	s.trialAt = m.now + m.restPause(s)
 }
 
-func (m *Module) trialPause() time.Duration { return time.Duration(trialAims * float64(m.shortest)) }
+func (m *StateMachine) trialPause() time.Duration {
+	return time.Duration(trialAims * float64(m.shortest))
+}
 
 // missed notes an attempt that was called off late, without a word from its server since it was sent. Guards
 // against a server that is gone and known by nothing: a copy answers each of its parts before its silence is
 // long, and the next part comes when that has faded. Connections that may have been dropped prove nothing.
-func (m *Module) missed(a *attempt) {
+func (m *StateMachine) missed(a *attempt) {
 	s := a.s
 	if s.waitSince > a.sent || a.idle > 0 && m.lostIdle > m.lostFresh {
 		return
@@ -84,7 +86,7 @@
 // restPause is how long a suspect is left alone: no shorter than the time between the parts that a server
 // gets from us anyway, and twice as long after each trial that failed. Guards against suspicion that changes
 // nothing: where each of many aggregators meets a server once in seconds, every part would be a trial.
-func (m *Module) restPause(s *server) time.Duration {
+func (m *StateMachine) restPause(s *server) time.Duration {
 	pause := m.trialPause()
 	if rate := m.partRate.rate(m.now); rate > 0 {
 		gap := time.Duration(float64(len(m.order)) / rate * float64(time.Second))
@@ -94,11 +96,11 @@
 }
 
 // suspect guards against servers that fail, refuse or stay silent, for whatever cause.
-func (m *Module) suspect(s *server) bool {
+func (m *StateMachine) suspect(s *server) bool {
 	return s.fault > faultSuspect || s.mute || m.tooSilent(s)
 }
 
-func (m *Module) tooSilent(s *server) bool {
+func (m *StateMachine) tooSilent(s *server) bool {
 	silence := m.silence(s)
 	return silence > time.Duration(silentAims*float64(m.shortest)) &&
 		silence > time.Duration(silentLate*float64(m.lateMark(s, m.shortest)))
@@ -107,7 +109,7 @@
 // attend probes servers that have fallen silent until they are heard of again. Guards against giving such a
 // one real parts over and over: when the last part out there is called off, its silence proves nothing any
 // more and fades, though nothing shows that it is over.
-func (m *Module) attend() {
+func (m *StateMachine) attend() {
 	if !m.set.ProbesAllowed {
 		return
 	}
@@ -122,7 +124,7 @@
 	}
 }
 
-func (m *Module) takeProbe(e ProbeDone) {
+func (m *StateMachine) takeProbe(e ProbeDone) {
 	s := m.servers[e.Server]
 	if s == nil {
 		return
@@ -140,7 +142,7 @@
 
 // fit tells whether the server may take the part by the offset rule: a suspect gets a repeatable part now
 // and then, as a trial, so that it is found again when it is sound; a silent one is probed instead.
-func (m *Module) fit(p *part, s *server) bool {
+func (m *StateMachine) fit(p *part, s *server) bool {
 	if !m.allowed(p, s) {
 		return false
 	}
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -8,7 +8,7 @@
 )
 
 // lateMark is the server's p90, or startShare of the aim before any answer.
-func (m *Module) lateMark(s *server, aim time.Duration) time.Duration {
+func (m *StateMachine) lateMark(s *server, aim time.Duration) time.Duration {
 	s.swap(m.now)
 	k := s.read
 	if k.IsEmpty() {
@@ -23,18 +23,18 @@
 
 // trigger is the late mark, but no later than the start value: a server that stays slow, or a stall that
 // filled its sketch, would push it to where a copy has no time left.
-func (m *Module) trigger(p *part) time.Duration {
-	aim := p.q.class.Aim
+func (m *StateMachine) trigger(p *part) time.Duration {
+	aim := p.q.class.LatencyTarget
 	return min(m.lateMark(p.live().s, aim), time.Duration(startShare*float64(aim)))
 }
 
-func (m *Module) mayCopy(p *part) bool {
+func (m *StateMachine) mayCopy(p *part) bool {
 	return m.set.CopiesAllowed && !p.done && m.repeatable(p) &&
 		p.live() != nil && m.now < m.lastCall(p.q)
 }
 
 // refill lets tokens grow at tokenShare of the measured part rate.
-func (m *Module) refill() {
+func (m *StateMachine) refill() {
 	rate := tokenShare * m.partRate.rate(m.now)
 	m.tokens += rate * (m.now - m.tokensAt).Seconds()
 	m.tokens = min(m.tokens, max(1, rate*tokenBurst.Seconds()))
@@ -42,7 +42,7 @@
 }
 
 // hedge copies late parts, those of queries that wait for the fewest parts first, while tokens last.
-func (m *Module) hedge() {
+func (m *StateMachine) hedge() {
 	var list []*part
 	for _, q := range m.live {
 		if q.over || !q.begun {
@@ -61,7 +61,7 @@
 }
 
 // copyRank puts queries that can be answered short behind those that get nothing without their last parts.
-func (m *Module) copyRank(q *query) int {
+func (m *StateMachine) copyRank(q *query) int {
 	if m.answerable(q) {
 		return len(q.parts) + q.missing()
 	}
@@ -71,7 +71,7 @@
 // copyPart sends the copy if the other holder is expected to answer sooner than the part has already
 // waited: on a hot shard or in a general stall it is not, and the token is kept. A stranded part needs no
 // token.
-func (m *Module) copyPart(p *part) {
+func (m *StateMachine) copyPart(p *part) {
 	stranded := m.stranded(p)
 	share := hedgeReserve
 	if stranded {
@@ -107,11 +107,11 @@
 // answered what was sent well after it, or it is out for giveUpShare of the aim. Guards against lost messages
 // and silent or slow servers where one copy is not enough or tokens are short: the parts that are in were
 // for nothing without the last one. The further-attempt budget bounds it.
-func (m *Module) stranded(p *part) bool {
+func (m *StateMachine) stranded(p *part) bool {
 	many := float64(p.q.missing()) > max(1, rescueShare*float64(len(p.q.parts))) || m.answerable(p.q) ||
 		m.saves.count(m.now)+1 < savesLeast*(m.rescues.count(m.now)+2)
 	for _, a := range p.attempts {
-		mark := m.lateMark(a.s, p.q.class.Aim)
+		mark := m.lateMark(a.s, p.q.class.LatencyTarget)
 		if !a.over && a.s.heardOf < a.sent+mark && (many || m.now-a.sent < m.giveUp(p)) {
 			return false
 		}
@@ -119,6 +119,6 @@
 	return true
 }
 
-func (m *Module) giveUp(p *part) time.Duration {
-	return time.Duration(giveUpShare * float64(p.q.class.Aim))
+func (m *StateMachine) giveUp(p *part) time.Duration {
+	return time.Duration(giveUpShare * float64(p.q.class.LatencyTarget))
 }
--- a/decide/large_bench_test.go
+++ b/decide/large_bench_test.go
@@ -23,7 +23,7 @@
 
 func minuteOf(servers int, cold bool) {
 	set := testSettings()
-	set.Cells, set.Span, set.Aggregators, set.Cold = servers/4, 2, 300, 100*time.Second
+	set.Cells, set.CellsPerShard, set.Aggregators, set.WarmupTime = servers/4, 2, 300, 100*time.Second
 	m, now := New(set, 1), 200*time.Second
 	list := ListChange{Full: true}
 	for i := range servers {
--- a/decide/list.go
+++ b/decide/list.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-func (m *Module) takeList(e ListChange) {
+func (m *StateMachine) takeList(e ListChange) {
 	m.asks, m.askAt = 0, -1
 	m.borne.known = false // who is warm may have changed
-	if m.set.AskDiscovery && !m.subscribed {
+	if m.set.WatchDiscovery && !m.subscribed {
 		m.askAt = m.now + m.firstPause() // the first list comes unasked; the subscription is still to be made
 	}
 	if e.Full {
@@ -26,7 +26,7 @@
 	m.dropUnlisted()
 }
 
-func (m *Module) takeServer(entry Server) {
+func (m *StateMachine) takeServer(entry Server) {
 	s := m.servers[entry.ID]
 	if s == nil {
 		if entry.State == Deleted {
@@ -37,7 +37,8 @@
 	if entry.Started > s.Started {
 		s.forget(m.now) // a restart: what was learned belongs to the process before
 	}
-	if entry.Started > 0 && m.now-entry.Started < m.set.Cold && (!s.cold || entry.Started > s.coldSince) {
+	if entry.Started > 0 && m.now-entry.Started < m.set.WarmupTime &&
+		(!s.cold || entry.Started > s.coldSince) {
 		m.chill(s, entry.Started)
 	}
 	s.Server, s.listed = entry, entry.State != Deleted
@@ -45,8 +46,8 @@
 
 // follow keeps a subscription where the list must be asked for; an unanswered or failed call is repeated
 // with a growing, uneven pause, since the calls load the one service that answers them.
-func (m *Module) follow() {
-	if !m.set.AskDiscovery || m.askAt < 0 || m.now < m.askAt {
+func (m *StateMachine) follow() {
+	if !m.set.WatchDiscovery || m.askAt < 0 || m.now < m.askAt {
 		return
 	}
 	m.subscribed = true
@@ -56,7 +57,7 @@
 
 // askPause is short at first, as a watch may have ended just when there was news, then grows: what a list
 // lacks soon counts as told. Where many ask, none is shorter than their first calls were spread over.
-func (m *Module) askPause() time.Duration {
+func (m *StateMachine) askPause() time.Duration {
 	base := min(m.askSpan()<<(2*m.asks), time.Duration(askShare*float64(m.askWithin())))
 	m.asks = min(m.asks+1, 8)
 	return time.Duration(float64(base) * (0.3 + 0.7*m.rng.Float64()))
@@ -65,6 +66,6 @@
 // firstPause is how long the first call waits, drawn from a span that grows with the aggregators. Guards
 // discovery, and them, against asking all at once when most of them start together: what it can't answer
 // before it has waited for too long is refused, and they would go without a list for that and another pause.
-func (m *Module) firstPause() time.Duration {
+func (m *StateMachine) firstPause() time.Duration {
 	return time.Duration(m.draws.Float64() * float64(m.askSpan()))
 }
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -36,10 +36,10 @@
 // the end.
 func (d *directory) follow(n int, length time.Duration) {
 	set := testSettings()
-	set.AskDiscovery, set.AskWithin, set.Tick, set.Aggregators = true, 10*time.Second, ms, n
+	set.WatchDiscovery, set.ListRefreshInterval, set.Tick, set.Aggregators = true, 10*time.Second, ms, n
 	d.settled = map[int]time.Duration{}
 	start := 50 * time.Second
-	modules, inbox := make([]*Module, n), map[time.Duration]map[int][]Event{}
+	modules, inbox := make([]*StateMachine, n), map[time.Duration]map[int][]Event{}
 	later := func(at time.Duration, i int, e Event) {
 		at = max(at, start).Truncate(ms)
 		if inbox[at] == nil {
--- a/decide/odd_fleet_test.go
+++ b/decide/odd_fleet_test.go
@@ -35,7 +35,7 @@
 		for _, aggregators := range []int{-1, 0, 1, 500, 1 << 30} {
 			t.Run(fmt.Sprintf("%s, %d aggregators", name, aggregators), func(t *testing.T) {
 				set := testSettings()
-				set.Aggregators, set.Cells, set.Span, set.AskDiscovery, set.AskWithin = aggregators, 12, 2, true, 10*time.Second
+				set.Aggregators, set.Cells, set.CellsPerShard, set.WatchDiscovery, set.ListRefreshInterval = aggregators, 12, 2, true, 10*time.Second
 				set.ProbesAllowed = true
 				oddFleet(t, set, servers)
 			})
@@ -69,7 +69,7 @@
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
-				if d := ((cells[a.Server]-shards[a.Part])%12 + 12) % 12; d >= set.Span {
+				if d := ((cells[a.Server]-shards[a.Part])%12 + 12) % 12; d >= set.CellsPerShard {
 					t.Fatalf("a part of shard %d went to cell %d", shards[a.Part], cells[a.Server])
 				}
 				outcome := OK
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -15,7 +15,7 @@
 	t       *testing.T
 	rng     *rand.Rand
 	set     Settings
-	m       *Module
+	m       *StateMachine
 	now     time.Duration
 	wakes   []time.Duration
 	pending []timed
@@ -180,7 +180,7 @@
 	case Refuse:
 		q := w.final(a.Query)
 		for _, p := range q.parts {
-			if q.class.Semantics == Once && p.mayHaveRun() >= 0 {
+			if q.class.Idempotency == NonIdempotent && p.mayHaveRun() >= 0 {
 				w.t.Errorf("%v: refused %s though part %s may have run", w.now, q.id, p.id)
 			}
 		}
@@ -244,7 +244,7 @@
 			all = false
 		}
 	}
-	need, floor := q.class.Need, q.class.Floor
+	need, floor := q.class.RequiredWeight, q.class.MinWeight
 	if need == 0 {
 		need = 1
 	}
@@ -261,7 +261,7 @@
 	if a.Whole && !whole {
 		w.t.Errorf("%v: %s marked whole from %.3f (second step %v)", w.now, q.id, in, q.second)
 	}
-	if q.class.FollowParts > 0 && !q.second {
+	if q.class.SecondStepParts > 0 && !q.second {
 		q.second, q.whole1 = true, a.Whole
 		for _, p := range q.parts {
 			p.ended = true
@@ -286,7 +286,7 @@
 	if p.q.over || p.ended || p.ok {
 		w.t.Errorf("%v: a send for the finished part %s", w.now, p.id)
 	}
-	if k := ((s.cell-p.shard)%w.set.Cells + w.set.Cells) % w.set.Cells; k >= w.set.Span {
+	if k := ((s.cell-p.shard)%w.set.Cells + w.set.Cells) % w.set.Cells; k >= w.set.CellsPerShard {
 		w.t.Errorf("%v: %s does not hold shard %d", w.now, a.Server, p.shard)
 	}
 	if s.toldStopped > 0 && w.now > s.toldStopped+w.set.DrainGrace {
@@ -295,13 +295,13 @@
 	w.checkEffect(p)
 	if len(p.attempts) > 0 {
 		w.further = append(w.further, w.now)
-		n := within(w.further, w.now-w.set.FurtherWindow)
-		limit := w.set.FurtherSpare + w.set.FurtherRatio*float64(within(w.taken, w.now-w.set.FurtherWindow+1))
+		n := within(w.further, w.now-w.set.RetryBudgetWindow)
+		limit := w.set.RetryBudgetBase + w.set.RetryBudgetRatio*float64(within(w.taken, w.now-w.set.RetryBudgetWindow+1))
 		if float64(n) > limit {
 			w.t.Errorf("%v: %d further attempts, budget %.1f", w.now, n, limit)
 		}
 	}
-	if s.started > 0 && w.now < s.started+w.set.Cold {
+	if s.started > 0 && w.now < s.started+w.set.WarmupTime {
 		w.checkCold(s)
 	}
 	at := &wAttempt{sent: w.now, out: true}
@@ -316,9 +316,9 @@
 	first := p.mayHaveRun()
 	switch {
 	case first < 0:
-	case p.q.class.Semantics == Once:
+	case p.q.class.Idempotency == NonIdempotent:
 		w.t.Errorf("%v: the unsafe part %s was sent again though it may have run", w.now, p.id)
-	case p.q.class.Semantics == Keyed && w.now > first+p.q.class.MemorySpan:
+	case p.q.class.Idempotency == Deduplicated && w.now > first+p.q.class.DedupWindow:
 		w.t.Errorf("%v: the keyed part %s was sent again %v after it may have run", w.now, p.id, w.now-first)
 	}
 	if !w.set.CopiesAllowed && slices.ContainsFunc(p.attempts, func(a *wAttempt) bool { return a.out }) {
@@ -329,12 +329,12 @@
 // checkCold holds the sends against this aggregator's share of what the server can do: 60 parts a second when warm.
 func (w *world) checkCold(s *wServer) {
 	s.cold = append(s.cold, w.now)
-	n := within(s.cold, w.now-w.set.Fall)
-	age := max(0, (w.now-s.started-w.set.Fall).Seconds()) / w.set.Cold.Seconds()
-	share := w.set.ColdFrom + (1-w.set.ColdFrom)*age
-	limit := w.set.FallMultiple * share * 60 * w.set.Fall.Seconds() / float64(w.set.Aggregators)
+	n := within(s.cold, w.now-w.set.ColdBudgetWindow)
+	age := max(0, (w.now-s.started-w.set.ColdBudgetWindow).Seconds()) / w.set.WarmupTime.Seconds()
+	share := w.set.WarmupStartShare + (1-w.set.WarmupStartShare)*age
+	limit := w.set.ColdBudgetFactor * share * 60 * w.set.ColdBudgetWindow.Seconds() / float64(w.set.Aggregators)
 	if float64(n) > limit {
-		w.t.Errorf("%v: %d parts in %v to a cold server, budget %.1f", w.now, n, w.set.Fall, limit)
+		w.t.Errorf("%v: %d parts in %v to a cold server, budget %.1f", w.now, n, w.set.ColdBudgetWindow, limit)
 	}
 }
 
@@ -421,11 +421,11 @@
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 50 * time.Second, servers: map[string]*wServer{},
 		queries: map[string]*wQuery{}, numbers: map[int64]*wQuery{}, parts: map[string]*wPart{}}
 	w.set = testSettings()
-	w.set.Cells, w.set.Span = 3, 2
-	w.set.Classes = append(w.set.Classes, Class{Name: "enough", Semantics: Repeatable, Aim: time.Second,
-		Deadline: 3 * time.Second, Need: 0.6, Worth: 2, LateValue: 0.3})
+	w.set.Cells, w.set.CellsPerShard = 3, 2
+	w.set.Classes = append(w.set.Classes, Class{Name: "enough", Idempotency: Idempotent, LatencyTarget: time.Second,
+		Deadline: 3 * time.Second, RequiredWeight: 0.6, Value: 2, LateValue: 0.3})
 	w.set.Tenants = []Tenant{{Allowance: 4}, {Allowance: 4}}
-	w.set.AskDiscovery, w.set.AskWithin = seed%2 == 0, 10*time.Second
+	w.set.WatchDiscovery, w.set.ListRefreshInterval = seed%2 == 0, 10*time.Second
 	w.set.CopiesAllowed = seed%3 != 0
 	w.set.CancelAllowed = seed%5 != 0
 	for i := range 6 {
--- a/decide/seldom_test.go
+++ b/decide/seldom_test.go
@@ -9,8 +9,8 @@
 // seldom is one aggregator of many: it meets each of 30 servers about once in 1.5 s.
 func seldom(t *testing.T) *rig {
 	set := testSettings()
-	set.Aggregators, set.Cells, set.Span, set.FurtherWindow, set.ProbesAllowed = 80, 30, 2, 0, true
-	set.Classes[0].Aim = 400 * ms
+	set.Aggregators, set.Cells, set.CellsPerShard, set.RetryBudgetWindow, set.ProbesAllowed = 80, 30, 2, 0, true
+	set.Classes[0].LatencyTarget = 400 * ms
 	r := newRig(t, set)
 	l := ListChange{Full: true}
 	for c := range set.Cells {
@@ -118,10 +118,10 @@
 func TestColdServerThatAloneHoldsASliceGetsPartsButNotAll(t *testing.T) {
 	const n = 80
 	set := testSettings()
-	set.Aggregators, set.Tick, set.Fall, set.FallMultiple, set.ColdFrom = n, ms, time.Second, 3, 0.32
-	set.Classes[0].Aim, set.RetryAfter = 400*ms, true
+	set.Aggregators, set.Tick, set.ColdBudgetWindow, set.ColdBudgetFactor, set.WarmupStartShare = n, ms, time.Second, 3, 0.32
+	set.Classes[0].LatencyTarget, set.SendRetryAfter = 400*ms, true
 	start := 100 * time.Second
-	modules, got, sends := make([]*Module, n), make([]int, n), []time.Duration(nil)
+	modules, got, sends := make([]*StateMachine, n), make([]int, n), []time.Duration(nil)
 	for i := range modules {
 		modules[i] = New(set, uint64(i))
 		modules[i].Step(start, []Event{ListChange{Full: true, Servers: []Server{{ID: "a", Started: start}}}})
@@ -146,7 +146,7 @@
 	}
 	most := 0
 	for i, at := range sends {
-		most = max(most, within(sends[:i+1], at-set.Fall))
+		most = max(most, within(sends[:i+1], at-set.ColdBudgetWindow))
 	}
 	// What a cold server of 100 parts a second may be sent in its first second.
 	if limit := 96; most > limit {
--- a/decide/shares.go
+++ b/decide/shares.go
@@ -18,7 +18,7 @@
 // within keeps to the share of the parts that the server's zone is to get, unless nobody else
 // may take the part. The draw is the part's own, and spread evenly over all: what is kept from
 // a zone once is not sent there as a copy either.
-func (m *Module) within(p *part, s *server) bool {
+func (m *StateMachine) within(p *part, s *server) bool {
 	if len(m.shares) == 0 || m.drawn(p, s) {
 		return true
 	}
@@ -28,7 +28,7 @@
 }
 
 // drawn reports whether a part is of those that the server's zone is to get.
-func (m *Module) drawn(p *part, s *server) bool {
+func (m *StateMachine) drawn(p *part, s *server) bool {
 	if s.Zone < 0 || s.Zone >= len(m.shares) || m.shares[s.Zone] >= 1 {
 		return true
 	}
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -10,13 +10,13 @@
 // shared is a rig with three shards, each held in two of three zones, and the zones' shares.
 func shared(t *testing.T, shares ...float64) *rig {
 	set := testSettings()
-	set.Cells, set.Span, set.Zone, set.MaxOpen = 3, 2, 0, 0
+	set.Cells, set.CellsPerShard, set.Zone, set.MaxOpen = 3, 2, 0, 0
 	r := newRig(t, set)
 	l := ListChange{Full: true}
 	for i := range 3 {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%d", i), Zone: i, Cell: i})
 	}
-	r.step(l, Limits{CopiesAllowed: true, FurtherRatio: 1, FurtherSpare: 1000, FallMultiple: 2, Shares: shares})
+	r.step(l, Limits{CopiesAllowed: true, RetryBudgetRatio: 1, RetryBudgetBase: 1000, ColdBudgetFactor: 2, Shares: shares})
 	return r
 }
 
--- a/decide/state.go
+++ b/decide/state.go
@@ -16,7 +16,7 @@
 )
 
 // Module decides for one aggregator. Make it with New.
-type Module struct {
+type StateMachine struct {
 	set      Settings
 	share    float64 // of what all aggregators share
 	rng      *rand.Rand
@@ -247,7 +247,7 @@
 	s.swapAt = now + sketchSwap
 }
 
-func (m *Module) release(a *attempt, o Outcome) {
+func (m *StateMachine) release(a *attempt, o Outcome) {
 	a.over, a.outcome = true, o
 	if a.c.parts--; a.c.parts == 0 {
 		a.s.calls--
@@ -257,7 +257,7 @@
 	}
 }
 
-func (m *Module) drop(p *part) {
+func (m *StateMachine) drop(p *part) {
 	if !slices.ContainsFunc(p.attempts, func(a *attempt) bool { return !a.over }) {
 		delete(m.parts, p.ID)
 	}
@@ -277,10 +277,10 @@
 }
 
 // limit takes other figures.
-func (m *Module) limit(e Limits) {
+func (m *StateMachine) limit(e Limits) {
 	m.set.MaxAttempts, m.set.CopiesAllowed = e.MaxAttempts, e.CopiesAllowed
-	m.set.FurtherRatio, m.set.FurtherSpare = e.FurtherRatio, e.FurtherSpare
-	m.set.FallMultiple = e.FallMultiple
+	m.set.RetryBudgetRatio, m.set.RetryBudgetBase = e.RetryBudgetRatio, e.RetryBudgetBase
+	m.set.ColdBudgetFactor = e.ColdBudgetFactor
 	m.set.Tenants = slices.Clone(m.set.Tenants) // the Settings are the caller's
 	for i, x := range e.Allowances[:min(len(e.Allowances), len(m.set.Tenants))] {
 		m.set.Tenants[i].Allowance = x
@@ -289,37 +289,37 @@
 }
 
 // New returns a Module that has seen nothing yet.
-func New(set Settings, seed uint64) *Module {
-	m := &Module{
+func New(set Settings, seed uint64) *StateMachine {
+	m := &StateMachine{
 		set: set, rng: rand.New(rand.NewPCG(seed, 0)), draws: rand.New(rand.NewPCG(seed, 1)),
 		servers: map[string]*server{}, holders: map[int][]*server{},
 		queries: map[int64]*query{}, ids: map[string]*query{}, parts: map[string]*part{}, askAt: -1,
-		share: 1 / float64(max(set.Aggregators, 1)), shortest: set.ShortestAim(),
+		share: 1 / float64(max(set.Aggregators, 1)), shortest: set.ShortestLatencyTarget(),
 		idleLimit: math.MaxInt64, lostFresh: lostExcess, tokens: 1,
 		usual: make([]usual, len(set.Classes)), tenants: make([]meter, len(set.Tenants)),
 	}
 	m.set.Classes = slices.Clone(set.Classes)
 	for i := range m.set.Classes {
 		c := &m.set.Classes[i]
-		if c.Need <= 0 {
-			c.Need = 1
+		if c.RequiredWeight <= 0 {
+			c.RequiredWeight = 1
 		}
-		if c.Floor <= 0 || c.Floor > c.Need {
-			c.Floor = c.Need
+		if c.MinWeight <= 0 || c.MinWeight > c.RequiredWeight {
+			c.MinWeight = c.RequiredWeight
 		}
-		m.topWorth = max(m.topWorth, c.Worth)
+		m.topWorth = max(m.topWorth, c.Value)
 	}
 	return m
 }
 
-func (m *Module) holdersOf(shard int) []*server {
+func (m *StateMachine) holdersOf(shard int) []*server {
 	if hs, ok := m.holders[shard]; ok {
 		return hs
 	}
 	var hs []*server
 	n := max(m.set.Cells, 1)
 	for _, s := range m.order {
-		if s.listed && (m.set.Cells <= 0 || ((s.Cell-shard)%n+n)%n < m.set.Span) {
+		if s.listed && (m.set.Cells <= 0 || ((s.Cell-shard)%n+n)%n < m.set.CellsPerShard) {
 			hs = append(hs, s)
 		}
 	}
@@ -327,7 +327,7 @@
 	return hs
 }
 
-func (m *Module) takePart(e PartArrived) {
+func (m *StateMachine) takePart(e PartArrived) {
 	m.countTaken()
 	q := m.queries[e.Number]
 	if q == nil || m.parts[e.ID] != nil {
@@ -338,14 +338,14 @@
 	m.parts[e.ID] = p
 }
 
-func (m *Module) countTaken() {
-	if m.set.FurtherWindow > 0 {
-		m.taken = append(since(m.taken, m.now-m.set.FurtherWindow+1), m.now)
+func (m *StateMachine) countTaken() {
+	if m.set.RetryBudgetWindow > 0 {
+		m.taken = append(since(m.taken, m.now-m.set.RetryBudgetWindow+1), m.now)
 	}
 }
 
 // shed cancels and forgets the parts of the present step.
-func (m *Module) shed(q *query) {
+func (m *StateMachine) shed(q *query) {
 	for _, p := range q.parts {
 		if !p.done {
 			p.done = true
@@ -356,7 +356,7 @@
 	}
 }
 
-func (m *Module) close(q *query) {
+func (m *StateMachine) close(q *query) {
 	q.over = true
 	m.shed(q)
 	delete(m.queries, q.Number)
@@ -365,7 +365,7 @@
 
 // latency is the mean of late answers over all servers. It goes by time, not by the order of the answers: the
 // last ones of a query are its slowest.
-func (m *Module) latency() float64 {
+func (m *StateMachine) latency() float64 {
 	if m.answered.start == 0 {
 		return 0
 	}
@@ -374,7 +374,7 @@
 
 // sample takes an answer's time, or the age of an attempt given up late: a lower bound, without which a slow
 // server would be known only by the answers that came.
-func (m *Module) sample(a *attempt, latency time.Duration) {
+func (m *StateMachine) sample(a *attempt, latency time.Duration) {
 	s := a.s
 	mean, depth := m.usualAt(s)
 	w := 1 - (1-latencyWeight)*m.freshness(s)
@@ -387,18 +387,18 @@
 // usualAt is what answers of the server took of late, and our calls out when they were sent. Old evidence
 // fades into what all servers took: where aggregators are many, one learns of a server too rarely to let
 // the last word stand until the next.
-func (m *Module) usualAt(s *server) (latency, depth float64) {
+func (m *StateMachine) usualAt(s *server) (latency, depth float64) {
 	k, all := m.freshness(s), m.latency()
 	return all + k*(s.latency-all), 1 + k*(s.depth-1)
 }
 
-func (m *Module) freshness(s *server) float64 {
+func (m *StateMachine) freshness(s *server) float64 {
 	return math.Exp(-(m.now - s.learnedAt).Seconds() / sketchSwap.Seconds())
 }
 
 // tally keeps the shares of attempts that broke or are out for too long on connections that had been idle and
 // on new ones: while idle ones are lost far more often, connections are dropped unseen.
-func (m *Module) tally(a *attempt, lost float64) {
+func (m *StateMachine) tally(a *attempt, lost float64) {
 	if a.tallied {
 		return
 	}
@@ -420,14 +420,14 @@
 // Not those that were in use a moment ago, however short the time after which it broke: one that breaks under
 // use tells of its server or of the way there. Taken for the measure, it had a connection closed before every
 // third send, and a new one opened, on which the first part waits for the handshake.
-func (m *Module) learnIdle(a *attempt) {
+func (m *StateMachine) learnIdle(a *attempt) {
 	limit := time.Duration(idleShare * float64(max(a.idle, m.shortest)))
 	m.idleLimit, m.idleLearned = min(m.idleLimit, limit), m.now
 	a.idle = 0
 }
 
 // chill notes that a server counts as cold from then on.
-func (m *Module) chill(s *server, since time.Duration) {
+func (m *StateMachine) chill(s *server, since time.Duration) {
 	s.cold, s.coldSince, s.coldTold, s.coldDraw = true, since, m.now, m.draws.Float64()
 }
 
@@ -452,28 +452,30 @@
 	}
 }
 
-func (m *Module) act(a Action) { m.actions = append(m.actions, a) }
+func (m *StateMachine) act(a Action) { m.actions = append(m.actions, a) }
 
 // note writes a rare line for those on call.
-func (m *Module) note(format string, args ...any) { m.act(Log{Line: fmt.Sprintf(format, args...)}) }
+func (m *StateMachine) note(format string, args ...any) {
+	m.act(Log{Line: fmt.Sprintf(format, args...)})
+}
 
 // askWithin is AskWithin, where it is set.
-func (m *Module) askWithin() time.Duration { return max(m.set.AskWithin, time.Second) }
+func (m *StateMachine) askWithin() time.Duration { return max(m.set.ListRefreshInterval, time.Second) }
 
 // askSpan is the span over which the calls of all aggregators are spread.
-func (m *Module) askSpan() time.Duration {
+func (m *StateMachine) askSpan() time.Duration {
 	all := time.Duration(max(m.set.Aggregators, 1)) * askSpread
 	return min(all, time.Duration(askShare*float64(m.askWithin())))
 }
 
 // coldShare is the share of its capacity that a cold server has now at the least.
-func (m *Module) coldShare(s *server) float64 {
-	return ColdShare(m.now-s.coldSince, m.set.Cold, m.set.ColdFrom)
+func (m *StateMachine) coldShare(s *server) float64 {
+	return WarmupShare(m.now-s.coldSince, m.set.WarmupTime, m.set.WarmupStartShare)
 }
 
 // ColdShare is the share of its capacity that a server has at an age: from what it has at its
 // start to all, once it is warm.
-func ColdShare(age, cold time.Duration, from float64) float64 {
+func WarmupShare(age, cold time.Duration, from float64) float64 {
 	return from + (1-from)*max(0, min(age, cold).Seconds())/cold.Seconds()
 }
 
@@ -484,7 +486,7 @@
 // ones answer for the capacity that they have by now: guards against a fleet of cold
 // servers that is sent next to nothing, until the last of them is warm, for want of a
 // warm one to judge by.
-func (m *Module) bears() float64 {
+func (m *StateMachine) bears() float64 {
 	// Looked at for each candidate, and over all servers: it changes slowly.
 	if !m.borne.known || m.now >= m.borne.at+bearsPace {
 		m.borne = borne{m.surveyLoad(), m.now, true}
@@ -503,7 +505,7 @@
 }
 
 // surveyLoad works out what bears returns.
-func (m *Module) surveyLoad() float64 {
+func (m *StateMachine) surveyLoad() float64 {
 	busiest, sum, n, cold := 0.0, 0.0, 0.0, 0.0
 	for _, w := range m.order {
 		switch r := w.answers.rate(m.now); {
@@ -524,7 +526,7 @@
 
 // remember keeps up what warm servers bear, once a second: when the last of them has
 // gone it is too late to look.
-func (m *Module) remember() {
+func (m *StateMachine) remember() {
 	if m.now >= m.boreAt {
 		m.boreAt = m.now + time.Second
 		m.bears()
@@ -535,7 +537,7 @@
 // forgive lets a doubt fade that no trial renews, once a second. Guards servers that are
 // met seldom: one failure makes the offset rule pass them over, so that nothing would
 // ever speak for them. A suspect is left to its trials.
-func (m *Module) forgive() {
+func (m *StateMachine) forgive() {
 	for _, s := range m.order {
 		if s.fault <= faultSuspect {
 			s.fault *= 1 - time.Second.Seconds()/restMost.Seconds()
@@ -568,15 +570,15 @@
 func (r *recent) most() float64 { return max(r.this, r.last) }
 
 // remark tells, once a part and kind, what kept it from being sent.
-func (m *Module) remark(p *part, what Shortage) {
-	if m.set.Remarks && !p.remarked[what] {
+func (m *StateMachine) remark(p *part, what Shortage) {
+	if m.set.ReportShortages && !p.remarked[what] {
 		p.remarked[what] = true
 		m.act(Remark{Part: p.ID, What: what})
 	}
 }
 
 // coldOnly tells whether cold servers without room are all that keep a part.
-func (m *Module) coldOnly(p *part) bool {
+func (m *StateMachine) coldOnly(p *part) bool {
 	cold := false
 	for _, s := range m.holdersOf(p.Shard) {
 		if s.State == Running && !s.barred {
@@ -590,7 +592,7 @@
 }
 
 // insert keeps order sorted by id.
-func (m *Module) insert(entry Server) *server {
+func (m *StateMachine) insert(entry Server) *server {
 	s := &server{Server: entry}
 	s.forget(m.now)
 	m.servers[entry.ID] = s
@@ -602,7 +604,7 @@
 }
 
 // dropUnlisted forgets servers that are off the list with nothing out, and who holds what.
-func (m *Module) dropUnlisted() {
+func (m *StateMachine) dropUnlisted() {
 	m.order = slices.DeleteFunc(m.order, func(s *server) bool {
 		gone := !s.listed && s.out == 0
 		if gone {
@@ -613,14 +615,14 @@
 	clear(m.holders)
 }
 
-func (m *Module) unlistAll() {
+func (m *StateMachine) unlistAll() {
 	for _, s := range m.order {
 		s.listed = false
 	}
 }
 
 // joinCall adds a part to this step's call to the server, or to a new one where that is full.
-func (m *Module) joinCall(s *server) *call {
+func (m *StateMachine) joinCall(s *server) *call {
 	c := m.calls[s]
 	if c == nil || c.room == 0 {
 		c = &call{room: max(m.set.PartsPerCall, 1)}
@@ -633,4 +635,4 @@
 }
 
 // tick is the least time between two steps.
-func (m *Module) tick() time.Duration { return max(m.set.Tick, time.Millisecond) }
+func (m *StateMachine) tick() time.Duration { return max(m.set.Tick, time.Millisecond) }
--- a/decide/symptom_test.go
+++ b/decide/symptom_test.go
@@ -251,7 +251,7 @@
 
 func TestListIsAskedForAgainWithGrowingPauses(t *testing.T) {
 	set := testSettings()
-	set.AskDiscovery, set.AskWithin = true, 10*time.Second
+	set.WatchDiscovery, set.ListRefreshInterval = true, 10*time.Second
 	r := newRig(t, set, "a")
 	watched := 0
 	for range 20 { // the first call is spread over a little time
@@ -284,7 +284,7 @@
 		t.Errorf("a query of an unknown class got %v, want a final answer", actions)
 	}
 	set := testSettings()
-	set.Cells, set.Span = 0, 0
+	set.Cells, set.CellsPerShard = 0, 0
 	r := newRig(t, set, "a")
 	_, parts := r.query(0, 1)
 	r.step(ListChange{Full: true})
@@ -424,7 +424,7 @@
 // Tenants over their share are refused before others when time is short.
 func TestOverShareTenantIsRefusedFirst(t *testing.T) {
 	set := testSettings()
-	set.Tenants, set.OverShareWorth = []Tenant{{Allowance: 100}, {Allowance: 0.2}}, 0.1
+	set.Tenants, set.OverAllowanceValue = []Tenant{{Allowance: 100}, {Allowance: 0.2}}, 0.1
 	r := newRig(t, set, "a", "b")
 	r.warm(20, 40*ms)
 	for _, s := range r.m.servers {
@@ -753,7 +753,7 @@
 // last one there is called off; a probe finds out when it is back.
 func TestSilentServersAreProbedNotTried(t *testing.T) {
 	set := testSettings()
-	set.ProbesAllowed, set.FurtherWindow = true, 0
+	set.ProbesAllowed, set.RetryBudgetWindow = true, 0
 	r := newRig(t, set, "a", "b")
 	r.warm(20, 40*ms)
 	toA, probes := 0, 0
@@ -918,7 +918,7 @@
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprintf("known before %v", known), func(t *testing.T) {
 			set := testSettings()
-			set.Fall, set.FallMultiple, set.ColdFrom = time.Second, 3, 0.32
+			set.ColdBudgetWindow, set.ColdBudgetFactor, set.WarmupStartShare = time.Second, 3, 0.32
 			r := newRig(t, set, "a", "b")
 			if known {
 				r.warm(400, 5*ms) // some 18 a second, 9 for each
@@ -992,8 +992,8 @@
 // then comes after the aim.
 func TestSecondStepGetsTheTimeOfSlowAnswersOfLate(t *testing.T) {
 	set := testSettings()
-	set.Classes = append(set.Classes, Class{Name: "report", Semantics: Repeatable, Aim: time.Second,
-		Deadline: 4 * time.Second, Worth: 1, Floor: 0.5, ShortWorth: 0.9, FollowParts: 2})
+	set.Classes = append(set.Classes, Class{Name: "report", Idempotency: Idempotent, LatencyTarget: time.Second,
+		Deadline: 4 * time.Second, Value: 1, MinWeight: 0.5, PartialValue: 0.9, SecondStepParts: 2})
 	r := newRig(t, set, "a")
 	for range 200 { // one part in five finds a server that is swamped
 		r.warm(4, 20*ms)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -555,7 +555,7 @@
 	c.shed(q)
 	if how != tracing.Deserted {
 		served := how == tracing.Served || how == tracing.Short
-		c.watch.Ended(c.now, served && c.now <= q.end-q.Left+q.class.Aim)
+		c.watch.Ended(c.now, served && c.now <= q.end-q.Left+q.class.LatencyTarget)
 	}
 	if q.trace != nil {
 		c.traces.End(c.now, q.trace, how, uint8(why))
@@ -599,7 +599,7 @@
 	a.p.q.trace.AttemptOver(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
 	a.over, a.neverRan = true, o.NeverRan()
 	if c.observer != nil {
-		c.observer.Observe(c.members[a.Node.ID], o, c.now-a.sent, a.p.q.class.Aim)
+		c.observer.Observe(c.members[a.Node.ID], o, c.now-a.sent, a.p.q.class.LatencyTarget)
 	}
 	c.saw(outcomes[o], a.WireID, a.Node.ID)
 	a.p.out--
@@ -652,7 +652,7 @@
 	m, listed := c.members[a.Node.ID]
 	f := gate.Attempt{Now: now, RequestOver: q.over, StepOver: a.p.second != q.second, Stop: a.stop, Number: a.n,
 		Listed: a.begun || listed, Withheld: c.barred[a.Node.ID], HoldsShard: a.begun || c.holds(m, a.p.shard),
-		Effect: q.class.Semantics, RepeatWindow: q.class.MemorySpan}
+		Effect: q.class.Idempotency, RepeatWindow: q.class.DedupWindow}
 	f.DrainedAt, f.IsDraining = c.told[a.Node.ID]
 	// Attempts are in the order in which they were sent: the first that may have run counts.
 	for _, other := range a.p.attempts {
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -112,9 +112,9 @@
 func play(t *testing.T, steps ...[]decide.Action) *stage {
 	t.Helper()
 	s := &stage{script: script{steps: steps}}
-	set := settings.Settings{Shards: 8, Module: decide.Settings{Tick: tick, Cells: 2, Span: 1, PartsPerCall: 8, MaxOpen: 10,
-		MaxAttempts: 2, Classes: []decide.Class{{Name: "a", Need: 1, Floor: 1}, {Name: "b", Need: 1, Floor: 0.5, FollowParts: 1},
-			{Name: "c", Semantics: decide.Once}}}}
+	set := settings.Settings{Shards: 8, Module: decide.Settings{Tick: tick, Cells: 2, CellsPerShard: 1, PartsPerCall: 8, MaxOpen: 10,
+		MaxAttempts: 2, Classes: []decide.Class{{Name: "a", RequiredWeight: 1, MinWeight: 1}, {Name: "b", RequiredWeight: 1, MinWeight: 0.5, SecondStepParts: 1},
+			{Name: "c", Idempotency: decide.NonIdempotent}}}}
 	s.Core = New(set, &s.script, func() time.Duration { return s.now }, s)
 	s.Use(s, s)
 	s.Post(func() {
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -10,16 +10,16 @@
 
 // Limits are the settings that may change while the mixer serves.
 type Limits struct {
-	Version      uint64          // version of the settings, for traces
-	MaxAttempts  int             // attempts per part; 0: no limit
-	Copies       bool            // a part may have two attempts out at once
-	FurtherRatio float64         // further attempts allowed per query or part
-	FurtherSpare float64         // further attempts allowed on top of that
-	ColdShare    float64         // share of the configured budget for cold nodes that is allowed
-	MaxOpen      int             // open queries and parts; 0: no limit
-	Allowances   []float64       // by tenant, queries a second
-	Storm        storm.Shares    // at which a retry storm is reported
-	Barred       map[string]bool // nodes to which nothing new is sent
+	Version          uint64          // version of the settings, for traces
+	MaxAttempts      int             // attempts per part; 0: no limit
+	Copies           bool            // a part may have two attempts out at once
+	RetryBudgetRatio float64         // further attempts allowed per query or part
+	RetryBudgetBase  float64         // further attempts allowed on top of that
+	ColdShare        float64         // share of the configured budget for cold nodes that is allowed
+	MaxOpen          int             // open queries and parts; 0: no limit
+	Allowances       []float64       // by tenant, queries a second
+	Storm            storm.Shares    // at which a retry storm is reported
+	Barred           map[string]bool // nodes to which nothing new is sent
 	// Shares holds, by zone, the share that its nodes get of the parts that they would get
 	// without it; empty: all of them.
 	Shares []float64
@@ -35,8 +35,8 @@
 func (c *Core) Limit(l Limits) {
 	c.limits = l
 	c.watch.Set(l.Storm)
-	c.events = append(c.events, decide.Limits{MaxAttempts: l.MaxAttempts, CopiesAllowed: l.Copies, FurtherRatio: l.FurtherRatio,
-		FurtherSpare: l.FurtherSpare, FallMultiple: l.ColdShare * c.set.Module.FallMultiple, Allowances: l.Allowances, Shares: l.Shares})
+	c.events = append(c.events, decide.Limits{MaxAttempts: l.MaxAttempts, CopiesAllowed: l.Copies, RetryBudgetRatio: l.RetryBudgetRatio,
+		RetryBudgetBase: l.RetryBudgetBase, ColdBudgetFactor: l.ColdShare * c.set.Module.ColdBudgetFactor, Allowances: l.Allowances, Shares: l.Shares})
 	old := c.barred
 	c.bar()
 	if list := c.changed(old, nil); len(list) > 0 {
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -144,7 +144,7 @@
 	}
 	a.Node.Addr, a.begun = m.Addr, true
 	c.saw(choices[s.Why], q.WireID, m.ID)
-	if m.Started > 0 && c.now < m.Started+c.set.Module.Cold {
+	if m.Started > 0 && c.now < m.Started+c.set.Module.WarmupTime {
 		c.counts.Add(counts.ToCold, 1)
 	}
 	if q.trace != nil {
@@ -171,7 +171,7 @@
 // holds reports whether the cell of a node holds a shard.
 func (c *Core) holds(m ListedNode, shard int) bool {
 	n := c.set.Module.Cells
-	return n <= 0 || ((m.Cell-shard)%n+n)%n < c.set.Module.Span
+	return n <= 0 || ((m.Cell-shard)%n+n)%n < c.set.Module.CellsPerShard
 }
 
 // cancel carries out a Cancel action. It does nothing if the attempt has ended.
@@ -195,7 +195,7 @@
 			all = false
 		}
 	}
-	need, floor := q.class.Need, q.class.Floor
+	need, floor := q.class.RequiredWeight, q.class.MinWeight
 	if need <= 0 {
 		need = 1
 	}
@@ -220,7 +220,7 @@
 		c.guard(q, "honest", "answer marked whole that is not")
 		whole = false
 	}
-	if q.class.FollowParts > 0 && !q.second {
+	if q.class.SecondStepParts > 0 && !q.second {
 		c.follow(q, whole)
 		return
 	}
@@ -252,7 +252,7 @@
 	slices.SortStableFunc(in, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.shard, b.shard))
 	})
-	in = in[:min(len(in), q.class.FollowParts)]
+	in = in[:min(len(in), q.class.SecondStepParts)]
 	first := len(q.parts)
 	c.shed(q)
 	q.second, q.whole = true, whole
@@ -266,7 +266,7 @@
 
 // refuse ends a query and tells the client that a retry is safe.
 func (c *Core) refuse(q *query, after time.Duration, why decide.Cause) {
-	if q.class.Semantics != decide.Repeatable && slices.ContainsFunc(q.parts, (*part).mayHaveRun) {
+	if q.class.Idempotency != decide.Idempotent && slices.ContainsFunc(q.parts, (*part).mayHaveRun) {
 		// A refusal invites a retry, and what may have run must not run twice.
 		c.guard(q, "refusal", "a part may have run")
 		c.fail(q, why)
--- a/internal/broker/storm_test.go
+++ b/internal/broker/storm_test.go
@@ -39,7 +39,7 @@
 func TestStormsAreSeen(t *testing.T) {
 	s := play(t)
 	s.mod = &refuser{until: time.Hour + 20*time.Second}
-	s.set.Module.Classes[0].Aim = time.Second
+	s.set.Module.Classes[0].LatencyTarget = time.Second
 	s.set.Module.Cells = 0
 	ask := func(n, try int) {
 		s.Post(func() {
--- a/internal/broker/windows_test.go
+++ b/internal/broker/windows_test.go
@@ -15,9 +15,9 @@
 	const never = -1
 	always := 700 * time.Millisecond // no limit but the query's deadline
 	classes := []decide.Class{
-		{Name: "repeatable", Need: 1, Floor: 1},
-		{Name: "keyed", Need: 1, Floor: 1, Semantics: decide.Keyed, MemorySpan: span},
-		{Name: "once", Need: 1, Floor: 1, Semantics: decide.Once}}
+		{Name: "repeatable", RequiredWeight: 1, MinWeight: 1},
+		{Name: "keyed", RequiredWeight: 1, MinWeight: 1, Idempotency: decide.Deduplicated, DedupWindow: span},
+		{Name: "once", RequiredWeight: 1, MinWeight: 1, Idempotency: decide.NonIdempotent}}
 	tests := []struct {
 		name  string
 		first decide.Outcome
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -28,7 +28,7 @@
 // Base is what a mixer's own settings say of what a document may change.
 func Base(set settings.Settings) version.Rules {
 	m := set.Module
-	r := version.Rules{Attempts: m.MaxAttempts, Copies: m.CopiesAllowed, FurtherRatio: m.FurtherRatio, FurtherSpare: m.FurtherSpare, ColdShare: 1,
+	r := version.Rules{Attempts: m.MaxAttempts, Copies: m.CopiesAllowed, RetryBudgetRatio: m.RetryBudgetRatio, RetryBudgetBase: m.RetryBudgetBase, ColdShare: 1,
 		MaxOpen: m.MaxOpen, Allowances: map[string]float64{}, StormRetries: storm.Usual.Retries, StormGood: storm.Usual.Good}
 	if r.Attempts <= 0 {
 		r.Attempts = version.Unlimited
@@ -61,7 +61,7 @@
 	if err := json.Unmarshal([]byte(text), &keys); err != nil {
 		return d, fmt.Errorf("the document is no object: %w", err)
 	}
-	into := map[string]any{"attempts": &d.Attempts, "copies": &d.Copies, "further_ratio": &d.FurtherRatio, "further_spare": &d.FurtherSpare,
+	into := map[string]any{"attempts": &d.Attempts, "copies": &d.Copies, "further_ratio": &d.RetryBudgetRatio, "further_spare": &d.RetryBudgetBase,
 		"cold_share": &d.ColdShare, "max_open": &d.MaxOpen, "allowances": &d.Allowances, "nodes": &d.Nodes, "zones_left": &d.ZonesLeft, "hold_list": &d.HoldList,
 		"storm_retries": &d.StormRetries, "storm_good": &d.StormGood}
 	for _, key := range unknown {
@@ -97,7 +97,7 @@
 		return d, errors.New("copies: the settings do not allow any")
 	}
 	list := []error{whole("attempts", d.Attempts, version.MinAttempts, base.Attempts), whole("max_open", d.MaxOpen, 1, base.MaxOpen),
-		half("further_ratio", d.FurtherRatio, base.FurtherRatio), half("further_spare", d.FurtherSpare, base.FurtherSpare),
+		half("further_ratio", d.RetryBudgetRatio, base.RetryBudgetRatio), half("further_spare", d.RetryBudgetBase, base.RetryBudgetBase),
 		half("cold_share", d.ColdShare, base.ColdShare), between("storm_retries", d.StormRetries, storm.LeastRetries, storm.MostRetries),
 		between("storm_good", d.StormGood, storm.LeastGood, storm.MostGood)}
 	for _, tenant := range slices.Sorted(maps.Keys(d.Allowances)) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -164,7 +164,7 @@
 	members := make([]broker.ListedNode, 0, len(l.Members))
 	for _, e := range l.Members {
 		m := broker.ListedNode{Addr: e.HostPort, Server: decide.Server{ID: e.ID, Zone: c.zoneIndex(e.Locality), Cell: e.Cell,
-			State: statesByPhase[e.Phase], Hint: e.Size, Started: c.startTimes.startedAt(e)}, Told: e.Told}
+			State: statesByPhase[e.Phase], CapacityHint: e.Size, Started: c.startTimes.startedAt(e)}, Told: e.Told}
 		members = append(members, m)
 	}
 	c.core.UpdateNodeList(broker.List{Full: l.Complete, Version: l.Revision, Told: l.Told, Members: members})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,8 +38,8 @@
 	var c coreRecorder
 	New(&c, nil, "", []string{"a", "b"}, zerolog.Nop()).FilterAndPublish(l)
 	want := []broker.ListedNode{
-		{Addr: "10.1.0.18:8000", Server: decide.Server{ID: "s-1", Zone: 1, Cell: 3, State: decide.Stopping, Hint: 1.5}},
-		{Addr: "10.1.0.19:8000", Server: decide.Server{ID: "s-2", Zone: 2, Cell: 4, Hint: 1, Started: time.Second}},
+		{Addr: "10.1.0.18:8000", Server: decide.Server{ID: "s-1", Zone: 1, Cell: 3, State: decide.Stopping, CapacityHint: 1.5}},
+		{Addr: "10.1.0.19:8000", Server: decide.Server{ID: "s-2", Zone: 2, Cell: 4, CapacityHint: 1, Started: time.Second}},
 	}
 	if diff := cmp.Diff(want, c.list); diff != "" || !c.full {
 		t.Errorf("full %v: %s", c.full, diff)
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -259,8 +259,8 @@
 		starts[m.Zone][m.ID] = m.Started
 		list[m.Zone].Running++
 		share := 1.0
-		if cold := s.c.Zone.Cold; m.Started > 0 && now < m.Started+cold {
-			share = decide.ColdShare(now-m.Started, cold, s.c.Zone.ColdFrom)
+		if cold := s.c.Zone.WarmupTime; m.Started > 0 && now < m.Started+cold {
+			share = decide.WarmupShare(now-m.Started, cold, s.c.Zone.WarmupStartShare)
 		}
 		warm[m.Zone] += share
 	})
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -45,7 +45,7 @@
 	zones := []string{"a", "b"}
 	x.s = survey.New(x, x, x, "n0", "a", zones, 5*time.Second, zerolog.Nop())
 	x.st = New(x, x, x, survey.Checks{Survey: x.s, Nodes: x, Aim: time.Second}, x.s,
-		Config{Zones: zones, Zone: zone.Config{Cold: 5 * time.Second, ColdFrom: 0.3, Manual: manual}, Seed: 1}, zerolog.Nop())
+		Config{Zones: zones, Zone: zone.Config{WarmupTime: 5 * time.Second, WarmupStartShare: 0.3, Manual: manual}, Seed: 1}, zerolog.Nop())
 	x.s.Start()
 	x.st.Start()
 	return x
--- a/internal/fleet/version/rules.go
+++ b/internal/fleet/version/rules.go
@@ -19,35 +19,35 @@
 // apply. Budgets lie between half of the mixer's own value and the whole: the half is what
 // a mixer uses while it can't know which version is in force.
 type Document struct {
-	Attempts     *int               `json:"attempts,omitempty"`      // per part, at least 2
-	Copies       *bool              `json:"copies,omitempty"`        // whether a late part may be hedged with a second attempt
-	FurtherRatio *float64           `json:"further_ratio,omitempty"` // retry budget: further attempts per accepted query or part
-	FurtherSpare *float64           `json:"further_spare,omitempty"` // retry budget: further attempts on top of the ratio
-	ColdShare    *float64           `json:"cold_share,omitempty"`    // share of the budget for cold nodes, 0.5 to 1
-	MaxOpen      *int               `json:"max_open,omitempty"`      // open queries and parts per mixer
-	Allowances   map[string]float64 `json:"allowances,omitempty"`    // queries per second of the whole fleet, by tenant
-	Nodes        map[string]bool    `json:"nodes,omitempty"`         // whether a node may be used, by node ID
-	ZonesLeft    []string           `json:"zones_left,omitempty"`    // zones that get no traffic
-	HoldList     *bool              `json:"hold_list,omitempty"`     // whether nodes that discovery merely omits are kept
-	StormRetries *float64           `json:"storm_retries,omitempty"` // share of retries among queries from which a retry storm is assumed
-	StormGood    *float64           `json:"storm_good,omitempty"`    // and only while less than this share of ended queries was in time
+	Attempts         *int               `json:"attempts,omitempty"`      // per part, at least 2
+	Copies           *bool              `json:"copies,omitempty"`        // whether a late part may be hedged with a second attempt
+	RetryBudgetRatio *float64           `json:"further_ratio,omitempty"` // retry budget: further attempts per accepted query or part
+	RetryBudgetBase  *float64           `json:"further_spare,omitempty"` // retry budget: further attempts on top of the ratio
+	ColdShare        *float64           `json:"cold_share,omitempty"`    // share of the budget for cold nodes, 0.5 to 1
+	MaxOpen          *int               `json:"max_open,omitempty"`      // open queries and parts per mixer
+	Allowances       map[string]float64 `json:"allowances,omitempty"`    // queries per second of the whole fleet, by tenant
+	Nodes            map[string]bool    `json:"nodes,omitempty"`         // whether a node may be used, by node ID
+	ZonesLeft        []string           `json:"zones_left,omitempty"`    // zones that get no traffic
+	HoldList         *bool              `json:"hold_list,omitempty"`     // whether nodes that discovery merely omits are kept
+	StormRetries     *float64           `json:"storm_retries,omitempty"` // share of retries among queries from which a retry storm is assumed
+	StormGood        *float64           `json:"storm_good,omitempty"`    // and only while less than this share of ended queries was in time
 }
 
 // Rules are the effective rules of a mixer: its own settings overlaid with a document. The
 // fields have the units of those of Document.
 type Rules struct {
-	Attempts     int
-	Copies       bool
-	FurtherRatio float64
-	FurtherSpare float64
-	ColdShare    float64
-	MaxOpen      int
-	Allowances   map[string]float64
-	Barred       map[string]bool // whether a node must not be used, for each node ID that a document names
-	Left         map[string]bool // zones that get no traffic
-	HoldList     bool
-	StormRetries float64
-	StormGood    float64
+	Attempts         int
+	Copies           bool
+	RetryBudgetRatio float64
+	RetryBudgetBase  float64
+	ColdShare        float64
+	MaxOpen          int
+	Allowances       map[string]float64
+	Barred           map[string]bool // whether a node must not be used, for each node ID that a document names
+	Left             map[string]bool // zones that get no traffic
+	HoldList         bool
+	StormRetries     float64
+	StormGood        float64
 }
 
 // MinBudgetShare is the share of each budget that a mixer without a lease uses, and the
@@ -68,8 +68,8 @@
 	r.Allowances, r.Barred, r.Left = maps.Clone(base.Allowances), map[string]bool{}, map[string]bool{}
 	override(&r.Attempts, d.Attempts)
 	override(&r.Copies, d.Copies)
-	override(&r.FurtherRatio, d.FurtherRatio)
-	override(&r.FurtherSpare, d.FurtherSpare)
+	override(&r.RetryBudgetRatio, d.RetryBudgetRatio)
+	override(&r.RetryBudgetBase, d.RetryBudgetBase)
 	override(&r.ColdShare, d.ColdShare)
 	override(&r.MaxOpen, d.MaxOpen)
 	override(&r.HoldList, d.HoldList)
@@ -97,8 +97,8 @@
 
 // MostRestrictive combines two sets of rules into the loosest one that exceeds neither.
 func MostRestrictive(a, b Rules) Rules {
-	return Rules{Attempts: min(a.Attempts, b.Attempts), Copies: a.Copies && b.Copies, FurtherRatio: min(a.FurtherRatio, b.FurtherRatio),
-		FurtherSpare: min(a.FurtherSpare, b.FurtherSpare), ColdShare: min(a.ColdShare, b.ColdShare), MaxOpen: min(a.MaxOpen, b.MaxOpen),
+	return Rules{Attempts: min(a.Attempts, b.Attempts), Copies: a.Copies && b.Copies, RetryBudgetRatio: min(a.RetryBudgetRatio, b.RetryBudgetRatio),
+		RetryBudgetBase: min(a.RetryBudgetBase, b.RetryBudgetBase), ColdShare: min(a.ColdShare, b.ColdShare), MaxOpen: min(a.MaxOpen, b.MaxOpen),
 		Allowances: mergeMaps(a.Allowances, b.Allowances, func(x, y float64) float64 { return min(x, y) }),
 		Barred:     mergeMaps(a.Barred, b.Barred, or), Left: mergeMaps(a.Left, b.Left, or), HoldList: a.HoldList || b.HoldList,
 		StormRetries: min(a.StormRetries, b.StormRetries), StormGood: max(a.StormGood, b.StormGood)}
@@ -124,8 +124,8 @@
 // rules that it knows and of all that a document may set. Nodes that documents name are not
 // used, and zones that were left stay left.
 func FallbackRules(base, known Rules) Rules {
-	r := Rules{Attempts: min(base.Attempts, known.Attempts, MinAttempts), FurtherRatio: min(known.FurtherRatio, base.FurtherRatio*MinBudgetShare),
-		FurtherSpare: min(known.FurtherSpare, base.FurtherSpare*MinBudgetShare), ColdShare: min(known.ColdShare, base.ColdShare*MinBudgetShare),
+	r := Rules{Attempts: min(base.Attempts, known.Attempts, MinAttempts), RetryBudgetRatio: min(known.RetryBudgetRatio, base.RetryBudgetRatio*MinBudgetShare),
+		RetryBudgetBase: min(known.RetryBudgetBase, base.RetryBudgetBase*MinBudgetShare), ColdShare: min(known.ColdShare, base.ColdShare*MinBudgetShare),
 		MaxOpen: known.MaxOpen, Allowances: maps.Clone(known.Allowances), Barred: map[string]bool{}, Left: maps.Clone(known.Left), HoldList: known.HoldList,
 		StormRetries: known.StormRetries, StormGood: known.StormGood}
 	for tenant, x := range base.Allowances {
@@ -145,8 +145,8 @@
 	for _, k := range []struct {
 		key    string
 		beyond bool
-	}{{"attempts", a.Attempts > b.Attempts}, {"copies", a.Copies && !b.Copies}, {"further_ratio", a.FurtherRatio > b.FurtherRatio},
-		{"further_spare", a.FurtherSpare > b.FurtherSpare}, {"cold_share", a.ColdShare > b.ColdShare}} {
+	}{{"attempts", a.Attempts > b.Attempts}, {"copies", a.Copies && !b.Copies}, {"further_ratio", a.RetryBudgetRatio > b.RetryBudgetRatio},
+		{"further_spare", a.RetryBudgetBase > b.RetryBudgetBase}, {"cold_share", a.ColdShare > b.ColdShare}} {
 		if k.beyond {
 			keys = append(keys, k.key)
 		}
--- a/internal/fleet/version/rules_test.go
+++ b/internal/fleet/version/rules_test.go
@@ -15,7 +15,7 @@
 	"kiteloft/internal/standin/pure"
 )
 
-var base = Rules{Attempts: 4, Copies: true, FurtherRatio: 0.4, FurtherSpare: 10, ColdShare: 1, MaxOpen: 100, Allowances: map[string]float64{"a": 10, "b": 4}}
+var base = Rules{Attempts: 4, Copies: true, RetryBudgetRatio: 0.4, RetryBudgetBase: 10, ColdShare: 1, MaxOpen: 100, Allowances: map[string]float64{"a": 10, "b": 4}}
 
 func ptr[T any](x T) *T { return &x }
 
@@ -41,7 +41,7 @@
 		}
 		return ptr(rapid.Float64Range(most*MinBudgetShare, most).Draw(t, name+key))
 	}
-	d := Document{FurtherRatio: half("ratio", 0.4), FurtherSpare: half("spare", 10), ColdShare: half("cold", 1), Nodes: map[string]bool{}}
+	d := Document{RetryBudgetRatio: half("ratio", 0.4), RetryBudgetBase: half("spare", 10), ColdShare: half("cold", 1), Nodes: map[string]bool{}}
 	if maybe("attempts?") {
 		d.Attempts = ptr(rapid.IntRange(MinAttempts, 4).Draw(t, name+"attempts"))
 	}
--- a/internal/fleet/zone/cases_test.go
+++ b/internal/fleet/zone/cases_test.go
@@ -118,7 +118,7 @@
 				shortest = took
 			}
 			longest = max(longest, took)
-			if w.served(); took > 13*testConfig.Cold/10 {
+			if w.served(); took > 13*testConfig.WarmupTime/10 {
 				t.Errorf("seed %d: back after %v\n%s", seed, w.now-back, w.told())
 			}
 			w.run(5 * time.Second)
--- a/internal/fleet/zone/plan.go
+++ b/internal/fleet/zone/plan.go
@@ -104,8 +104,8 @@
 
 // Config is what the operators set.
 type Config struct {
-	Cold     time.Duration // for which nodes that start are cold
-	ColdFrom float64       // share of what they can do, at their start
+	WarmupTime       time.Duration // for which nodes that start are cold
+	WarmupStartShare float64       // share of what they can do, at their start
 	// Manual has operators alone leave and return to zones; the steps of a return and its
 	// setbacks are the machine's all the same.
 	Manual bool
@@ -117,7 +117,7 @@
 	if p.Warm >= 1 {
 		return warmStep
 	}
-	return max(warmStep, c.Cold/time.Duration(2*(len(steps)-1)))
+	return max(warmStep, c.WarmupTime/time.Duration(2*(len(steps)-1)))
 }
 
 // Keeper decides, at whoever leads. A new leader begins anew: what was to wait waits again.
--- a/internal/fleet/zone/world_test.go
+++ b/internal/fleet/zone/world_test.go
@@ -80,7 +80,7 @@
 	unheard    map[string]uint32
 }
 
-var testConfig = Config{Cold: 12 * time.Second, ColdFrom: 0.4}
+var testConfig = Config{WarmupTime: 12 * time.Second, WarmupStartShare: 0.4}
 
 func newWorld(t testing.TB, seed uint64, mixers int, names ...string) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, names: names, rooms: map[string]*room{}, cut: map[[2]string]float64{}, shared: 1,
@@ -117,10 +117,10 @@
 
 // warm is the share of its capacity that a room has.
 func (w *world) warm(r *room) float64 {
-	if r.cold < 0 || w.now-r.cold >= testConfig.Cold {
+	if r.cold < 0 || w.now-r.cold >= testConfig.WarmupTime {
 		return 1
 	}
-	return testConfig.ColdFrom + (1-testConfig.ColdFrom)*(w.now-r.cold).Seconds()/testConfig.Cold.Seconds()
+	return testConfig.WarmupStartShare + (1-testConfig.WarmupStartShare)*(w.now-r.cold).Seconds()/testConfig.WarmupTime.Seconds()
 }
 
 // step sends what all mixers send within a step, and says what became of it.
@@ -143,7 +143,7 @@
 			plan = Plan{Zones: map[string]Stand{}}
 			for _, z := range w.names {
 				r := w.rooms[z]
-				if w.now-r.cold < testConfig.Cold && r.cold >= 0 {
+				if w.now-r.cold < testConfig.WarmupTime && r.cold >= 0 {
 					plan.Zones[z] = Stand{Phase: Returning, Share: min(1, 2*w.warm(r)*0.4)}
 				}
 				if r.dark || r.down {
--- a/internal/front/platform/pipeline.go
+++ b/internal/front/platform/pipeline.go
@@ -12,7 +12,7 @@
 	headSize   = 512 // bytes that a request without its body counts for
 	// lateMost is how long after its time a request may be answered: half a second later it
 	// counts as lost (the operators' terms), and we may be held up.
-	lateMost = 500*time.Millisecond - gate.HeldUp - 50*time.Millisecond
+	lateMost = 500*time.Millisecond - gate.MaxProcessPause - 50*time.Millisecond
 )
 
 // pipeline holds requests that were read behind the one that is being answered.
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -126,7 +126,7 @@
 	switch {
 	case key != "" && (!Word(key) || strings.ContainsAny(key, ",=+")):
 		return errors.New("the idempotency key is no word")
-	case c.Semantics != decide.Keyed:
+	case c.Idempotency != decide.Deduplicated:
 		return nil
 	case key == "":
 		return errors.New("the idempotency key is missing")
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -15,7 +15,7 @@
 const (
 	// HeldUp is how long the process may be stalled between reading its clock and writing,
 	// by the operators' acceptance terms. A write may be that much later than the clock said.
-	HeldUp = decide.HeldUp
+	MaxProcessPause = decide.MaxProcessPause
 	// DrainMargin is the last part of the drain grace, in which nothing is sent any more. It
 	// allows for a stalled write and for a notice of the drain that was under way for a while.
 	DrainMargin = decide.DrainMargin
@@ -72,19 +72,19 @@
 // Attempt describes an attempt at the instant in which its first byte would be written.
 type Attempt struct {
 	Now          time.Duration
-	RequestOver  bool             // the request has its final answer, or its client has left
-	StepOver     bool             // a later step of the request has begun
-	Stop         time.Duration    // when it times out
-	Number       int              // earlier attempts of the part
-	Listed       bool             // the server is on the list
-	Withheld     bool             // the server is kept out of use
-	HoldsShard   bool             // the server holds the part's shard
-	IsDraining   bool             // the server drains, or has left the list
-	DrainedAt    time.Duration    // if IsDraining: when the notice of that came
-	Effect       decide.Semantics // whether the request may run more than once
-	MayHaveRun   bool             // an earlier attempt of the part may have run, or may yet
-	FirstRun     time.Duration    // if MayHaveRun: when the first such attempt was sent
-	RepeatWindow time.Duration    // how long servers drop a repeat of the same key
+	RequestOver  bool               // the request has its final answer, or its client has left
+	StepOver     bool               // a later step of the request has begun
+	Stop         time.Duration      // when it times out
+	Number       int                // earlier attempts of the part
+	Listed       bool               // the server is on the list
+	Withheld     bool               // the server is kept out of use
+	HoldsShard   bool               // the server holds the part's shard
+	IsDraining   bool               // the server drains, or has left the list
+	DrainedAt    time.Duration      // if IsDraining: when the notice of that came
+	Effect       decide.Idempotency // whether the request may run more than once
+	MayHaveRun   bool               // an earlier attempt of the part may have run, or may yet
+	FirstRun     time.Duration      // if MayHaveRun: when the first such attempt was sent
+	RepeatWindow time.Duration      // how long servers drop a repeat of the same key
 }
 
 // Attempt checks whether an attempt may be written.
@@ -113,9 +113,9 @@
 // repeat checks whether an attempt may be made, given that earlier ones may have run.
 func repeat(a Attempt) Verdict {
 	switch {
-	case !a.MayHaveRun || a.Effect == decide.Repeatable:
+	case !a.MayHaveRun || a.Effect == decide.Idempotent:
 		return Allowed
-	case a.Effect == decide.Keyed && a.Now < a.FirstRun+a.RepeatWindow:
+	case a.Effect == decide.Deduplicated && a.Now < a.FirstRun+a.RepeatWindow:
 		return Allowed
 	}
 	return UnsafeRepeat
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -36,15 +36,15 @@
 		{"to a server without the shard", func(a *Attempt) { a.HoldsShard = false }, WrongShard},
 		{"to a server that drains", func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-time.Second }, Allowed},
 		{"to one whose grace would end while we are held up",
-			func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-grace+HeldUp }, Draining},
+			func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-grace+MaxProcessPause }, Draining},
 		{"just before that", func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-grace+DrainMargin }, Allowed},
 		{"again, what may be repeated", func(a *Attempt) { a.MayHaveRun, a.FirstRun = true, now-time.Minute }, Allowed},
 		{"again, within the window",
-			func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now-window+1, decide.Keyed }, Allowed},
+			func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now-window+1, decide.Deduplicated }, Allowed},
 		{"again, after the window",
-			func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now-window, decide.Keyed }, UnsafeRepeat},
-		{"again, what may run once", func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now, decide.Once }, UnsafeRepeat},
-		{"again, what never ran", func(a *Attempt) { a.Effect = decide.Once }, Allowed},
+			func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now-window, decide.Deduplicated }, UnsafeRepeat},
+		{"again, what may run once", func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now, decide.NonIdempotent }, UnsafeRepeat},
+		{"again, what never ran", func(a *Attempt) { a.Effect = decide.NonIdempotent }, Allowed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/otlp/exporter_test.go
+++ b/internal/otlp/exporter_test.go
@@ -239,7 +239,7 @@
 	}
 	defer c.Close()
 	const perSecond, seconds, memory = 500, 60, 1 << 20
-	r := tracing.New(tracing.Config{Memory: memory, Spans: 100, Seed: 3, Classes: []tracing.Class{{Name: "lookup", Aim: time.Second, Deadline: 4 * time.Second}}})
+	r := tracing.New(tracing.Config{Memory: memory, Spans: 100, Seed: 3, Classes: []tracing.Class{{Name: "lookup", LatencyTarget: time.Second, Deadline: 4 * time.Second}}})
 	e := otlp.NewExporter(source, nil, otlp.NewSender(c.URL()), zerolog.Nop())
 	lost := 0
 	take := func(now time.Duration) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,14 +53,14 @@
 	Zone      int  `json:"zone"`
 	Tick      span `json:"tick"`
 	Classes   []struct {
-		Name       string  `json:"name"`
-		Semantics  string  `json:"semantics"`
-		Aim        span    `json:"aim"`
-		AimStretch float64 `json:"aim_stretch"`
-		Deadline   span    `json:"deadline"`
-		MemorySpan span    `json:"memory_span"`
-		Worth      float64 `json:"worth"`
-		LateValue  float64 `json:"late_value"`
+		Name                 string  `json:"name"`
+		Idempotency          string  `json:"semantics"`
+		LatencyTarget        span    `json:"aim"`
+		LatencyTargetPerWork float64 `json:"aim_stretch"`
+		Deadline             span    `json:"deadline"`
+		DedupWindow          span    `json:"memory_span"`
+		Value                float64 `json:"worth"`
+		LateValue            float64 `json:"late_value"`
 	} `json:"classes"`
 	Tenants []struct {
 		Name      string  `json:"name"`
@@ -69,14 +69,14 @@
 	Discovery string   `json:"discovery"`
 	Zones     []string `json:"failure_domains"`
 	Info      struct {
-		PerCall    int       `json:"per_call"`
-		Positions  int       `json:"positions"`
-		Ranges     int       `json:"ranges"`
-		Span       int       `json:"span"`
-		Floor      []float64 `json:"class_floor"`
-		Need       []float64 `json:"need_by_class"`
-		ShortWorth []float64 `json:"short_worth"`
-		FollowUp   []int     `json:"follow_up"`
+		PerCall        int       `json:"per_call"`
+		Positions      int       `json:"positions"`
+		Ranges         int       `json:"ranges"`
+		CellsPerShard  int       `json:"span"`
+		MinWeight      []float64 `json:"class_floor"`
+		RequiredWeight []float64 `json:"need_by_class"`
+		PartialValue   []float64 `json:"short_worth"`
+		FollowUp       []int     `json:"follow_up"`
 	} `json:"family_info"`
 	Feedback struct {
 		Fields []string `json:"fields"`
@@ -90,22 +90,22 @@
 		MaxOpen        int  `json:"max_open"`
 		MaxRetryAfter  span `json:"max_retry_after"`
 		Probes         bool `json:"probes"`
-		RetryAfter     bool `json:"retry_after"`
+		SendRetryAfter bool `json:"retry_after"`
 		SecondCopies   bool `json:"second_copies"`
 	} `json:"caps"`
 	Rules struct {
-		AskWithin  span    `json:"ask_within"`
-		Cold       span    `json:"cold"`
-		ColdFrom   float64 `json:"cold_from"`
-		DrainGrace span    `json:"drain_grace"`
-		Fall       span    `json:"fall"`
-		FallMult   float64 `json:"fall_multiple"`
-		Ratio      float64 `json:"further_ratio"`
-		ResendSpan span    `json:"resend_span"`
-		Spare      float64 `json:"spare_attempts"`
+		ListRefreshInterval span    `json:"ask_within"`
+		WarmupTime          span    `json:"cold"`
+		WarmupStartShare    float64 `json:"cold_from"`
+		DrainGrace          span    `json:"drain_grace"`
+		ColdBudgetWindow    span    `json:"fall"`
+		FallMult            float64 `json:"fall_multiple"`
+		Ratio               float64 `json:"further_ratio"`
+		ResendSpan          span    `json:"resend_span"`
+		Spare               float64 `json:"spare_attempts"`
 	} `json:"rules"`
-	WorthBy        string  `json:"worth_by"`
-	OverShareWorth float64 `json:"over_share_worth"`
+	WorthBy            string  `json:"worth_by"`
+	OverAllowanceValue float64 `json:"over_share_worth"`
 }
 
 // Parse reads the settings object. An unknown key is passed over; an absent
@@ -123,28 +123,28 @@
 	s := &out.Module
 	*s = decide.Settings{
 		Aggregators: b.Balancers, Zone: b.Zone, Tick: time.Duration(b.Tick),
-		Cells: b.Info.Positions, Span: b.Info.Span, PartsPerCall: b.Info.PerCall,
-		AskDiscovery: b.Discovery == "ask",
-		MaxOpen:      b.Caps.MaxOpen, MaxAttempts: b.Caps.MaxAttempts,
+		Cells: b.Info.Positions, CellsPerShard: b.Info.CellsPerShard, PartsPerCall: b.Info.PerCall,
+		WatchDiscovery: b.Discovery == "ask",
+		MaxOpen:        b.Caps.MaxOpen, MaxAttempts: b.Caps.MaxAttempts,
 		CancelAllowed: b.Caps.Cancel, CopiesAllowed: b.Caps.SecondCopies, ProbesAllowed: b.Caps.Probes,
-		RetryAfter: b.Caps.RetryAfter, MaxRetryAfter: time.Duration(b.Caps.MaxRetryAfter),
-		AskWithin: time.Duration(b.Rules.AskWithin), DrainGrace: time.Duration(b.Rules.DrainGrace),
-		ColdFrom: b.Rules.ColdFrom, Cold: time.Duration(b.Rules.Cold),
-		Fall: time.Duration(b.Rules.Fall), FallMultiple: b.Rules.FallMult,
-		FurtherWindow: time.Duration(b.Rules.ResendSpan), FurtherSpare: b.Rules.Spare, FurtherRatio: b.Rules.Ratio,
-		WorthByWork: b.WorthBy == "work", OverShareWorth: b.OverShareWorth,
+		SendRetryAfter: b.Caps.SendRetryAfter, MaxRetryAfter: time.Duration(b.Caps.MaxRetryAfter),
+		ListRefreshInterval: time.Duration(b.Rules.ListRefreshInterval), DrainGrace: time.Duration(b.Rules.DrainGrace),
+		WarmupStartShare: b.Rules.WarmupStartShare, WarmupTime: time.Duration(b.Rules.WarmupTime),
+		ColdBudgetWindow: time.Duration(b.Rules.ColdBudgetWindow), ColdBudgetFactor: b.Rules.FallMult,
+		RetryBudgetWindow: time.Duration(b.Rules.ResendSpan), RetryBudgetBase: b.Rules.Spare, RetryBudgetRatio: b.Rules.Ratio,
+		ValueByWork: b.WorthBy == "work", OverAllowanceValue: b.OverAllowanceValue,
 	}
 	for i, c := range b.Classes {
-		sem, err := parseSemantics(c.Semantics)
+		sem, err := parseSemantics(c.Idempotency)
 		if err != nil {
 			return out, fmt.Errorf("class %d: %w", i, err)
 		}
 		s.Classes = append(s.Classes, decide.Class{
-			Name: c.Name, Semantics: sem, Aim: time.Duration(c.Aim), AimStretch: c.AimStretch,
-			Deadline: time.Duration(c.Deadline), MemorySpan: time.Duration(c.MemorySpan),
-			Worth: c.Worth, LateValue: c.LateValue,
-			Need: at(b.Info.Need, i), Floor: at(b.Info.Floor, i),
-			ShortWorth: at(b.Info.ShortWorth, i), FollowParts: at(b.Info.FollowUp, i),
+			Name: c.Name, Idempotency: sem, LatencyTarget: time.Duration(c.LatencyTarget), LatencyTargetPerWork: c.LatencyTargetPerWork,
+			Deadline: time.Duration(c.Deadline), DedupWindow: time.Duration(c.DedupWindow),
+			Value: c.Value, LateValue: c.LateValue,
+			RequiredWeight: at(b.Info.RequiredWeight, i), MinWeight: at(b.Info.MinWeight, i),
+			PartialValue: at(b.Info.PartialValue, i), SecondStepParts: at(b.Info.FollowUp, i),
 		})
 	}
 	for _, t := range b.Tenants {
@@ -162,14 +162,14 @@
 	return zero
 }
 
-func parseSemantics(s string) (decide.Semantics, error) {
+func parseSemantics(s string) (decide.Idempotency, error) {
 	switch s {
 	case "repeatable":
-		return decide.Repeatable, nil
+		return decide.Idempotent, nil
 	case "by_key":
-		return decide.Keyed, nil
+		return decide.Deduplicated, nil
 	case "once":
-		return decide.Once, nil
+		return decide.NonIdempotent, nil
 	}
 	return 0, fmt.Errorf("unknown semantics %q", s)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,9 +20,9 @@
 	}
 	want := Settings{LoadFields: []string{"backlog"}, Zones: []string{"a", "b"}, Shards: 24, ConnIdle: 30 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond, StreamsPerConn: 32,
-		Module: decide.Settings{Tick: 5 * time.Millisecond, AskDiscovery: true, MaxOpen: 210, Cells: 12, Span: 2,
-			DrainGrace: 2 * time.Second, Classes: []decide.Class{{Name: "x", Semantics: decide.Keyed, Aim: 1500 * time.Millisecond,
-				MemorySpan: 4 * time.Second, Floor: 0.8}}}}
+		Module: decide.Settings{Tick: 5 * time.Millisecond, WatchDiscovery: true, MaxOpen: 210, Cells: 12, CellsPerShard: 2,
+			DrainGrace: 2 * time.Second, Classes: []decide.Class{{Name: "x", Idempotency: decide.Deduplicated, LatencyTarget: 1500 * time.Millisecond,
+				DedupWindow: 4 * time.Second, MinWeight: 0.8}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/tracing/recorder.go
+++ b/internal/tracing/recorder.go
@@ -10,10 +10,10 @@
 
 // Class is what the recorder has to know of a class of query.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer is wanted within it
-	AimStretch float64       // the aim grows by this multiple of the query's own work
-	Deadline   time.Duration // of all tries of a client
+	Name                 string
+	LatencyTarget        time.Duration // an answer is wanted within it
+	LatencyTargetPerWork float64       // the aim grows by this multiple of the query's own work
+	Deadline             time.Duration // of all tries of a client
 }
 
 // Config is what a Recorder is made from.
@@ -137,7 +137,7 @@
 	q.Front, q.Class, q.WireID, q.content = s.Front, s.Class, s.WireID, s.Content
 	q.Version = s.Version
 	q.Begin, q.Deadline = now, now+s.Left
-	q.Wanted = now + min(c.Aim+time.Duration(c.AimStretch*float64(s.Work)), max(c.Deadline, c.Aim))
+	q.Wanted = now + min(c.LatencyTarget+time.Duration(c.LatencyTargetPerWork*float64(s.Work)), max(c.Deadline, c.LatencyTarget))
 	q.State = s.Context.State
 	q.thin = float64(r.bytes) > thinShare*float64(r.cfg.Memory)
 	q.where = isOpen
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -21,8 +21,8 @@
 
 func recorder(memory int, spans float64) *Recorder {
 	return New(Config{Memory: memory, Spans: spans, Seed: 7, Classes: []Class{
-		{Name: "lookup", Aim: 1500 * ms, Deadline: 4 * time.Second},
-		{Name: "booking", Aim: 1500 * ms, Deadline: 4 * time.Second}}})
+		{Name: "lookup", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second},
+		{Name: "booking", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second}}})
 }
 
 // play records a query of one part, answered by its first attempt after so long.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -162,7 +162,7 @@
 	default:
 		f.fail("condition", fmt.Errorf("unknown state %q", c))
 	}
-	srv.Hint = f.optNumber("capacity_hint")
+	srv.CapacityHint = f.optNumber("capacity_hint")
 	srv.Started = f.optSpan("started_at")
 	return srv, f.end()
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,10 +38,10 @@
 	}
 	items := b[0].Items
 	first, second := items[1].Event.(decide.ListChange), items[2].Event.(decide.ListChange)
-	if !first.Full || first.Servers[0] != (decide.Server{ID: "a:1", Cell: 2, Hint: 1}) {
+	if !first.Full || first.Servers[0] != (decide.Server{ID: "a:1", Cell: 2, CapacityHint: 1}) {
 		t.Errorf("first list %+v", first)
 	}
-	want := decide.Server{ID: "b:1", Zone: 1, Cell: 4, State: decide.Stopping, Hint: 1.5, Started: 6100 * time.Millisecond}
+	want := decide.Server{ID: "b:1", Zone: 1, Cell: 4, State: decide.Stopping, CapacityHint: 1.5, Started: 6100 * time.Millisecond}
 	if second.Full || second.Servers[0] != want {
 		t.Errorf("second list %+v", second)
 	}
@@ -51,8 +51,8 @@
 	if b[0].Clock != 8412250*time.Microsecond {
 		t.Errorf("clock %v", b[0].Clock)
 	}
-	if s := items[0].Settings; s.Classes[0].Semantics != decide.Once || s.FurtherWindow != 0 ||
-		s.Fall != 2*time.Second || items[0].Seed != 1<<64-1 {
+	if s := items[0].Settings; s.Classes[0].Idempotency != decide.NonIdempotent || s.RetryBudgetWindow != 0 ||
+		s.ColdBudgetWindow != 2*time.Second || items[0].Seed != 1<<64-1 {
 		t.Errorf("settings %+v seed %d", s, items[0].Seed)
 	}
 }
