--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -53,7 +53,7 @@
 	}
 	probes := duty.New(core, f, checks)
 	core.Divide(probes)
-	f.Changed = core.Sharers
+	f.Changed = core.AggregatorsChanged
 	f.News = func(key string, body []byte, age time.Duration) {
 		probes.News(key, body, age)
 		if t.accord != nil {
--- a/decide/api.go
+++ b/decide/api.go
@@ -117,7 +117,7 @@
 
 // ListChange brings news of the server list. Full lists name every server;
 // other lists only those that changed.
-type ListChange struct {
+type ServerListUpdate struct {
 	Full    bool
 	Version int64
 	Told    time.Duration // since when what drains or is gone on it counts as told; 0: since now
@@ -125,7 +125,7 @@
 }
 
 // told is since when the change counts as told.
-func (e ListChange) told(now time.Duration) time.Duration {
+func (e ServerListUpdate) knownSince(now time.Duration) time.Duration {
 	if e.Told == 0 {
 		return now
 	}
@@ -133,7 +133,7 @@
 }
 
 // ListLost says that a Watch or ReadList failed or a subscription broke.
-type ListLost struct{}
+type WatchFailed struct{}
 
 // QueryArrived brings a query; its parts follow in the same Step.
 type QueryArrived struct {
@@ -168,11 +168,11 @@
 	ConnectFailed                // no connection; it never ran
 	Reset                        // the connection broke; it may have run
 	Cancelled                    // called off; it may have run
-	Moot                         // never sent
+	NotSent                      // never sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
 // Load is a server's report of itself. Unknown values are negative.
 type Load struct {
@@ -192,7 +192,7 @@
 
 // Sharers says how many aggregators live, in place of the number in the Settings, and
 // what this one may use of what all share.
-type Sharers struct {
+type AggregatorsChanged struct {
 	Live  int
 	Share float64 // from 0 to 1
 }
@@ -209,7 +209,7 @@
 }
 
 // StreamBegun says that an attempt's streamed answer has begun.
-type StreamBegun struct {
+type StreamStarted struct {
 	Part    string
 	Attempt int
 	Server  string
@@ -220,7 +220,7 @@
 type ClientGone struct{ Query string }
 
 // Woken is a Wake that is due.
-type Woken struct{ Token string }
+type TimerFired struct{ Token string }
 
 // ProbeDone is the result of a Probe.
 type ProbeDone struct {
@@ -236,18 +236,18 @@
 	Body   []byte
 }
 
-func (ListChange) event()   {}
-func (ListLost) event()     {}
-func (QueryArrived) event() {}
-func (PartArrived) event()  {}
-func (AttemptDone) event()  {}
-func (StreamBegun) event()  {}
-func (ClientGone) event()   {}
-func (Woken) event()        {}
-func (ProbeDone) event()    {}
-func (PeerMessage) event()  {}
-func (Sharers) event()      {}
-func (Limits) event()       {}
+func (ServerListUpdate) event()   {}
+func (WatchFailed) event()        {}
+func (QueryArrived) event()       {}
+func (PartArrived) event()        {}
+func (AttemptDone) event()        {}
+func (StreamStarted) event()      {}
+func (ClientGone) event()         {}
+func (TimerFired) event()         {}
+func (ProbeDone) event()          {}
+func (PeerMessage) event()        {}
+func (AggregatorsChanged) event() {}
+func (Limits) event()             {}
 
 // Action is something that the caller carries out.
 type Action interface{ action() }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -91,9 +91,9 @@
 
 func (m *StateMachine) take(e Event) {
 	switch e := e.(type) {
-	case ListChange:
+	case ServerListUpdate:
 		m.takeList(e)
-	case ListLost:
+	case WatchFailed:
 		m.subscribed, m.askAt = false, m.now+m.askPause()
 	case QueryArrived:
 		m.takeQuery(e)
@@ -103,7 +103,7 @@
 		m.takeOutcome(e)
 	case ProbeDone:
 		m.takeProbe(e)
-	case Sharers:
+	case AggregatorsChanged:
 		m.set.Aggregators, m.share = max(e.Live, 1), e.Share
 	case Limits:
 		m.limit(e)
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -15,7 +15,7 @@
 	}, 1)
 	now := time.Second
 	actions := m.Step(now, []decide.Event{
-		decide.ListChange{Full: true, Servers: []decide.Server{{ID: "shard-server-1"}}},
+		decide.ServerListUpdate{Full: true, Servers: []decide.Server{{ID: "shard-server-1"}}},
 		decide.QueryArrived{ID: "query", Number: 1, Left: 4 * time.Second},
 		decide.PartArrived{ID: "part", Number: 1, Shard: 0, Weight: 1},
 	})
--- a/decide/first_test.go
+++ b/decide/first_test.go
@@ -52,7 +52,7 @@
 		}
 		if r.now = max(due, r.now+set.Tick); r.now < end {
 			steps++
-			r.step(Woken{Token: "due"})
+			r.step(TimerFired{Token: "due"})
 		}
 	}
 	if steps < 20 || steps > 250 {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -75,14 +75,14 @@
 }
 
 // begin starts an aggregator, anew if it was there, with the list that it is given.
-func (f *fleet) begin(i int, l ListChange) {
+func (f *fleet) begin(i int, l ServerListUpdate) {
 	f.modules[i] = New(f.set, f.rng.Uint64())
 	f.inbox[i] = nil
 	f.later(0, i, l)
 }
 
-func (f *fleet) list() ListChange {
-	l := ListChange{Full: true}
+func (f *fleet) list() ServerListUpdate {
+	l := ServerListUpdate{Full: true}
 	for c := range f.ids {
 		l.Servers = append(l.Servers, f.server(c))
 	}
@@ -121,7 +121,7 @@
 // tell has all hear of a change of the list after a while.
 func (f *fleet) tell(after time.Duration, s Server) {
 	for i := range f.modules {
-		f.later(after, i, ListChange{Servers: []Server{s}})
+		f.later(after, i, ServerListUpdate{Servers: []Server{s}})
 	}
 }
 
@@ -148,7 +148,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Wake:
-			f.later(a.After, i, Woken{})
+			f.later(a.After, i, TimerFired{})
 		case Send:
 			f.sent[a.Part]++
 			f.send(i, a, f.sent[a.Part]-1)
@@ -253,7 +253,7 @@
 				for i := range f.modules {
 					late := time.Duration(f.rng.Float64() * 4 * float64(time.Second))
 					f.toldAt = append(f.toldAt, f.now+late)
-					f.later(late, i, ListChange{Servers: []Server{f.server(20)}})
+					f.later(late, i, ServerListUpdate{Servers: []Server{f.server(20)}})
 				}
 				f.run(17 * time.Second)
 				if got := len(f.cold["s020"]); got < 20 {
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -43,8 +43,8 @@
 	return r
 }
 
-func listOf(servers ...string) ListChange {
-	l := ListChange{Full: true}
+func listOf(servers ...string) ServerListUpdate {
+	l := ServerListUpdate{Full: true}
 	for _, s := range servers {
 		l.Servers = append(l.Servers, Server{ID: s})
 	}
@@ -65,7 +65,7 @@
 func (r *rig) pass(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
-		r.step(Woken{Token: "due"})
+		r.step(TimerFired{Token: "due"})
 	}
 }
 
--- a/decide/health.go
+++ b/decide/health.go
@@ -134,7 +134,7 @@
 		if e.Outcome == OK {
 			s.fault, s.trials = 0, 0 // a probe is served as parts are
 		}
-	} else if e.Outcome != Moot {
+	} else if e.Outcome != NotSent {
 		s.trials++
 	}
 	s.probing, s.probeAt = false, m.now+m.restPause(s)
--- a/decide/large_bench_test.go
+++ b/decide/large_bench_test.go
@@ -25,7 +25,7 @@
 	set := testSettings()
 	set.Cells, set.CellsPerShard, set.Aggregators, set.WarmupTime = servers/4, 2, 300, 100*time.Second
 	m, now := New(set, 1), 200*time.Second
-	list := ListChange{Full: true}
+	list := ServerListUpdate{Full: true}
 	for i := range servers {
 		s := Server{ID: fmt.Sprintf("s%04d", i), Cell: i % set.Cells}
 		if cold && i%2 == 0 {
--- a/decide/list.go
+++ b/decide/list.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func (m *StateMachine) takeList(e ListChange) {
+func (m *StateMachine) takeList(e ServerListUpdate) {
 	m.asks, m.askAt = 0, -1
 	m.borne.known = false // who is warm may have changed
 	if m.set.WatchDiscovery && !m.subscribed {
@@ -20,7 +20,7 @@
 	}
 	for _, s := range m.order {
 		if bars := !s.listed || s.State != Running; bars != s.barred {
-			s.barred, s.barredAt = bars, e.told(m.now)
+			s.barred, s.barredAt = bars, e.knownSince(m.now)
 		}
 	}
 	m.dropUnlisted()
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -55,7 +55,7 @@
 		for i, m := range modules {
 			events := inbox[now][i]
 			for _, e := range events {
-				if l, ok := e.(ListChange); ok && !l.Full {
+				if l, ok := e.(ServerListUpdate); ok && !l.Full {
 					d.settled[i] = now - start
 				}
 			}
@@ -65,12 +65,12 @@
 			for _, a := range m.Step(now, events) {
 				switch a := a.(type) {
 				case Wake:
-					later(now+a.After+ms, i, Woken{})
+					later(now+a.After+ms, i, TimerFired{})
 				case Watch:
 					if at, ok := d.call(now); ok {
-						later(at+ms, i, ListChange{})
+						later(at+ms, i, ServerListUpdate{})
 					} else {
-						later(at+ms, i, ListLost{})
+						later(at+ms, i, WatchFailed{})
 					}
 				}
 			}
--- a/decide/odd_fleet_test.go
+++ b/decide/odd_fleet_test.go
@@ -51,7 +51,7 @@
 		cells[s.ID] = s.Cell
 	}
 	shards, attempts := map[string]int{}, map[string]int{}
-	events := []Event{ListChange{Full: true, Servers: servers}}
+	events := []Event{ServerListUpdate{Full: true, Servers: servers}}
 	for i := range 2400 { // 12 s
 		now += 5 * ms
 		if i%40 == 0 && i < 1600 {
@@ -64,7 +64,7 @@
 				events = append(events, PartArrived{ID: part, Number: int64(i), Shard: shards[part], Weight: 0.25})
 			}
 		}
-		actions := m.Step(now, append(events, Woken{}))
+		actions := m.Step(now, append(events, TimerFired{}))
 		events = nil
 		for _, a := range actions {
 			switch a := a.(type) {
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -83,8 +83,8 @@
 
 func (w *world) deliver(d time.Duration, e Event) { w.pending = append(w.pending, timed{w.now + d, e}) }
 
-func (w *world) list(full bool) ListChange {
-	l := ListChange{Full: full}
+func (w *world) list(full bool) ServerListUpdate {
+	l := ServerListUpdate{Full: full}
 	for _, n := range w.names {
 		s := w.servers[n]
 		state := Running
@@ -110,7 +110,7 @@
 		if at > w.now {
 			return false
 		}
-		events = append(events, Woken{Token: "due"})
+		events = append(events, TimerFired{Token: "due"})
 		return true
 	})
 	if len(events) == 0 {
@@ -138,7 +138,7 @@
 		p := &wPart{id: e.ID, q: q, shard: e.Shard, weight: e.Weight}
 		q.parts = append(q.parts, p)
 		w.parts[e.ID] = p
-	case ListChange:
+	case ServerListUpdate:
 		for _, entry := range e.Servers {
 			s := w.servers[entry.ID]
 			if entry.State == Running {
@@ -198,7 +198,7 @@
 
 func (w *world) listAnswer() Event {
 	if w.rng.IntN(3) == 0 {
-		return ListLost{}
+		return WatchFailed{}
 	}
 	return w.list(true)
 }
@@ -364,7 +364,7 @@
 	case s.down || r == 0:
 		e.Outcome, d = TimedOut, max(stop-w.now, ms)
 	case r < 4:
-		e.Outcome, d = []Outcome{Failed, Full, ConnectFailed, Reset, Moot}[w.rng.IntN(5)], w.jitter(250)
+		e.Outcome, d = []Outcome{Failed, Full, ConnectFailed, Reset, NotSent}[w.rng.IntN(5)], w.jitter(250)
 	case r == 4:
 		d = max(min(w.jitter(3000), stop-w.now), ms)
 	case r == 5:
@@ -407,7 +407,7 @@
 		s.started, s.stopping, s.down, s.cold = w.now, false, false, nil
 		w.deliver(0, w.list(w.rng.IntN(2) == 0))
 	case 3:
-		w.deliver(0, ListLost{})
+		w.deliver(0, WatchFailed{})
 	case 4:
 		for range 10 {
 			w.arrive()
@@ -451,7 +451,7 @@
 	for end := w.now + 8*time.Second; w.now < end; w.now += w.set.Tick {
 		w.step()
 	}
-	w.deliver(0, Woken{}) // what is overdue is given up at the next step, whatever brings it
+	w.deliver(0, TimerFired{}) // what is overdue is given up at the next step, whatever brings it
 	w.step()
 }
 
--- a/decide/seldom_test.go
+++ b/decide/seldom_test.go
@@ -12,7 +12,7 @@
 	set.Aggregators, set.Cells, set.CellsPerShard, set.RetryBudgetWindow, set.ProbesAllowed = 80, 30, 2, 0, true
 	set.Classes[0].LatencyTarget = 400 * ms
 	r := newRig(t, set)
-	l := ListChange{Full: true}
+	l := ServerListUpdate{Full: true}
 	for c := range set.Cells {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%02d", c), Cell: c})
 	}
@@ -65,7 +65,7 @@
 			r.ask((r.queries * 7) % r.m.set.Cells)
 			see(r.actions)
 		}
-		see(r.step(Woken{Token: "due"}))
+		see(r.step(TimerFired{Token: "due"}))
 		now := due
 		due = nil
 		for _, d := range now {
@@ -124,12 +124,12 @@
 	modules, got, sends := make([]*StateMachine, n), make([]int, n), []time.Duration(nil)
 	for i := range modules {
 		modules[i] = New(set, uint64(i))
-		modules[i].Step(start, []Event{ListChange{Full: true, Servers: []Server{{ID: "a", Started: start}}}})
+		modules[i].Step(start, []Event{ServerListUpdate{Full: true, Servers: []Server{{ID: "a", Started: start}}}})
 	}
 	for k := range 600 { // 10 s; each has a query every half second
 		now := start + time.Duration(k)*16*ms
 		for i, m := range modules {
-			events := []Event{Woken{}}
+			events := []Event{TimerFired{}}
 			if (k+i)%30 == 0 {
 				id := fmt.Sprintf("q%d.%d", i, k)
 				events = append(events, QueryArrived{ID: id, Number: int64(k), Left: 1300 * ms},
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -12,7 +12,7 @@
 	set := testSettings()
 	set.Cells, set.CellsPerShard, set.Zone, set.MaxOpen = 3, 2, 0, 0
 	r := newRig(t, set)
-	l := ListChange{Full: true}
+	l := ServerListUpdate{Full: true}
 	for i := range 3 {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%d", i), Zone: i, Cell: i})
 	}
@@ -66,7 +66,7 @@
 	if got := r.spread(0, 200); math.Abs(got[1]-0) > 0.1 || got[0] < 0.9 {
 		t.Errorf("parts that zones 0 and 1 hold: %v", got)
 	}
-	r.step(ListChange{Servers: []Server{{ID: "s0", Zone: 0, Cell: 0, State: Deleted}}})
+	r.step(ServerListUpdate{Servers: []Server{{ID: "s0", Zone: 0, Cell: 0, State: Deleted}}})
 	if got := r.spread(0, 200); got[1] < 1 {
 		t.Errorf("parts that zone 1 alone holds now: %v", got)
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -199,7 +199,7 @@
 func (q *query) untouched() bool {
 	return !q.second && !slices.ContainsFunc(q.parts, func(p *part) bool {
 		return slices.ContainsFunc(p.attempts, func(a *attempt) bool {
-			return !a.over || a.outcome != ConnectFailed && a.outcome != Moot
+			return !a.over || a.outcome != ConnectFailed && a.outcome != NotSent
 		})
 	})
 }
--- a/decide/symptom_test.go
+++ b/decide/symptom_test.go
@@ -109,7 +109,7 @@
 
 func TestStoppingServerGetsNothingNewAfterItsWindow(t *testing.T) {
 	r := newRig(t, testSettings(), "a", "b")
-	r.step(ListChange{Servers: []Server{{ID: "a", State: Stopping}}})
+	r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Stopping}}})
 	r.pass(850 * ms) // of a grace of a second
 	for range 10 {
 		_, parts := r.query(0, 1)
@@ -123,7 +123,7 @@
 func TestColdServerGetsItsBudgetOnly(t *testing.T) {
 	r := newRig(t, testSettings(), "a", "b")
 	r.warm(40, 40*ms)
-	r.step(ListChange{Servers: []Server{{ID: "a", Started: r.now - ms}}})
+	r.step(ServerListUpdate{Servers: []Server{{ID: "a", Started: r.now - ms}}})
 	cold := 0
 	for end := r.now + 2*time.Second; r.now < end; {
 		_, parts := r.query(0, 1)
@@ -256,18 +256,18 @@
 	watched := 0
 	for range 20 { // the first call is spread over a little time
 		r.now += 5 * ms
-		watched += count[Watch](r.step(Woken{Token: "due"}))
+		watched += count[Watch](r.step(TimerFired{Token: "due"}))
 	}
 	if watched != 1 {
 		t.Fatalf("%d subscriptions at the start", watched)
 	}
 	var asked []time.Duration
-	r.step(ListLost{})
+	r.step(WatchFailed{})
 	for end := r.now + 60*time.Second; r.now < end; {
 		r.now += 5 * ms
-		if count[Watch](r.step(Woken{Token: "due"})) == 1 {
+		if count[Watch](r.step(TimerFired{Token: "due"})) == 1 {
 			asked = append(asked, r.now)
-			r.step(ListLost{})
+			r.step(WatchFailed{})
 		}
 	}
 	if len(asked) < 4 || len(asked) > 24 {
@@ -277,8 +277,8 @@
 
 func TestOddInputIsNeitherACrashNorASend(t *testing.T) {
 	m := New(Settings{}, 0)
-	m.Step(-1, []Event{AttemptDone{Part: "none"}, ClientGone{Query: "none"}, Woken{}, ProbeDone{}, ListLost{},
-		PartArrived{ID: "p", Number: 9}, StreamBegun{}, PeerMessage{}, nil})
+	m.Step(-1, []Event{AttemptDone{Part: "none"}, ClientGone{Query: "none"}, TimerFired{}, ProbeDone{}, WatchFailed{},
+		PartArrived{ID: "p", Number: 9}, StreamStarted{}, PeerMessage{}, nil})
 	actions := m.Step(-2, []Event{QueryArrived{ID: "q", Class: 3}})
 	if _, ok := has[Fail](actions); !ok {
 		t.Errorf("a query of an unknown class got %v, want a final answer", actions)
@@ -287,7 +287,7 @@
 	set.Cells, set.CellsPerShard = 0, 0
 	r := newRig(t, set, "a")
 	_, parts := r.query(0, 1)
-	r.step(ListChange{Full: true})
+	r.step(ServerListUpdate{Full: true})
 	r.done(parts[0], 0, OK, -ms)
 	r.step(AttemptDone{Part: parts[0], Attempt: 0, Outcome: OK}, AttemptDone{Part: parts[0], Attempt: -1})
 	id, _ := r.query(0, 1)
@@ -801,7 +801,7 @@
 // Nobody may be kept waiting past half of his time for a query that no server has seen.
 func TestQueryThatNobodySawEndsAtHalfItsTime(t *testing.T) {
 	r := newRig(t, testSettings(), "a", "b")
-	r.step(ListChange{Servers: []Server{{ID: "a", State: Deleted}, {ID: "b", State: Deleted}}})
+	r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Deleted}, {ID: "b", State: Deleted}}})
 	began := r.now
 	_, parts := r.query(2, 1) // of a class that earns after its aim
 	for range 400 {
@@ -820,7 +820,7 @@
 func TestDrainingServerTakesItsShareWithinTheWindow(t *testing.T) {
 	for _, takes := range []bool{true, false} {
 		r := newRig(t, testSettings(), "a", "b")
-		r.step(ListChange{Servers: []Server{{ID: "a", State: Stopping}}})
+		r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Stopping}}})
 		toA := 0
 		for range 20 {
 			_, parts := r.query(0, 1)
@@ -846,7 +846,7 @@
 	set := testSettings()
 	set.Zone = 1
 	r := newRig(t, set, "a", "b")
-	r.step(ListChange{Full: true, Servers: []Server{{ID: "a", Zone: 2}, {ID: "b", Zone: 1}}})
+	r.step(ServerListUpdate{Full: true, Servers: []Server{{ID: "a", Zone: 2}, {ID: "b", Zone: 1}}})
 	for i := range 20 {
 		_, parts := r.query(0, 1)
 		if got := r.sent[parts[0]][0].Server; got != "b" {
@@ -864,7 +864,7 @@
 	r := newRig(t, set, "s0")
 	for i := range 300 {
 		next := Server{ID: fmt.Sprintf("s%d", i+1), Started: r.now}
-		r.step(ListChange{Servers: []Server{{ID: fmt.Sprintf("s%d", i), State: Deleted}, next}})
+		r.step(ServerListUpdate{Servers: []Server{{ID: fmt.Sprintf("s%d", i), State: Deleted}, next}})
 		_, parts := r.query(i%2, 1)
 		if len(r.sent[parts[0]]) > 0 && i%3 > 0 { // every third is lost
 			r.done(parts[0], 0, OK, 5*ms)
@@ -872,7 +872,7 @@
 		r.pass(100 * ms)
 	}
 	r.pass(10 * time.Second)
-	r.step(ListChange{})
+	r.step(ServerListUpdate{})
 	m := r.m
 	got := []int{len(m.servers), len(m.order), len(m.queries), len(m.ids), len(m.live), len(m.parts), len(m.out)}
 	if diff := cmp.Diff([]int{1, 1, 0, 0, 0, 0, 0}, got); diff != "" || len(m.taken) > 100 || len(m.holders) > 1 {
@@ -979,7 +979,7 @@
 		r.done(parts[0], 0, OK, 20*ms)
 		for count[Answer](r.actions) == 0 && r.now < start+2*time.Second {
 			r.now += ms
-			r.step(Woken{Token: "due"})
+			r.step(TimerFired{Token: "due"})
 		}
 		if took := r.now - start; took > time.Second-way || took < time.Second-50*ms {
 			t.Errorf("with a tick of %v, the short answer left %v after the query, which is wanted within 1s", tick, took)
@@ -1006,7 +1006,7 @@
 	}
 	for count[Answer](r.actions) == 0 && r.now < start+2*time.Second {
 		r.now += 5 * ms
-		r.step(Woken{Token: "due"})
+		r.step(TimerFired{Token: "due"})
 	}
 	if left := start + time.Second - r.now; left < 270*ms || left > 500*ms {
 		t.Errorf("the second step was given %v, while slow answers take 300ms", left)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -285,10 +285,10 @@
 // Divide sets the prober in place of the Nodes given to Use.
 func (c *Core) Divide(p Prober) { c.prober = p }
 
-// Sharers tells the decision module how many mixers of the fleet are alive, and this
+// AggregatorsChanged tells the decision module how many mixers of the fleet are alive, and this
 // mixer's share, from 0 to 1, of the budgets that they have in common.
-func (c *Core) Sharers(live int, share float64) {
-	c.events = append(c.events, decide.Sharers{Live: live, Share: share})
+func (c *Core) AggregatorsChanged(live int, share float64) {
+	c.events = append(c.events, decide.AggregatorsChanged{Live: live, Share: share})
 }
 
 // Node returns a listed node; false if the node is not listed.
@@ -675,7 +675,7 @@
 	if l.Told <= 0 || l.Told > c.now {
 		l.Told = c.now
 	}
-	ev := decide.ListChange{Full: l.Full, Version: l.Version, Told: l.Told}
+	ev := decide.ServerListUpdate{Full: l.Full, Version: l.Version, Told: l.Told}
 	for _, m := range list {
 		// Several mixers may have had the notice at different times: the earliest counts,
 		// as it ends the drain grace first.
@@ -717,5 +717,5 @@
 	c.events = append(c.events, ev)
 }
 
-// ListLost reports to the module that a read of the list failed or its subscription broke.
-func (c *Core) ListLost() { c.events = append(c.events, decide.ListLost{}) }
+// WatchFailed reports to the module that a read of the list failed or its subscription broke.
+func (c *Core) WatchFailed() { c.events = append(c.events, decide.WatchFailed{}) }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -236,7 +236,7 @@
 	}
 	// One send beyond the part's limit, one of an unknown part, one cancelled; then the end
 	// of the query cancels the two that are left, and one send comes after it.
-	want := []decide.Outcome{decide.Moot, decide.Moot, decide.Cancelled, decide.Cancelled, decide.Cancelled, decide.Moot}
+	want := []decide.Outcome{decide.NotSent, decide.NotSent, decide.Cancelled, decide.Cancelled, decide.Cancelled, decide.NotSent}
 	if diff := cmp.Diff(want, s.done()); diff != "" || s.givenUp != 3 {
 		t.Errorf("%s; %d given up", diff, s.givenUp)
 	}
@@ -319,7 +319,7 @@
 func TestTimeLeftCountsFromTheStep(t *testing.T) {
 	s := play(t)
 	s.at(0)
-	s.Post(func() { s.Core.events = append(s.Core.events, decide.Woken{}) })
+	s.Post(func() { s.Core.events = append(s.Core.events, decide.TimerFired{}) })
 	s.at(tick) // a step: the next one is a tick away
 	s.ask(t, 0)
 	s.at(2*tick - time.Millisecond)
--- a/internal/broker/count.go
+++ b/internal/broker/count.go
@@ -10,7 +10,7 @@
 var (
 	outcomes = [...]counts.Kind{decide.Failed: counts.Error, decide.OK: counts.OK, decide.Full: counts.Full,
 		decide.TimedOut: counts.TimedOut, decide.ConnectFailed: counts.ConnectFailed, decide.Reset: counts.Reset,
-		decide.Cancelled: counts.Cancelled, decide.Moot: counts.Moot}
+		decide.Cancelled: counts.Cancelled, decide.NotSent: counts.NotSent}
 	choices = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.LeftSlow: counts.LeftSlow,
 		decide.NextBest: counts.NextBest, decide.LateCopy: counts.LateCopy, decide.Stranded: counts.Stranded}
 	refusals = [...]counts.Kind{decide.NoCause: counts.RefusedNoHope, decide.NoHope: counts.RefusedNoHope,
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -40,7 +40,7 @@
 	old := c.barred
 	c.bar()
 	if list := c.changed(old, nil); len(list) > 0 {
-		c.events = append(c.events, decide.ListChange{Servers: list})
+		c.events = append(c.events, decide.ServerListUpdate{Servers: list})
 	}
 }
 
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -64,7 +64,7 @@
 			}
 		case decide.Wake:
 			c.timers.add(c.now+min(a.After, maxWake), func() {
-				c.events = append(c.events, decide.Woken{Token: a.Token})
+				c.events = append(c.events, decide.TimerFired{Token: a.Token})
 			})
 		case decide.Watch:
 			c.dir.Watch(a.On)
@@ -118,7 +118,7 @@
 func (c *Core) attempt(s decide.Send) *Attempt {
 	p := c.parts[s.Part]
 	if p == nil {
-		c.events = append(c.events, decide.AttemptDone{Part: s.Part, Server: s.Server, Outcome: decide.Moot})
+		c.events = append(c.events, decide.AttemptDone{Part: s.Part, Server: s.Server, Outcome: decide.NotSent})
 		return nil
 	}
 	q := p.q
@@ -163,8 +163,8 @@
 // moot reports an attempt as never sent. It always returns nil.
 func (c *Core) moot(a *Attempt) *Attempt {
 	a.over, a.neverRan = true, true
-	c.saw(counts.Moot, a.WireID, a.Node.ID)
-	c.report(a, decide.Moot)
+	c.saw(counts.NotSent, a.WireID, a.Node.ID)
+	c.report(a, decide.NotSent)
 	return nil
 }
 
--- a/internal/broker/windows_test.go
+++ b/internal/broker/windows_test.go
@@ -38,7 +38,7 @@
 				s.ask(t, i)
 				s.script.steps = [][]decide.Action{{send("q1.0")}}
 				s.Post(func() {
-					if s.Core.events = append(s.Core.events, decide.Woken{}); !tt.out {
+					if s.Core.events = append(s.Core.events, decide.TimerFired{}); !tt.out {
 						s.Ended(s.calls[0][0], tt.first, 0, nil)
 					}
 				})
@@ -93,7 +93,7 @@
 					t.Errorf("it may be written: %v, want %v", got, tt.may)
 				}
 				for _, e := range s.script.events {
-					if l, ok := e.(decide.ListChange); ok && l.Version == 2 && l.Told != s.Core.now-tt.ago {
+					if l, ok := e.(decide.ServerListUpdate); ok && l.Version == 2 && l.Told != s.Core.now-tt.ago {
 						t.Errorf("the module hears that it was told at %v, want %v", l.Told, s.Core.now-tt.ago)
 					}
 				}
--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -31,7 +31,7 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 	Dialed
 	DialFailed
 	Closed
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -80,7 +80,7 @@
 	Now() time.Duration
 	After(d time.Duration, fn func())
 	UpdateNodeList(l broker.List)
-	ListLost()
+	WatchFailed()
 }
 
 // Client calls discovery. It implements broker.Directory.
@@ -339,7 +339,7 @@
 			}
 		})
 	default:
-		k.c.core.ListLost()
+		k.c.core.WatchFailed()
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -22,7 +22,7 @@
 
 func (c *coreRecorder) Now() time.Duration          { return time.Second }
 func (c *coreRecorder) After(time.Duration, func()) {}
-func (c *coreRecorder) ListLost()                   { c.lost++ }
+func (c *coreRecorder) WatchFailed()                { c.lost++ }
 func (c *coreRecorder) UpdateNodeList(l broker.List) {
 	c.full, c.list, c.told = l.Full, l.Members, l.Told
 }
--- a/internal/fleet/duty/duty.go
+++ b/internal/fleet/duty/duty.go
@@ -164,7 +164,7 @@
 	kind, id, _ := strings.Cut(key, "/")
 	switch kind + "/" {
 	case found:
-		if len(body) == 1 && body[0] <= byte(decide.Moot) {
+		if len(body) == 1 && body[0] <= byte(decide.NotSent) {
 			p.found(p.of(id), decide.Outcome(body[0]), p.core.Now()-age)
 		}
 	case begun:
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -139,7 +139,7 @@
 		o    decide.Outcome
 		took time.Duration
 	}{{decide.OK, 100 * ms}, {decide.OK, 300 * ms}, {decide.Cancelled, 100 * ms}, {decide.Cancelled, 300 * ms}, {decide.TimedOut, 900 * ms}, {decide.Failed, 1},
-		{decide.Full, 1}, {decide.Reset, 1}, {decide.ConnectFailed, 1}, {decide.Moot, 0}} {
+		{decide.Full, 1}, {decide.Reset, 1}, {decide.ConnectFailed, 1}, {decide.NotSent, 0}} {
 		s.Observe(m, x.o, x.took, time.Second)
 	}
 	s.Observe(broker.ListedNode{}, decide.OK, 1, time.Second) // not listed any more
--- a/internal/node/flight/flight.go
+++ b/internal/node/flight/flight.go
@@ -93,7 +93,7 @@
 		}
 		if err != nil { // nothing was sent
 			s.l.Complain(err.Error())
-			s.l.Done(t, decide.Moot, 0, nil)
+			s.l.Done(t, decide.NotSent, 0, nil)
 			continue
 		}
 		p.s = s.h2.Open(fields, h2.AppendMessage(nil, text))
@@ -131,7 +131,7 @@
 func (s *session) Probe() {
 	b, err := proto.Marshal(&flight.FlightDescriptor{Type: flight.FlightDescriptor_CMD, Cmd: []byte("{}")})
 	if err != nil || s.h2.Room() == 0 {
-		s.l.Probed(decide.Moot)
+		s.l.Probed(decide.NotSent)
 		return
 	}
 	p := &part{msgs: h2.MessageParser{MaxBytes: maxMessage}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -369,14 +369,14 @@
 	}
 }
 
-// send writes the attempts of a call that may still be written now. The others end as Moot.
+// send writes the attempts of a call that may still be written now. The others end as NotSent.
 func (l *Link) send(batch []*Ticket) {
 	batch = slices.DeleteFunc(batch, func(t *Ticket) bool {
 		drop := !l.ls.core.MaySend(t.Attempt)
 		if drop && !t.HasEnded() {
-			// Moot, as the node is not at fault. Not at once, as the core must not be called
+			// NotSent, as the node is not at fault. Not at once, as the core must not be called
 			// back within a step.
-			l.ls.core.After(0, func() { l.Done(t, decide.Moot, 0, nil) })
+			l.ls.core.After(0, func() { l.Done(t, decide.NotSent, 0, nil) })
 		}
 		return drop
 	})
--- a/internal/transport/end.go
+++ b/internal/transport/end.go
@@ -44,7 +44,7 @@
 func Outcome(e End, written bool) decide.Outcome {
 	switch {
 	case e == NoDescriptor, e == NotDialed, e == LocalFailure:
-		return decide.Moot // a local failure, not evidence about the node
+		return decide.NotSent // a local failure, not evidence about the node
 	case !written, e == Refused, e == ConnectTimeout:
 		return decide.ConnectFailed
 	case e == BadInput, e == PeerFlooded:
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -98,7 +98,7 @@
 		unsent, want := decide.ConnectFailed, decide.Reset
 		switch e {
 		case NoDescriptor, NotDialed, LocalFailure:
-			unsent, want = decide.Moot, decide.Moot
+			unsent, want = decide.NotSent, decide.NotSent
 		case Refused, ConnectTimeout:
 			want = decide.ConnectFailed
 		}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -188,14 +188,14 @@
 	case "NEW_REQUEST":
 		it.Event = parseRequest(f)
 	case "STREAMING":
-		it.Event = decide.StreamBegun{Part: f.id("job"), Latency: f.span("lag"), Attempt: f.index("send_no"),
+		it.Event = decide.StreamStarted{Part: f.id("job"), Latency: f.span("lag"), Attempt: f.index("send_no"),
 			Server: f.word("server")}
 	case "COMPLETED":
 		it.Event = d.parseCompleted(f, it.Instance)
 	case "WITHDRAWN":
 		it.Event = decide.ClientGone{Query: f.id("job")}
 	case "WAKEUP":
-		it.Event = decide.Woken{Token: f.token("mark")}
+		it.Event = decide.TimerFired{Token: f.token("mark")}
 	case "PROBE_DONE":
 		it.Event = decide.ProbeDone{Server: f.word("server"), Outcome: f.outcome("result"), Latency: f.span("lag"),
 			Load: f.load("load", d.loads[it.Instance])}
@@ -212,12 +212,12 @@
 	if form == "lost" {
 		f.word("serial")
 		f.word("sheet")
-		return decide.ListLost{}
+		return decide.WatchFailed{}
 	}
 	if form != "incr" && form != "total" && form != "warm_copy" {
 		f.fail("form", fmt.Errorf("unknown form %q", form))
 	}
-	ev := decide.ListChange{Full: form != "incr", Version: f.integer("serial")}
+	ev := decide.ServerListUpdate{Full: form != "incr", Version: f.integer("serial")}
 	sheet := f.index("sheet")
 	if sheet >= maxTables {
 		f.fail("sheet", fmt.Errorf("%d is not under %d", sheet, maxTables))
@@ -434,7 +434,7 @@
 
 func (f *fields) outcome(name string) decide.Outcome {
 	n := f.index(name)
-	if n > int(decide.Moot) {
+	if n > int(decide.NotSent) {
 		f.fail(name, fmt.Errorf("unknown outcome %d", n))
 	}
 	return decide.Outcome(n)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	items := b[0].Items
-	first, second := items[1].Event.(decide.ListChange), items[2].Event.(decide.ListChange)
+	first, second := items[1].Event.(decide.ServerListUpdate), items[2].Event.(decide.ServerListUpdate)
 	if !first.Full || first.Servers[0] != (decide.Server{ID: "a:1", Cell: 2, CapacityHint: 1}) {
 		t.Errorf("first list %+v", first)
 	}
@@ -45,7 +45,7 @@
 	if second.Full || second.Servers[0] != want {
 		t.Errorf("second list %+v", second)
 	}
-	if _, ok := items[3].Event.(decide.ListLost); !ok {
+	if _, ok := items[3].Event.(decide.WatchFailed); !ok {
 		t.Errorf("lost list came as %+v", items[3].Event)
 	}
 	if b[0].Clock != 8412250*time.Microsecond {
