--- a/cmd/loft/fleet.go
+++ b/cmd/loft/fleet.go
@@ -25,7 +25,7 @@
 
 // usualCounts are the columns where none are asked for.
 var usualCounts = []kinds.Kind{kinds.Taken, kinds.Served, kinds.Short, kinds.RefusedNoHope, kinds.RefusedPartLost,
-	kinds.RefusedTimeUp, kinds.Failed, kinds.ByOffset, kinds.LeftSlow, kinds.NextBest, kinds.LateCopy, kinds.Stranded,
+	kinds.RefusedTimeUp, kinds.Failed, kinds.ByOffset, kinds.OffsetAvoided, kinds.NextBestHolder, kinds.LateCopy, kinds.ForcedCopy,
 	kinds.ToCold, kinds.OK, kinds.Full, kinds.TimedOut, kinds.ConnectFailed, kinds.Dialed, kinds.OpenLinks,
 	kinds.Probes, kinds.DirectoryCalls, kinds.DirectoryFailed, kinds.ListBytes, kinds.ListAgeMillis, kinds.LagMicros,
 	kinds.CPUMicros}
--- a/decide/api.go
+++ b/decide/api.go
@@ -253,28 +253,28 @@
 type Action interface{ action() }
 
 // Choice is why a part goes to a server.
-type Choice uint8
+type SendReason uint8
 
 // The choices.
 const (
-	ByOffset Choice = iota // it stands at the query's offset
-	LeftSlow               // the one at the offset may not be used, or would be too late
-	NextBest               // an earlier attempt has ended, and it is the best that is left
-	LateCopy               // the part is late where it is
-	Stranded               // no attempt of the part is likely to be answered in time
+	ByOffset       SendReason = iota // it stands at the query's offset
+	OffsetAvoided                    // the one at the offset may not be used, or would be too late
+	NextBestHolder                   // an earlier attempt has ended, and it is the best that is left
+	LateCopy                         // the part is late where it is
+	ForcedCopy                       // no attempt of the part is likely to be answered in time
 )
 
 // Cause is why a query ends without an answer.
-type Cause uint8
+type EndReason uint8
 
 // The causes.
 const (
-	NoCause  Cause = iota
-	NoHope         // it can't be in time, and nothing of it was begun
-	TimeUp         // its time is up
-	PartLost       // a part that it needs can't be had any more
-	Unseen         // half of its time is over and no server has seen it
-	NoClass        // it has a class without figures, or an id that is open
+	NoEndReason       EndReason = iota
+	TargetUnreachable           // it can't be in time, and nothing of it was begun
+	TimeExpired                 // its time is up
+	PartUnavailable             // a part that it needs can't be had any more
+	NoServerReached             // half of its time is over and no server has seen it
+	InvalidQuery                // it has a class without figures, or an id that is open
 )
 
 // Shortage is what kept the module from sending a part.
@@ -282,9 +282,9 @@
 
 // The shortages.
 const (
-	TokenShort  Shortage = iota // a late part was not copied: no token
-	BudgetShort                 // a further attempt was not made: the rule's budget is spent
-	ColdShort                   // every holder that could take it is cold and has had its share
+	NoCopyToken      Shortage = iota // a late part was not copied: no token
+	RetryBudgetSpent                 // a further attempt was not made: the rule's budget is spent
+	ColdBudgetSpent                  // every holder that could take it is cold and has had its share
 )
 
 // Send starts an attempt for a part. Sends of one Step to one server share
@@ -293,14 +293,14 @@
 	Part   string
 	Server string
 	StopAt time.Duration // clock time at which the attempt is given up
-	Why    Choice
+	Reason SendReason
 }
 
 // Remark says what a part lacked, once for each kind. It comes only where the
 // Settings ask for Remarks.
-type Remark struct {
+type ShortageReport struct {
 	Part string
-	What Shortage
+	Kind Shortage
 }
 
 // Cancel stops waiting for an attempt.
@@ -319,17 +319,17 @@
 type Refuse struct {
 	Query      string
 	RetryAfter time.Duration // 0: no advice
-	Why        Cause
+	Reason     EndReason
 }
 
 // Fail ends the query and promises nothing about its effect.
 type Fail struct {
-	Query string
-	Why   Cause
+	Query  string
+	Reason EndReason
 }
 
 // Wake asks for a Woken event.
-type Wake struct {
+type SetTimer struct {
 	After time.Duration
 	Token string
 }
@@ -347,7 +347,7 @@
 type CloseIdle struct{ Server string }
 
 // Tell sends a message to another aggregator, or to all (-1).
-type Tell struct {
+type SendToPeer struct {
 	Recipient int
 	Body      []byte
 }
@@ -355,16 +355,16 @@
 // Log is a line for those on call.
 type Log struct{ Line string }
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Answer) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Wake) action()      {}
-func (Watch) action()     {}
-func (ReadList) action()  {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Tell) action()      {}
-func (Log) action()       {}
-func (Remark) action()    {}
+func (Send) action()           {}
+func (Cancel) action()         {}
+func (Answer) action()         {}
+func (Refuse) action()         {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (Watch) action()          {}
+func (ReadList) action()       {}
+func (Probe) action()          {}
+func (CloseIdle) action()      {}
+func (SendToPeer) action()     {}
+func (Log) action()            {}
+func (ShortageReport) action() {}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -136,7 +136,7 @@
 		return
 	}
 	m.wakeAt = due
-	m.act(Wake{After: due - m.now, Token: "due"})
+	m.act(SetTimer{After: due - m.now, Token: "due"})
 }
 
 func (m *StateMachine) nextDue(q *query) time.Duration {
@@ -346,7 +346,7 @@
 func (m *StateMachine) repeatable(p *part) bool { return p.q.class.Idempotency != NonIdempotent }
 
 // place is the gate through which every send goes.
-func (m *StateMachine) place(p *part, s *server, why Choice) bool {
+func (m *StateMachine) place(p *part, s *server, why SendReason) bool {
 	if !m.mayTry(p) || !m.allowed(p, s) || (len(p.attempts) > 0 && !m.budget(1)) {
 		return false
 	}
@@ -370,7 +370,7 @@
 	if a.n == 0 {
 		m.partRate.add(m.now, 1)
 	}
-	m.act(Send{Part: p.ID, Server: s.ID, StopAt: stop, Why: why})
+	m.act(Send{Part: p.ID, Server: s.ID, StopAt: stop, Reason: why})
 	return true
 }
 
@@ -467,7 +467,7 @@
 func (m *StateMachine) takeQuery(e QueryArrived) {
 	m.countTaken()
 	if m.queries[e.Number] != nil || m.ids[e.ID] != nil || e.Class >= len(m.set.Classes) || e.Class < 0 {
-		m.act(Fail{Query: e.ID, Why: NoClass}) // a class without figures: still one final answer
+		m.act(Fail{Query: e.ID, Reason: InvalidQuery}) // a class without figures: still one final answer
 		return
 	}
 	c := &m.set.Classes[e.Class]
@@ -516,7 +516,7 @@
 		q.offset = m.chooseOffset(q.parts)
 		q.begun = true
 		if !q.second && !m.inTime(q) {
-			m.end(q, NoHope)
+			m.end(q, TargetUnreachable)
 			continue
 		}
 		for _, p := range q.parts {
@@ -575,13 +575,13 @@
 func (m *StateMachine) try(p *part) {
 	s, why := m.route(p, p.q.offset), ByOffset
 	if len(p.attempts) > 0 {
-		s, why = m.bestHolder(p), NextBest
+		s, why = m.bestHolder(p), NextBestHolder
 	} else if hs := m.holdersOf(p.Shard); len(hs) > 0 && s != hs[p.q.offset%len(hs)] {
-		why = LeftSlow
+		why = OffsetAvoided
 	}
 	if s == nil || !m.place(p, s, why) {
 		if m.set.ReportShortages && s == nil && m.coldOnly(p) {
-			m.remark(p, ColdShort)
+			m.remark(p, ColdBudgetSpent)
 		}
 		p.tryAt = m.now + m.trialPause()/8
 	}
@@ -620,7 +620,7 @@
 func (m *StateMachine) settle(q *query) {
 	if q.over || !q.begun {
 		if !q.over && m.now >= m.lastCall(q) {
-			m.end(q, TimeUp)
+			m.end(q, TimeExpired)
 		}
 		return
 	}
@@ -637,11 +637,11 @@
 		case short:
 			m.answer(q, false)
 		case m.now >= m.lastCall(q):
-			m.end(q, TimeUp)
+			m.end(q, TimeExpired)
 		case m.hopeless(q):
-			m.end(q, PartLost)
+			m.end(q, PartUnavailable)
 		default:
-			m.end(q, Unseen)
+			m.end(q, NoServerReached)
 		}
 	default:
 		for _, p := range q.parts {
@@ -681,13 +681,13 @@
 }
 
 // end refuses where that is honest, else fails. A refusal promises that nothing ran which may not run twice.
-func (m *StateMachine) end(q *query, why Cause) {
+func (m *StateMachine) end(q *query, why EndReason) {
 	if q.second || (q.class.Idempotency != Idempotent && slices.ContainsFunc(q.parts, func(p *part) bool {
 		return p.mayHaveRun() != nil
 	})) {
-		m.act(Fail{Query: q.ID, Why: why})
+		m.act(Fail{Query: q.ID, Reason: why})
 	} else {
-		m.act(Refuse{Query: q.ID, RetryAfter: m.stayAway(q), Why: why})
+		m.act(Refuse{Query: q.ID, RetryAfter: m.stayAway(q), Reason: why})
 	}
 	m.close(q)
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -23,7 +23,7 @@
 		switch a := a.(type) {
 		case decide.Send:
 			fmt.Println("send", a.Part, "to", a.Server)
-		case decide.Wake:
+		case decide.SetTimer:
 			fmt.Println("call Step again in", a.After)
 		}
 	}
--- a/decide/first_test.go
+++ b/decide/first_test.go
@@ -46,7 +46,7 @@
 	steps, due := 0, r.now
 	for end := r.now + 2*time.Second; r.now < end; {
 		for _, a := range r.actions {
-			if w, ok := a.(Wake); ok {
+			if w, ok := a.(SetTimer); ok {
 				due = r.now + w.After
 			}
 		}
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -147,7 +147,7 @@
 func (f *fleet) carryOut(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Wake:
+		case SetTimer:
 			f.later(a.After, i, TimerFired{})
 		case Send:
 			f.sent[a.Part]++
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -77,7 +77,7 @@
 	if stranded {
 		share = 1
 	} else if m.tokens < 1 {
-		m.remark(p, TokenShort)
+		m.remark(p, NoCopyToken)
 		return
 	}
 	s, why := m.bestHolder(p), LateCopy
@@ -85,10 +85,10 @@
 		return
 	}
 	if stranded {
-		why = Stranded
+		why = ForcedCopy
 	}
 	if !m.budget(share) {
-		m.remark(p, BudgetShort)
+		m.remark(p, RetryBudgetSpent)
 		return
 	}
 	if !m.place(p, s, why) {
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -64,7 +64,7 @@
 			}
 			for _, a := range m.Step(now, events) {
 				switch a := a.(type) {
-				case Wake:
+				case SetTimer:
 					later(now+a.After+ms, i, TimerFired{})
 				case Watch:
 					if at, ok := d.call(now); ok {
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -186,7 +186,7 @@
 		}
 	case Fail:
 		w.final(a.Query)
-	case Wake:
+	case SetTimer:
 		if a.After <= 0 {
 			w.t.Errorf("a timer of %v", a.After)
 		}
--- a/decide/state.go
+++ b/decide/state.go
@@ -573,7 +573,7 @@
 func (m *StateMachine) remark(p *part, what Shortage) {
 	if m.set.ReportShortages && !p.remarked[what] {
 		p.remarked[what] = true
-		m.act(Remark{Part: p.ID, What: what})
+		m.act(ShortageReport{Part: p.ID, Kind: what})
 	}
 }
 
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -510,7 +510,7 @@
 	if h.q.over {
 		return
 	}
-	h.c.close(h.q, tracing.Deserted, decide.NoCause)
+	h.c.close(h.q, tracing.Deserted, decide.NoEndReason)
 	h.c.events = append(h.c.events, decide.ClientGone{Query: h.q.id})
 }
 
@@ -539,13 +539,13 @@
 
 // abandon fails a query as expired without a decision of the module, and tells the module.
 func (c *Core) abandon(q *query) {
-	c.close(q, tracing.Expired, decide.TimeUp)
+	c.close(q, tracing.Expired, decide.TimeExpired)
 	q.Responder.Failed(true)
 	c.events = append(c.events, decide.ClientGone{Query: q.id})
 }
 
 // close removes a query, cancels its open attempts and records how it ended.
-func (c *Core) close(q *query, how tracing.How, why decide.Cause) {
+func (c *Core) close(q *query, how tracing.How, why decide.EndReason) {
 	q.over = true
 	c.audit.Ended++
 	c.saw(ended(how, why), q.WireID, "")
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -226,7 +226,7 @@
 
 func TestEverySendGetsOneOutcome(t *testing.T) {
 	s := play(t, []decide.Action{send("q1.0"), send("q1.0"), send("q1.0"), send("q1.2"), send("q9.9")},
-		[]decide.Action{decide.Cancel{Part: "q1.0", Attempt: 0}, decide.Cancel{Part: "q1.0", Attempt: 0}}, []decide.Action{decide.Wake{After: tick, Token: "w"}},
+		[]decide.Action{decide.Cancel{Part: "q1.0", Attempt: 0}, decide.Cancel{Part: "q1.0", Attempt: 0}}, []decide.Action{decide.SetTimer{After: tick, Token: "w"}},
 		[]decide.Action{decide.Fail{Query: "q1"}, send("q1.2")})
 	s.ask(t, 0)
 	late := s.calls[0][0]
--- a/internal/broker/count.go
+++ b/internal/broker/count.go
@@ -11,11 +11,11 @@
 	outcomes = [...]counts.Kind{decide.Failed: counts.Error, decide.OK: counts.OK, decide.Full: counts.Full,
 		decide.TimedOut: counts.TimedOut, decide.ConnectFailed: counts.ConnectFailed, decide.Reset: counts.Reset,
 		decide.Cancelled: counts.Cancelled, decide.NotSent: counts.NotSent}
-	choices = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.LeftSlow: counts.LeftSlow,
-		decide.NextBest: counts.NextBest, decide.LateCopy: counts.LateCopy, decide.Stranded: counts.Stranded}
-	refusals = [...]counts.Kind{decide.NoCause: counts.RefusedNoHope, decide.NoHope: counts.RefusedNoHope,
-		decide.TimeUp: counts.RefusedTimeUp, decide.PartLost: counts.RefusedPartLost, decide.Unseen: counts.RefusedUnseen,
-		decide.NoClass: counts.RefusedNoHope}
+	choices = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.OffsetAvoided: counts.OffsetAvoided,
+		decide.NextBestHolder: counts.NextBestHolder, decide.LateCopy: counts.LateCopy, decide.ForcedCopy: counts.ForcedCopy}
+	refusals = [...]counts.Kind{decide.NoEndReason: counts.RefusedNoHope, decide.TargetUnreachable: counts.RefusedNoHope,
+		decide.TimeExpired: counts.RefusedTimeUp, decide.PartUnavailable: counts.RefusedPartLost, decide.NoServerReached: counts.RefusedUnseen,
+		decide.InvalidQuery: counts.RefusedNoHope}
 )
 
 // saw counts an event of a request, and remembers it for the log lines of guards.
@@ -25,7 +25,7 @@
 }
 
 // ended returns the counter for the end of a query.
-func ended(how tracing.How, why decide.Cause) counts.Kind {
+func ended(how tracing.How, why decide.EndReason) counts.Kind {
 	switch how {
 	case tracing.Served:
 		return counts.Served
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -52,17 +52,17 @@
 			}
 		case decide.Refuse:
 			if q := c.queries[a.Query]; q != nil {
-				c.refuse(q, a.RetryAfter, a.Why)
+				c.refuse(q, a.RetryAfter, a.Reason)
 			}
 		case decide.Fail:
 			if q := c.queries[a.Query]; q != nil {
-				c.fail(q, a.Why)
+				c.fail(q, a.Reason)
 			}
-		case decide.Remark:
+		case decide.ShortageReport:
 			if p := c.parts[a.Part]; p != nil {
-				p.q.trace.Event(c.now, p.trace, shortages[a.What], "")
+				p.q.trace.Event(c.now, p.trace, shortages[a.Kind], "")
 			}
-		case decide.Wake:
+		case decide.SetTimer:
 			c.timers.add(c.now+min(a.After, maxWake), func() {
 				c.events = append(c.events, decide.TimerFired{Token: a.Token})
 			})
@@ -78,7 +78,7 @@
 			}
 		case decide.Log:
 			c.log.Module(a.Line)
-		case decide.Tell: // not supported: the core has no channel between mixers
+		case decide.SendToPeer: // not supported: the core has no channel between mixers
 		}
 	}
 	for _, call := range calls {
@@ -143,12 +143,12 @@
 		a.FirstStepShards, a.Whole = q.from, q.whole
 	}
 	a.Node.Addr, a.begun = m.Addr, true
-	c.saw(choices[s.Why], q.WireID, m.ID)
+	c.saw(choices[s.Reason], q.WireID, m.ID)
 	if m.Started > 0 && c.now < m.Started+c.set.Module.WarmupTime {
 		c.counts.Add(counts.ToCold, 1)
 	}
 	if q.trace != nil {
-		c.traceAttempt(a, m, s.Why)
+		c.traceAttempt(a, m, s.Reason)
 	}
 	p.out++
 	c.timers.add(a.stop, func() {
@@ -212,7 +212,7 @@
 	// it is, even if the module's state says otherwise.
 	if weight < floor-weightSlack {
 		c.guard(q, "honest", "answer from too few parts")
-		c.fail(q, decide.NoCause)
+		c.fail(q, decide.NoEndReason)
 		c.events = append(c.events, decide.ClientGone{Query: q.id})
 		return
 	}
@@ -234,7 +234,7 @@
 	if !whole {
 		how = tracing.Short
 	}
-	c.close(q, how, decide.NoCause)
+	c.close(q, how, decide.NoEndReason)
 	q.Responder.Served(whole, values)
 }
 
@@ -265,7 +265,7 @@
 }
 
 // refuse ends a query and tells the client that a retry is safe.
-func (c *Core) refuse(q *query, after time.Duration, why decide.Cause) {
+func (c *Core) refuse(q *query, after time.Duration, why decide.EndReason) {
 	if q.class.Idempotency != decide.Idempotent && slices.ContainsFunc(q.parts, (*part).mayHaveRun) {
 		// A refusal invites a retry, and what may have run must not run twice.
 		c.guard(q, "refusal", "a part may have run")
@@ -277,7 +277,7 @@
 }
 
 // fail ends a query without a promise that a retry is safe.
-func (c *Core) fail(q *query, why decide.Cause) {
+func (c *Core) fail(q *query, why decide.EndReason) {
 	expired, how := c.now >= q.end-lateTicks*c.set.Module.Tick, tracing.Failed
 	if expired {
 		how = tracing.Expired
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -11,8 +11,8 @@
 // one, and the detector of retry storms.
 
 // shortages maps the module's remarks on missing budgets to trace events.
-var shortages = map[decide.Shortage]tracing.EventKind{decide.TokenShort: tracing.NoToken,
-	decide.BudgetShort: tracing.NoBudget, decide.ColdShort: tracing.ColdFull}
+var shortages = map[decide.Shortage]tracing.EventKind{decide.NoCopyToken: tracing.NoToken,
+	decide.RetryBudgetSpent: tracing.NoBudget, decide.ColdBudgetSpent: tracing.ColdFull}
 
 // begin starts the trace of a query.
 func (c *Core) begin(in Query, work time.Duration, sum uint64) *tracing.Query {
@@ -50,7 +50,7 @@
 
 // traceAttempt records an attempt that is about to be sent: whether it is the part's first,
 // a copy of one that is still open, or a further one.
-func (c *Core) traceAttempt(a *Attempt, m ListedNode, why decide.Choice) {
+func (c *Core) traceAttempt(a *Attempt, m ListedNode, why decide.SendReason) {
 	reason := tracing.First
 	for _, other := range a.p.attempts {
 		if other == a || other.neverRan && other.over && other.trace < 0 {
--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -19,10 +19,10 @@
 	Expired
 	Deserted
 	ByOffset
-	LeftSlow
-	NextBest
+	OffsetAvoided
+	NextBestHolder
 	LateCopy
-	Stranded
+	ForcedCopy
 	ToCold
 	OK
 	Error
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -35,7 +35,7 @@
 		e.line("DENY", instance, a.Query, optTime(a.RetryAfter))
 	case decide.Fail:
 		e.line("DROP_REQUEST", instance, a.Query)
-	case decide.Wake:
+	case decide.SetTimer:
 		e.line("WAKE_AT", instance, formatTime(a.After), a.Token)
 	case decide.Watch:
 		e.line("WATCH", instance, flag(a.On))
@@ -45,7 +45,7 @@
 		e.line("PROBE", instance, a.Server)
 	case decide.CloseIdle:
 		e.line("CLOSE_IDLE", instance, a.Server)
-	case decide.Tell:
+	case decide.SendToPeer:
 		e.line("POST", instance, strconv.Itoa(a.Recipient), optBytes(a.Body))
 	case decide.Log:
 		e.line("NOTE_DOWN", instance, strings.NewReplacer("\n", " ", "\t", " ").Replace(a.Line))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -120,8 +120,8 @@
 	for _, a := range []decide.Action{
 		decide.Send{Part: "p", Server: "s:1", StopAt: 8492250 * time.Microsecond}, decide.Cancel{Part: "p", Attempt: 1},
 		decide.Answer{Query: "q", Whole: true}, decide.Refuse{Query: "q"}, decide.Fail{Query: "q"},
-		decide.Wake{After: 500 * time.Millisecond, Token: "due"}, decide.Watch{On: true}, decide.ReadList{},
-		decide.Probe{Server: "s:1"}, decide.CloseIdle{Server: "s:1"}, decide.Tell{Recipient: -1, Body: []byte("hi 7")},
+		decide.SetTimer{After: 500 * time.Millisecond, Token: "due"}, decide.Watch{On: true}, decide.ReadList{},
+		decide.Probe{Server: "s:1"}, decide.CloseIdle{Server: "s:1"}, decide.SendToPeer{Recipient: -1, Body: []byte("hi 7")},
 		decide.Log{Line: "two\nlines"},
 	} {
 		if err := e.Write(3, a); err != nil {
