--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -216,28 +216,28 @@
 
 // send sends the next request, on a new connection if none is open.
 func (k *call) send() {
-	target, wait := instancesPath, time.Duration(0)
+	target, hold := instancesPath, time.Duration(0)
 	if k.watch && !k.fullList {
 		if k.subscribed {
-			wait = min(max(minHold, time.Duration(k.c.MixerCount)*holdPerMixer), maxHold)
+			hold = min(max(minHold, time.Duration(k.c.MixerCount)*holdPerMixer), maxHold)
 			if k.c.PushedToAgent {
-				wait = minHold // no other mixer calls the agent
+				hold = minHold // no other mixer calls the agent
 			}
 		}
-		target += "?from=" + strconv.FormatInt(k.c.revision, 10) + "&hold_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
+		target += "?from=" + strconv.FormatInt(k.c.revision, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	}
 	k.request = "GET " + target + " HTTP/1.1\r\nHost: " + k.c.addr + "\r\n\r\n"
 	k.seq, k.firstByteAt = k.seq+1, 0
 	k.c.Counts.Add(counts.DirectoryCalls, 1)
-	seq, most := k.seq, answerTimeout
+	seq, timeout := k.seq, answerTimeout
 	switch {
 	case k.c.core.Now() < k.c.retryAtOnceUntil:
-		most = newAddressTimeout
-	case wait > 0:
-		most = heldAnswerTimeout
+		timeout = newAddressTimeout
+	case hold > 0:
+		timeout = heldAnswerTimeout
 	}
 	// Guards against a discovery that is cut off and would never answer.
-	k.c.core.After(wait+most, func() {
+	k.c.core.After(hold+timeout, func() {
 		if k.seq == seq {
 			k.timedOut()
 		}
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -104,7 +104,7 @@
 // Reply is a stock node's result for a part, the payload of a Result frame.
 type Reply struct {
 	ID     string
-	End    byte // S: served, E: failed, B: the node is full
+	Status byte // S: served, E: failed, B: the node is full
 	Score  int64
 	Report string // "" if there is none
 	Value  []byte
@@ -120,8 +120,8 @@
 	if len(f) != 4 || len(f[0]) == 0 || len(f[1]) != 1 {
 		return Reply{}, fmt.Errorf("result line %q: want 4 fields with an id and a status of one byte", line)
 	}
-	r := Reply{ID: string(f[0]), End: f[1][0], Value: value}
-	if r.End != 'S' && r.End != 'E' && r.End != 'B' {
+	r := Reply{ID: string(f[0]), Status: f[1][0], Value: value}
+	if r.Status != 'S' && r.Status != 'E' && r.Status != 'B' {
 		return Reply{}, fmt.Errorf("result line %q: unknown status", line)
 	}
 	if s := string(f[3]); s != "-" {
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -51,9 +51,9 @@
 		want Reply
 		ok   bool
 	}{
-		{"9b1f.3 S 1840277719 -\n5be2a07c", Reply{ID: "9b1f.3", End: 'S', Score: 1840277719, Value: []byte("5be2a07c")}, true},
-		{"9b1f.3 B - 1,2\n", Reply{ID: "9b1f.3", End: 'B', Report: "1,2", Value: []byte{}}, true},
-		{"9b1f.3 S 0 -\na\nb", Reply{ID: "9b1f.3", End: 'S', Value: []byte("a\nb")}, true},
+		{"9b1f.3 S 1840277719 -\n5be2a07c", Reply{ID: "9b1f.3", Status: 'S', Score: 1840277719, Value: []byte("5be2a07c")}, true},
+		{"9b1f.3 B - 1,2\n", Reply{ID: "9b1f.3", Status: 'B', Report: "1,2", Value: []byte{}}, true},
+		{"9b1f.3 S 0 -\na\nb", Reply{ID: "9b1f.3", Status: 'S', Value: []byte("a\nb")}, true},
 		{text: "9b1f.3 S 0 -"}, {text: "9b1f.3 Q 0 -\n"}, {text: "9b1f.3 S x -\n"}, {text: "9b1f.3 S 0\n"}, {text: " S 0 -\n"},
 	}
 	for _, tt := range tests {
--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -98,7 +98,7 @@
 				return err
 			}
 			if t != nil {
-				s.l.Done(t, outcome(r.End), r.Score, r.Value)
+				s.l.Done(t, outcome(r.Status), r.Score, r.Value)
 			}
 		case frames.Probe:
 			o := decide.Failed
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -122,8 +122,8 @@
 	if n == 0 {
 		return
 	}
-	unread, left := c.arrivalInfo()
-	read := time.Now().Add(-unread)
+	kernelDelay, eof := c.arrivalInfo()
+	arrivedAt := time.Now().Add(-kernelDelay)
 	c.in.Add(int64(n))
 	c.reads.Add(1)
 	admitted := 0
@@ -141,7 +141,7 @@
 		return
 	}
 	_ = r.Release() // fails only on a closed connection
-	cut := admitted < n && !c.discards.Load()
+	truncated := admitted < n && !c.discards.Load()
 	if admitted < n {
 		c.discards.Store(true)
 		if c.discarded += int64(n - admitted); c.dialed || c.discarded > maxDiscardedBytes {
@@ -149,23 +149,23 @@
 			return
 		}
 	}
-	if admitted == 0 && !cut {
+	if admitted == 0 && !truncated {
 		return
 	}
 	c.post.Post(func() {
 		c.unhandled.Add(-int64(admitted))
 		c.net.backlog.Add(-int64(admitted))
-		c.inputDelay = time.Since(read)
+		c.inputDelay = time.Since(arrivedAt)
 		// What the peer sent before it left is delivered. After Finish or Close nothing is.
 		if !c.muted.Load() {
 			c.h.Data(b)
 		} else if h, ok := c.h.(LateDataHandler); ok {
 			h.LateData(b[:min(len(b), maxLateDataBytes)])
 		}
-		if h, ok := c.h.(ReadEOFHandler); ok && left && !c.muted.Load() {
+		if h, ok := c.h.(ReadEOFHandler); ok && eof && !c.muted.Load() {
 			h.ReadEOF()
 		}
-		if h, ok := c.h.(Truncated); ok && cut && !c.muted.Load() {
+		if h, ok := c.h.(Truncated); ok && truncated && !c.muted.Load() {
 			h.Truncated()
 		}
 	})
@@ -174,7 +174,7 @@
 // arrivalInfo returns how long the bytes that are read now have waited in the kernel, and whether
 // the peer has shut down its sending side since. Bytes on accepted connections may have arrived
 // long before the accept. Both are zero for dialed connections, and where the kernel does not tell.
-func (c *Conn) arrivalInfo() (unread time.Duration, left bool) {
+func (c *Conn) arrivalInfo() (kernelDelay time.Duration, eof bool) {
 	if c.dialed {
 		return 0, false
 	}
@@ -188,9 +188,9 @@
 		return 0, false
 	}
 	if info.Bytes_received > 0 { // a kernel that counts bytes fills in the other fields as well
-		unread = min(time.Duration(info.Last_data_recv)*time.Millisecond, maxInputDelay)
+		kernelDelay = min(time.Duration(info.Last_data_recv)*time.Millisecond, maxInputDelay)
 	}
-	return unread, info.State == closeWait || info.State == closed
+	return kernelDelay, info.State == closeWait || info.State == closed
 }
 
 // InputDelay returns how long the bytes of the present Data have waited since they arrived. It is
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -242,13 +242,13 @@
 // connect opens the connection. It retries after local failures until the timeout is over: they
 // pass quickly, and are not evidence about the peer.
 func (d dial) connect() (nc netpoll.Connection, err error) {
-	for begun := time.Now(); ; time.Sleep(localFailureRetryInterval) {
-		left := d.timeout
+	for start := time.Now(); ; time.Sleep(localFailureRetryInterval) {
+		remaining := d.timeout
 		if d.timeout > 0 {
-			left = max(time.Millisecond, d.timeout-time.Since(begun))
+			remaining = max(time.Millisecond, d.timeout-time.Since(start))
 		}
-		nc, err = netpoll.DialConnection("tcp", d.addr, left)
-		if err == nil || dialEnd(err) != LocalFailure && dialEnd(err) != NoDescriptor || time.Since(begun)+localFailureRetryInterval >= d.timeout {
+		nc, err = netpoll.DialConnection("tcp", d.addr, remaining)
+		if err == nil || dialEnd(err) != LocalFailure && dialEnd(err) != NoDescriptor || time.Since(start)+localFailureRetryInterval >= d.timeout {
 			return nc, err
 		}
 	}
--- a/internal/transport/packets.go
+++ b/internal/transport/packets.go
@@ -23,10 +23,10 @@
 	dropped atomic.Int64
 }
 
-// ListenPackets listens at an IP address and port. Each datagram is passed to take on the owner's
-// goroutine; one of more than most bytes is dropped. Netpoll serves streams only, so a goroutine
+// ListenPackets listens at an IP address and port. Each datagram is passed to handle on the owner's
+// goroutine; one of more than maxBytes bytes is dropped. Netpoll serves streams only, so a goroutine
 // of its own reads until the socket is closed.
-func ListenPackets(post Poster, addr string, most int, take func(from netip.AddrPort, b []byte)) (*PacketConn, error) {
+func ListenPackets(post Poster, addr string, maxBytes int, handle func(from netip.AddrPort, b []byte)) (*PacketConn, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
@@ -41,12 +41,12 @@
 		return nil, fmt.Errorf("listening: %w", err)
 	}
 	p := &PacketConn{conn: conn, raw: raw.Write, post: post}
-	go p.read(most, take)
+	go p.read(maxBytes, handle)
 	return p, nil
 }
 
-func (p *PacketConn) read(most int, take func(netip.AddrPort, []byte)) {
-	buf := make([]byte, most+1)
+func (p *PacketConn) read(maxBytes int, handle func(netip.AddrPort, []byte)) {
+	buf := make([]byte, maxBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -56,7 +56,7 @@
 			continue // concerns one datagram; a socket ends only by Close
 		}
 		// Bounds memory and the work of the owner under a flood.
-		if n > most || p.waiting.Load() >= maxWaitingPackets {
+		if n > maxBytes || p.waiting.Load() >= maxWaitingPackets {
 			p.dropped.Add(1)
 			continue
 		}
@@ -64,7 +64,7 @@
 		p.waiting.Add(1)
 		p.post.Post(func() {
 			p.waiting.Add(-1)
-			take(from, b)
+			handle(from, b)
 		})
 	}
 }
