--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -150,9 +150,9 @@
 func (c *Client) FilterAndPublish(l List) {
 	c.revision = l.Revision
 	if c.Filter != nil {
-		told := l.Told
+		notifiedAt := l.Told
 		l = c.Filter(l)
-		l.Told = told
+		l.Told = notifiedAt
 	}
 	c.Publish(l)
 }
--- a/internal/discovery/notification_times.go
+++ b/internal/discovery/notification_times.go
@@ -51,10 +51,10 @@
 // answerReceived records an answer whose first byte arrived at first, and returns when the mixer
 // counts as notified of what it says.
 func (r *notificationTimes) answerReceived(now, first time.Duration) time.Duration {
-	told := max(first, now-maxTransferTime)
+	notifiedAt := max(first, now-maxTransferTime)
 	if r.latest > 0 {
-		told = min(told, r.latest)
+		notifiedAt = min(notifiedAt, r.latest)
 	}
 	r.upToDateAt, r.latest = max(r.upToDateAt, first), 0
-	return told
+	return notifiedAt
 }
