--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -73,9 +73,10 @@
 	return l, nil
 }
 
+// statesByPhase maps the phases of discovery to the states of the decision module.
 var statesByPhase = map[string]decide.ServerState{"active": decide.Running, "leaving": decide.Stopping, "left": decide.Deleted}
 
-// Core is the part of the core that this package uses.
+// Core is the part of broker.Core that this package uses.
 type Core interface {
 	Now() time.Duration
 	After(d time.Duration, fn func())
@@ -102,11 +103,11 @@
 	PushedToAgent    bool
 	notified         notificationTimes
 	revision         int64
-	watch            *call // nil: no watch is open
-	unreachable      bool
+	watch            *call         // nil: no watch is open
+	unreachable      bool          // the latest call failed, and no answer has arrived since
 	watchTimedOut    bool          // the previous watch timed out
 	addressChanges   int           // number of changes of addr
-	retryAtOnceUntil time.Duration // end of the time after a new address in which a failed watch is restarted without asking the core
+	retryAtOnceUntil time.Duration // until then, after a new address, this package itself restarts a failed watch
 }
 
 // call is a connection to discovery with at most one outstanding request.
@@ -125,8 +126,8 @@
 	firstByteAt   time.Duration // when the first byte of the answer arrived; 0: none has
 }
 
-// New returns a Client that calls discovery at addr. A node's zone is the index of its locality in zones; localities
-// that are not in zones get further indices.
+// New returns a Client that calls discovery at addr. A node's zone is the index of its locality in
+// zones; localities that are not in zones get further indices.
 func New(core Core, net transport.Dialer, addr string, zones []string, log zerolog.Logger) *Client {
 	c := &Client{core: core, net: net, addr: addr, zones: map[string]int{}, log: log}
 	for i, z := range zones {
@@ -179,7 +180,7 @@
 	return i
 }
 
-// Watch implements broker.Directory.
+// Watch implements broker.Directory: it starts the watch anew, or ends it.
 func (c *Client) Watch(on bool) {
 	if old := c.watch; old != nil {
 		c.watch = nil
@@ -211,7 +212,7 @@
 	c.startWatch(true)
 }
 
-// Read implements broker.Directory.
+// Read implements broker.Directory: it requests the whole list once, beside the watch.
 func (c *Client) Read() { (&call{c: c, addressChange: c.addressChanges}).send() }
 
 // send sends the next request, on a new connection if none is open.
@@ -263,7 +264,7 @@
 	conn.Write([]byte(k.request))
 }
 
-// drop closes the connection without reporting a failure. It ignores an answer that is still to come.
+// drop closes the connection without reporting a failure. An answer that is still to come is ignored.
 func (k *call) drop() {
 	k.closed = true
 	k.seq++
@@ -303,6 +304,7 @@
 	})
 }
 
+// fail drops the call and handles its failure, unless another call has replaced it.
 func (k *call) fail(why string) {
 	if k.closed {
 		return
@@ -315,7 +317,7 @@
 }
 
 // handleFailure counts and logs a call that brought no answer, and has another one made: by this
-// package, or by the core through ListLost.
+// package, or by the core after WatchFailed.
 func (k *call) handleFailure(why string) {
 	k.c.Counts.Add(counts.DirectoryFailed, 1)
 	k.c.notified.handleFailure()
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -62,6 +62,7 @@
 	err             error
 }
 
+// state is the part of a message that the parser expects next.
 type state int
 
 const (
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -74,10 +74,10 @@
 	dialed bool
 	opened time.Time
 
-	muted         atomic.Bool // no more Data is delivered: Finish or Close was called
-	discards      atomic.Bool // what still arrives is read and discarded
-	discarded     int64       // bytes discarded; used by the worker only
-	unhandled     atomic.Int64
+	muted         atomic.Bool   // no more Data is delivered: Finish or Close was called
+	discards      atomic.Bool   // what still arrives is read and discarded
+	discarded     int64         // bytes discarded; used by the worker only
+	unhandled     atomic.Int64  // bytes read that wait for the owner's goroutine
 	inputDelay    time.Duration // of the bytes of the present Data; used by the owner's goroutine only
 	net           *Net
 	send          sendFunc
@@ -91,7 +91,7 @@
 	end          End   // how the connection ended; Open until known
 	finishReason End   // the argument of Finish; Open before
 	queued       int64 // bytes handed to Write
-	written      int64 // bytes that the kernel may have taken
+	written      int64 // bytes that the kernel has accepted
 	writes       int64
 	pending      []byte // what the kernel did not accept at once
 	writing      bool   // a goroutine is writing pending
@@ -502,6 +502,7 @@
 	c.postEnd()
 }
 
+// postEnd posts Ended, once, and takes the connection out of the count of open ones.
 func (c *Conn) postEnd() {
 	c.mu.Lock()
 	if c.endPosted {
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -99,8 +99,8 @@
 type Net struct {
 	post  Poster
 	onEnd func(Stats)
-	max   int64
-	open  atomic.Int64
+	max   int64        // open connections at most
+	open  atomic.Int64 // connections that are open or being dialed
 	dials *dialQueue
 
 	backlog atomic.Int64 // bytes read on all connections that wait for the owner's goroutine
