--- a/bench/zones_test.go
+++ b/bench/zones_test.go
@@ -149,7 +149,7 @@
 		if how != "oracle" || what.name == "cut from one zone" { // of that the truth is that nobody need leave
 			return
 		}
-		if _, err := crew.Ask(0, accord.Question{Op: accord.OpOrder, Name: "b", Order: word, Why: "the truth"}); err != nil {
+		if _, err := crew.Ask(0, accord.Request{Op: accord.OpZoneOrder, Name: "b", Order: word, Why: "the truth"}); err != nil {
 			t.Errorf("the oracle's word: %v", err)
 		}
 	}
--- a/cmd/kiteloft/accord_test.go
+++ b/cmd/kiteloft/accord_test.go
@@ -127,7 +127,7 @@
 }
 
 func (c *council) leader() int {
-	x, err := c.Ask(c.size-1, accord.Question{Op: accord.OpShow})
+	x, err := c.Ask(c.size-1, accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return -1
 	}
@@ -200,10 +200,10 @@
 	c.away[0].Store(true)
 	c.away[3].Store(true)
 	agree("the part with most voters", 4)
-	if x, err := c.Ask(3, accord.Question{Op: accord.OpLocal}); err != nil || x.Holders[0].Leased {
+	if x, err := c.Ask(3, accord.Request{Op: accord.OpLocal}); err != nil || x.Holders[0].Leased {
 		t.Errorf("the other part acts by a lease: %+v, %v", x.Holders, err)
 	}
-	if _, err := c.Ask(3, accord.Question{Op: accord.OpPropose, Version: version.Version{Mark: "cut off", Text: "{}"}}); err == nil {
+	if _, err := c.Ask(3, accord.Request{Op: accord.OpPropose, Version: version.Version{Mark: "cut off", Text: "{}"}}); err == nil {
 		t.Error("a part without most voters agreed")
 	}
 	c.Spoil(nil, nil, standin.Fault{})
@@ -217,7 +217,7 @@
 	var both sync.WaitGroup
 	for k := range 2 {
 		both.Go(func() {
-			_, got[k] = c.Ask(3+k, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: from, Mark: fmt.Sprint("both", k), Text: allow(c.next)}})
+			_, got[k] = c.Ask(3+k, accord.Request{Op: accord.OpPropose, Version: version.Version{BaseNumber: from, Mark: fmt.Sprint("both", k), Text: allow(c.next)}})
 		})
 	}
 	both.Wait()
@@ -229,35 +229,35 @@
 	c.next++
 
 	// A proposal and its withdrawal within a second.
-	x, err := c.Ask(4, accord.Question{Op: accord.OpShow})
+	x, err := c.Ask(4, accord.Request{Op: accord.OpShow})
 	must(err)
-	x, err = c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: "soon withdrawn", Text: allow(c.next)}})
+	x, err = c.Ask(4, accord.Request{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: "soon withdrawn", Text: allow(c.next)}})
 	must(err)
-	_, err = c.Ask(3, accord.Question{Op: accord.OpWithdraw, Number: x.Number})
+	_, err = c.Ask(3, accord.Request{Op: accord.OpWithdraw, Number: x.Number})
 	must(err)
 	c.next++
 	c.settled()
 
 	// What somebody can't act on is never agreed, and says why.
 	for _, doc := range []string{`{"sheep":1}`, `{"attempts":1}`, `{"cold_share":0.2}`, `{"nodes":[]}`, `{"storm_good":0.9}`} {
-		x, err := c.Ask(4, accord.Question{Op: accord.OpShow})
+		x, err := c.Ask(4, accord.Request{Op: accord.OpShow})
 		must(err)
 		key := strings.Trim(strings.Split(doc, ":")[0], `{"`)
-		if _, err := c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: doc, Text: doc}}); err == nil || !strings.Contains(err.Error(), key+":") {
+		if _, err := c.Ask(4, accord.Request{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: doc, Text: doc}}); err == nil || !strings.Contains(err.Error(), key+":") {
 			t.Errorf("%s: %v", doc, err)
 		}
 	}
 
 	// Whoever tries a version first dies of it.
-	x, err = c.Ask(4, accord.Question{Op: accord.OpShow})
+	x, err = c.Ask(4, accord.Request{Op: accord.OpShow})
 	must(err)
-	x, err = c.Ask(4, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: "deadly", Text: strings.Replace(x.State.Old.Text, "{", `{"attempts":3,`, 1)}})
+	x, err = c.Ask(4, accord.Request{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: "deadly", Text: strings.Replace(x.State.Old.Text, "{", `{"attempts":3,`, 1)}})
 	must(err)
 	victim, err := strconv.Atoi(strings.TrimPrefix(x.State.New.Canaries[0], "n"))
 	must(err)
 	c.lose(victim)
 	back := c.wait("the version is withdrawn", func() bool {
-		y, err := c.Ask((victim+1)%5, accord.Question{Op: accord.OpShow})
+		y, err := c.Ask((victim+1)%5, accord.Request{Op: accord.OpShow})
 		v, _ := y.State.Find(x.Number)
 		return err == nil && strings.HasPrefix(v.Outcome, "withdrawn") && y.State.Phase == version.PhaseSteady
 	})
@@ -282,7 +282,7 @@
 	must(c.Start(1))
 	c.away[1].Store(false)
 	t.Logf("a voter without its disk votes again after %v", c.wait("it votes again", func() bool {
-		y, err := c.Ask(4, accord.Question{Op: accord.OpShow})
+		y, err := c.Ask(4, accord.Request{Op: accord.OpShow})
 		return err == nil && len(y.Voters) == 3 && c.Mixer(0).Logged("accord: the voters change")+c.Mixer(2).Logged("accord: the voters change") >= 6
 	}))
 	agree("with the new seat", 1)
--- a/cmd/kiteloft/builds_test.go
+++ b/cmd/kiteloft/builds_test.go
@@ -26,23 +26,23 @@
 		c.agree("a slow disk", 3)
 	}
 	c.wait("the slow voter has all", func() bool {
-		x, err := c.Ask(slow, accord.Question{Op: accord.OpLocal})
+		x, err := c.Ask(slow, accord.Request{Op: accord.OpLocal})
 		return err == nil && x.State.Latest == c.latest && x.Holders[0].Leased
 	})
 
-	x, err := c.Ask(0, accord.Question{Op: accord.OpShow})
+	x, err := c.Ask(0, accord.Request{Op: accord.OpShow})
 	if err != nil {
 		t.Fatal(err)
 	}
 	with := func(key, mark string) version.Version {
 		return version.Version{BaseNumber: x.State.Latest, Mark: mark, Text: strings.Replace(x.State.Old.Text, "{", key, 1)}
 	}
-	y, err := c.Ask(0, accord.Question{Op: accord.OpPropose, Version: with(`{"storm_retries":0.5,`, "a new key")})
+	y, err := c.Ask(0, accord.Request{Op: accord.OpPropose, Version: with(`{"storm_retries":0.5,`, "a new key")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.wait("the version that one can't act on is withdrawn", func() bool {
-		z, err := c.Ask(0, accord.Question{Op: accord.OpShow})
+		z, err := c.Ask(0, accord.Request{Op: accord.OpShow})
 		v, _ := z.State.Find(y.Number)
 		if err != nil || z.State.Phase != version.PhaseSteady || v.Outcome == "" {
 			return false
@@ -53,17 +53,17 @@
 		return true
 	})
 	c.settled() // all on the version before, the older program among them
-	x, err = c.Ask(0, accord.Question{Op: accord.OpShow})
+	x, err = c.Ask(0, accord.Request{Op: accord.OpShow})
 	if err != nil {
 		t.Fatal(err)
 	}
-	y, err = c.Ask(2, accord.Question{Op: accord.OpPropose, Version: with(`{"storm_good":0.4,`, "a key that all know")})
+	y, err = c.Ask(2, accord.Request{Op: accord.OpPropose, Version: with(`{"storm_good":0.4,`, "a key that all know")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.wait("all act on it", func() bool {
 		for i := range c.size {
-			z, err := c.Ask(i, accord.Question{Op: accord.OpLocal})
+			z, err := c.Ask(i, accord.Request{Op: accord.OpLocal})
 			if err != nil || z.State.Phase != version.PhaseSteady || z.State.Old.Number != y.Number || !z.Holders[0].Leased {
 				return false
 			}
--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -73,10 +73,10 @@
 // team is a mixer's part in its fleet.
 type team struct {
 	link   *link.Fleet
-	accord *accord.Accord // nil: no settings are agreed on
-	roll   *roll.Roll     // nil: each follows discovery for itself
-	survey *survey.Survey // nil: nothing is said of zones
-	steer  *steer.Steer   // what zones are to get; there where the survey is
+	accord *accord.Participant // nil: no settings are agreed on
+	roll   *roll.Roll          // nil: each follows discovery for itself
+	survey *survey.Survey      // nil: nothing is said of zones
+	steer  *steer.Steer        // what zones are to get; there where the survey is
 	acts   accord.ActiveRules
 }
 
@@ -112,13 +112,13 @@
 // agree has the mixer act on agreed settings. It returns nodes whose checks are seen.
 func (t *team) agree(core *broker.Core, cfg config.Config, nodes broker.Nodes, log zerolog.Logger) (broker.Prober, error) {
 	c := *cfg.Accord
-	c.Instance, c.Loose = rand.Uint64()|1, loose
+	c.Instance, c.IgnoreLeases = rand.Uint64()|1, loose
 	a, err := accord.New(core, topic{t.link, aboutSettings}, c, log)
 	if err != nil {
 		return nil, err
 	}
 	t.accord = a
-	a.Acted = func(x accord.ActiveRules) {
+	a.OnChange = func(x accord.ActiveRules) {
 		t.acts = x
 		t.steer.Agreed(x.Plan)
 		t.limit(core, cfg)
@@ -153,7 +153,7 @@
 // limits are agreed rules as the core takes them.
 func limits(x accord.ActiveRules, cfg config.Config) broker.Limits {
 	r := x.Rules
-	l := broker.Limits{Version: x.Number, Copies: r.Copies, RetryBudgetRatio: r.RetryBudgetRatio, RetryBudgetBase: r.RetryBudgetBase, ColdShare: r.ColdShare,
+	l := broker.Limits{Version: x.VersionNumber, Copies: r.Copies, RetryBudgetRatio: r.RetryBudgetRatio, RetryBudgetBase: r.RetryBudgetBase, ColdShare: r.ColdShare,
 		Barred: r.Barred, Left: map[int]bool{}, Storm: storm.Shares{Retries: r.StormRetries, Good: r.StormGood}}
 	if r.Attempts < version.Unlimited {
 		l.MaxAttempts = r.Attempts
@@ -176,7 +176,7 @@
 func (t *team) Start(core *broker.Core) {
 	t.link.Start()
 	if t.accord != nil {
-		core.Before(t.accord.Look)
+		core.Before(t.accord.Refresh)
 		t.accord.Start()
 		t.survey.Start()
 		t.steer.Start()
--- a/cmd/kiteloft/fleet_test.go
+++ b/cmd/kiteloft/fleet_test.go
@@ -472,7 +472,7 @@
 	for ; !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Since(begun) > answerTime {
 			for i := range f.size {
-				if x, err := f.Ask(i, accord.Question{Op: accord.OpLocal}); f.Alive(i) && err == nil {
+				if x, err := f.Ask(i, accord.Request{Op: accord.OpLocal}); f.Alive(i) && err == nil {
 					f.t.Logf("n%d: leader %s, stage %d %v, %+v", i, x.Leader, x.State.Revision, x.State.Phase, x.Holders)
 				}
 			}
@@ -484,13 +484,13 @@
 
 // propose has a version agreed, by way of a mixer. It may be called again until it succeeds.
 func (f *flock) propose(at int, text string) error {
-	x, err := f.Ask(at, accord.Question{Op: accord.OpShow})
+	x, err := f.Ask(at, accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
 	f.tries++
 	mark := fmt.Sprintf("try %d", f.tries)
-	x, err = f.Ask(at, accord.Question{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: mark, Text: text}})
+	x, err = f.Ask(at, accord.Request{Op: accord.OpPropose, Version: version.Version{BaseNumber: x.State.Latest, Mark: mark, Text: text}})
 	if err == nil {
 		f.latest = x.Number
 	}
@@ -504,7 +504,7 @@
 		if !f.Alive(j) || f.away[j].Load() {
 			continue
 		}
-		x, err := f.Ask(j, accord.Question{Op: accord.OpLocal})
+		x, err := f.Ask(j, accord.Request{Op: accord.OpLocal})
 		if err != nil || !x.Holders[0].Leased || x.State.Phase != version.PhaseSteady || x.State.Old.Text != text {
 			return false
 		}
@@ -522,7 +522,7 @@
 		f.wait(what+": it is agreed", func() bool { return f.propose(at, text) == nil })
 		withdrawn := false
 		f.wait(what+": all act on it", func() bool {
-			x, err := f.Ask(at, accord.Question{Op: accord.OpShow})
+			x, err := f.Ask(at, accord.Request{Op: accord.OpShow})
 			v, _ := x.State.Find(f.latest)
 			withdrawn = err == nil && strings.HasPrefix(v.Outcome, "withdrawn") && x.State.Phase == version.PhaseSteady
 			return withdrawn || f.acted(text)
--- a/cmd/kiteloft/long_test.go
+++ b/cmd/kiteloft/long_test.go
@@ -117,7 +117,7 @@
 			}
 		}
 		time.Sleep(2 * time.Second)
-		if x, err := c.Ask(by, accord.Question{Op: accord.OpShow}); err == nil {
+		if x, err := c.Ask(by, accord.Request{Op: accord.OpShow}); err == nil {
 			c.recent(x.State, numbers)
 		}
 		if a, _, which := c.apart(); proposes && a > worst {
--- a/cmd/kiteloft/survey_test.go
+++ b/cmd/kiteloft/survey_test.go
@@ -53,7 +53,7 @@
 
 // judged is how the leader judges each zone.
 func (r *rooms) judged(by int) (view survey.View, verdicts string) {
-	x, err := r.Ask(by, accord.Question{Op: accord.OpZones})
+	x, err := r.Ask(by, accord.Request{Op: accord.OpZones})
 	if err != nil || json.Unmarshal(x.Zones, &view) != nil || !view.Whole {
 		return view, ""
 	}
@@ -69,7 +69,7 @@
 	begun, got, view := time.Now(), "", survey.View{}
 	for ; !slices.Contains(want, got); time.Sleep(50 * time.Millisecond) {
 		if view, got = r.judged(by); time.Since(begun) > 40*time.Second {
-			x, err := r.Ask(by, accord.Question{Op: accord.OpZones})
+			x, err := r.Ask(by, accord.Request{Op: accord.OpZones})
 			r.t.Fatalf("waited in vain for %q, have %+v (%.300s, %v)", want, view, x.Zones, err)
 		}
 	}
--- a/cmd/kiteloft/zones_test.go
+++ b/cmd/kiteloft/zones_test.go
@@ -15,7 +15,7 @@
 
 // own is how a mixer itself sees the zones, and what it sends there.
 func (r *rooms) own(by int) (view survey.View) {
-	x, err := r.Ask(by, accord.Question{Op: accord.OpOwnZones})
+	x, err := r.Ask(by, accord.Request{Op: accord.OpLocalZones})
 	if err == nil {
 		_ = json.Unmarshal(x.Zones, &view) // one that can't be read has no zones
 	}
@@ -75,7 +75,7 @@
 func (r *rooms) order(at int, zone, order string) {
 	r.t.Helper()
 	r.wait(order+" "+zone, func() bool {
-		_, err := r.Ask(at, accord.Question{Op: accord.OpOrder, Name: zone, Order: order, Why: "a test"})
+		_, err := r.Ask(at, accord.Request{Op: accord.OpZoneOrder, Name: zone, Order: order, Why: "a test"})
 		return err == nil
 	})
 }
@@ -121,7 +121,7 @@
 	const left = "a 1.00;b 1.00;c 0.00 leaving held;"
 	r.order(3, "c", "leave")
 	r.all("c is to be left", left, 6*time.Second)
-	if _, err := r.Ask(3, accord.Question{Op: accord.OpOrder, Name: "z", Order: "leave"}); err == nil || !strings.Contains(err.Error(), "z is no zone") {
+	if _, err := r.Ask(3, accord.Request{Op: accord.OpZoneOrder, Name: "z", Order: "leave"}); err == nil || !strings.Contains(err.Error(), "z is no zone") {
 		t.Errorf("a zone that is none: %v", err)
 	}
 
--- a/cmd/loft/settings.go
+++ b/cmd/loft/settings.go
@@ -36,7 +36,7 @@
 }
 
 // ask asks a mixer. The error of an answer is an error.
-func (m fleetMember) ask(q accord.Question) (x accord.Answer, err error) {
+func (m fleetMember) ask(q accord.Request) (x accord.Response, err error) {
 	keys, err := link.ReadKeys(m.KeyFile)
 	if err != nil {
 		return x, err
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	x, err := c.Member.ask(accord.Question{Op: accord.OpShow})
+	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
@@ -248,7 +248,7 @@
 
 // propose proposes a version, again as long as nobody leads the voters.
 func propose(out io.Writer, m fleetMember, v version.Version, from *uint64, at func(error) error) error {
-	x, err := m.ask(accord.Question{Op: accord.OpShow})
+	x, err := m.ask(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
@@ -261,9 +261,9 @@
 		_, _ = rand.Read(b[:]) // never fails
 		v.Mark = hex.EncodeToString(b[:])
 	}
-	x, err = m.ask(accord.Question{Op: accord.OpPropose, Version: v})
+	x, err = m.ask(accord.Request{Op: accord.OpPropose, Version: v})
 	if err != nil {
-		if x.Unsure {
+		if x.OutcomeUnknown {
 			return fmt.Errorf("%w (--mark %s)", err, v.Mark)
 		}
 		return at(err)
@@ -281,13 +281,13 @@
 // Run implements a command. What is on its way is withdrawn; else the old document is
 // proposed as a new version.
 func (c settingsRollbackCmd) Run(out io.Writer) error {
-	x, err := c.Member.ask(accord.Question{Op: accord.OpShow})
+	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
 	st := x.State
 	if st.Phase != version.PhaseSteady && c.To == nil {
-		if _, err := c.Member.ask(accord.Question{Op: accord.OpWithdraw, Number: st.New.Number, Why: c.Why}); err != nil {
+		if _, err := c.Member.ask(accord.Request{Op: accord.OpWithdraw, Number: st.New.Number, Why: c.Why}); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "version %d is withdrawn\n", st.New.Number)
@@ -317,7 +317,7 @@
 
 // Run implements a command.
 func (c settingsShowCmd) Run(out io.Writer) error {
-	x, err := c.Member.ask(accord.Question{Op: accord.OpShow})
+	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
@@ -343,7 +343,7 @@
 
 // Run implements a command.
 func (c settingsHistoryCmd) Run(out io.Writer) error {
-	x, err := c.Member.ask(accord.Question{Op: accord.OpShow})
+	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
@@ -371,9 +371,9 @@
 
 // Run implements a command.
 func (c settingsWaitCmd) Run(out io.Writer) error {
-	var last accord.Answer
+	var last accord.Response
 	for until := time.Now().Add(c.Patience); ; time.Sleep(200 * time.Millisecond) {
-		x, err := c.Member.ask(accord.Question{Op: accord.OpVersions})
+		x, err := c.Member.ask(accord.Request{Op: accord.OpVersions})
 		if err == nil {
 			last = x
 			if v, ok := x.State.Find(c.Number); ok && strings.HasPrefix(v.Outcome, "withdrawn") {
@@ -397,7 +397,7 @@
 }
 
 // behind says of each mixer that does not act on the present stage why.
-func behind(x accord.Answer) (list []string) {
+func behind(x accord.Response) (list []string) {
 	for _, h := range x.Holders {
 		switch {
 		case h.RefusedVersion > 0:
@@ -405,7 +405,7 @@
 		case !h.Leased:
 			list = append(list, h.Name+" is there and has no lease")
 		case h.Revision < x.State.Revision:
-			list = append(list, fmt.Sprintf("%s is at stage %d of %d, for %v at most", h.Name, h.Revision, x.State.Revision, time.Duration(h.LeftMS)*time.Millisecond))
+			list = append(list, fmt.Sprintf("%s is at stage %d of %d, for %v at most", h.Name, h.Revision, x.State.Revision, time.Duration(h.RemainingMS)*time.Millisecond))
 		}
 	}
 	return list
@@ -423,7 +423,7 @@
 	if c.Local {
 		op = accord.OpLocal
 	}
-	x, err := c.Member.ask(accord.Question{Op: op})
+	x, err := c.Member.ask(accord.Request{Op: op})
 	if err != nil {
 		return err
 	}
@@ -451,7 +451,7 @@
 			refuses = fmt.Sprintf("%d: %s", h.RefusedVersion, h.Why)
 		}
 		fmt.Fprintf(w, "%s\t%v\t%s\t%d\t%v\t%v\t%s\n", h.Name, h.Votes, acts, h.Revision, (time.Duration(h.SinceMS) * time.Millisecond).Round(100*time.Millisecond),
-			time.Duration(h.LeftMS)*time.Millisecond, refuses)
+			time.Duration(h.RemainingMS)*time.Millisecond, refuses)
 	}
 	return w.Flush()
 }
@@ -464,17 +464,19 @@
 type voterAddCmd struct{ voterCmd }
 
 // Run implements a command.
-func (c voterAddCmd) Run(out io.Writer) error { return c.change(out, accord.OpAdd, "is asked to vote") }
+func (c voterAddCmd) Run(out io.Writer) error {
+	return c.change(out, accord.OpAddVoter, "is asked to vote")
+}
 
 type voterRemoveCmd struct{ voterCmd }
 
 // Run implements a command.
 func (c voterRemoveCmd) Run(out io.Writer) error {
-	return c.change(out, accord.OpRemove, "is to leave the voters")
+	return c.change(out, accord.OpRemoveVoter, "is to leave the voters")
 }
 
 func (c voterCmd) change(out io.Writer, op, what string) error {
-	x, err := c.Member.ask(accord.Question{Op: op, Name: c.Name})
+	x, err := c.Member.ask(accord.Request{Op: op, Name: c.Name})
 	if err != nil {
 		return err
 	}
--- a/cmd/loft/settings_test.go
+++ b/cmd/loft/settings_test.go
@@ -68,15 +68,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := accord.New(core, f, accord.Config{Name: "n0", Instance: 1, Voters: []string{"n0"}, Directory: filepath.Join(dir, "accord"), Lease: time.Second,
-		Trial: 50 * time.Millisecond, Read: func(text string) (version.Rules, error) { return config.Document(text, set) }}, zerolog.Nop())
+	a, err := accord.New(core, f, accord.Config{Name: "n0", Instance: 1, Voters: []string{"n0"}, Directory: filepath.Join(dir, "accord"), LeaseDuration: time.Second,
+		TrialDuration: 50 * time.Millisecond, ParseRules: func(text string) (version.Rules, error) { return config.Document(text, set) }}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Asked, f.Word = a.Asked, a.Word
 	s := survey.New(core, f, a, "n0", "a", set.Zones, 0, zerolog.Nop())
 	st := steer.New(core, a, f, nobody{}, s, steer.Config{Zones: set.Zones, Zone: zone.Config{Manual: true}}, zerolog.Nop())
-	a.Acted = func(x accord.ActiveRules) { st.Agreed(x.Plan) }
+	a.OnChange = func(x accord.ActiveRules) { st.Agreed(x.Plan) }
 	a.Zones, a.Order = s.Describe, st.Order
 	stop := make(chan struct{})
 	over := make(chan struct{})
--- a/cmd/loft/zones.go
+++ b/cmd/loft/zones.go
@@ -16,7 +16,7 @@
 
 // judged asks for the fleet's judgement; whoever knows none has no zones.
 func judged(m fleetMember, op string) (v survey.View, err error) {
-	x, err := m.ask(accord.Question{Op: op})
+	x, err := m.ask(accord.Request{Op: op})
 	if err != nil || len(x.Zones) == 0 {
 		return v, err
 	}
@@ -37,7 +37,7 @@
 func (c zonesCmd) Run(out io.Writer) error {
 	op := accord.OpZones
 	if c.Own {
-		op = accord.OpOwnZones
+		op = accord.OpLocalZones
 	}
 	v, err := judged(c.Member, op)
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 func (c zoneCmd) order(out io.Writer, name, done string) error {
-	x, err := c.Member.ask(accord.Question{Op: accord.OpOrder, Name: c.Zone, Order: name, Why: c.Why})
+	x, err := c.Member.ask(accord.Request{Op: accord.OpZoneOrder, Name: c.Zone, Order: name, Why: c.Why})
 	if err != nil {
 		return err
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -22,7 +22,7 @@
 	if a == nil || b == nil {
 		return a == b
 	}
-	return slices.Equal(a.Voters, b.Voters) && a.Directory == b.Directory && a.Lease == b.Lease && a.Trial == b.Trial
+	return slices.Equal(a.Voters, b.Voters) && a.Directory == b.Directory && a.LeaseDuration == b.LeaseDuration && a.TrialDuration == b.TrialDuration
 }
 
 // Base is what a mixer's own settings say of what a document may change.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -142,7 +142,7 @@
 	}
 	set := c.Settings
 	c.LeaveZones = t.Leave
-	c.Accord = &accord.Config{Name: c.Name, Voters: t.Voters, Directory: t.Directory, Lease: time.Duration(lease) * time.Millisecond,
-		Trial: time.Duration(trial) * time.Millisecond, Seed: c.Seed, Read: func(text string) (version.Rules, error) { return Document(text, set) }}
+	c.Accord = &accord.Config{Name: c.Name, Voters: t.Voters, Directory: t.Directory, LeaseDuration: time.Duration(lease) * time.Millisecond,
+		TrialDuration: time.Duration(trial) * time.Millisecond, Seed: c.Seed, ParseRules: func(text string) (version.Rules, error) { return Document(text, set) }}
 	return nil
 }
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -52,17 +52,17 @@
 
 // Config is a mixer's configuration of the agreement.
 type Config struct {
-	Name      string
-	Instance  uint64
-	Voters    []string // the initial voters
-	Directory string   // for the agreed state and, at a voter, the log; "": nothing is stored
-	Lease     time.Duration
-	Trial     time.Duration // how long the canaries of a version must keep their leases with it
-	Seed      uint64
-	Read      version.RulesParser
+	Name          string
+	Instance      uint64
+	Voters        []string // the initial voters
+	Directory     string   // for the agreed state and, at a voter, the log; "": nothing is stored
+	LeaseDuration time.Duration
+	TrialDuration time.Duration // how long the canaries of a version must keep their leases with it
+	Seed          uint64
+	ParseRules    version.RulesParser
 	// IgnoreLeases makes this mixer follow the latest document without a lease. Tests use it
 	// to show which conflicts leases prevent.
-	Loose bool
+	IgnoreLeases bool
 
 	files files // nil: files in Directory
 }
@@ -81,16 +81,16 @@
 
 // ActiveRules are the rules that a mixer follows now.
 type ActiveRules struct {
-	Rules    version.Rules
-	Revision uint64
-	Number   uint64 // number of the version in force, as far as this mixer knows
-	Leased   bool
-	Plan     string // as far as this mixer knows; "": there is none
+	Rules         version.Rules
+	Revision      uint64
+	VersionNumber uint64 // number of the version in force, as far as this mixer knows
+	Leased        bool
+	Plan          string // as far as this mixer knows; "": there is none
 }
 
 // Participant is a mixer's part in the agreement. Its methods must be called on the core's
 // goroutine, apart from New.
-type Accord struct {
+type Participant struct {
 	core  Core
 	fleet Fleet
 	c     Config
@@ -98,10 +98,10 @@
 	rng   *rand.Rand
 
 	// OnChange is called with the rules that this mixer follows, whenever they change.
-	Acted func(ActiveRules)
-	// ZoneReport returns the encoded judgement of the zones; nil: there is none.
+	OnChange func(ActiveRules)
+	// Zones returns the encoded judgement of the zones; nil: there is none.
 	Zones func() []byte
-	// ZoneOrder executes an operator's order on a zone, at the leader; nil: not supported.
+	// Order executes an operator's order on a zone, at the leader; nil: not supported.
 	Order func(zone, order, why string, done func(error))
 
 	lease  *version.Lease
@@ -139,8 +139,8 @@
 
 // New returns a Participant that is idle until Start. It opens the storage, so that an
 // unusable directory is reported before clients are served. A voter needs a directory.
-func New(core Core, fleet Fleet, c Config, log zerolog.Logger) (*Accord, error) {
-	a := &Accord{core: core, fleet: fleet, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), voters: slices.Clone(c.Voters),
+func New(core Core, fleet Fleet, c Config, log zerolog.Logger) (*Participant, error) {
+	a := &Participant{core: core, fleet: fleet, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), voters: slices.Clone(c.Voters),
 		asks: map[uint64]*asking{}, hellos: map[string]hello{}, wanted: map[string]bool{}}
 	if c.files == nil && c.Directory != "" {
 		if err := os.MkdirAll(c.Directory, 0o755); err != nil {
@@ -152,7 +152,7 @@
 	if a.c.files != nil {
 		known = a.c.files.Known()
 	}
-	a.lease = version.NewLease(c.Name, c.Instance, c.Lease, known, c.Read)
+	a.lease = version.NewLease(c.Name, c.Instance, c.LeaseDuration, known, c.ParseRules)
 	if slices.Contains(c.Voters, c.Name) {
 		if a.c.files == nil {
 			return nil, errors.New("a voter needs a directory")
@@ -164,7 +164,7 @@
 	return a, nil
 }
 
-func (a *Accord) takeSeat() error {
+func (a *Participant) takeSeat() error {
 	d, l, err := a.c.files.Open()
 	if err != nil {
 		return fmt.Errorf("the voters' log: %w", err)
@@ -175,7 +175,7 @@
 
 // replaceReplica gives up a replica whose log conflicts with the agreed one, sets its file
 // aside and opens a new replica.
-func (a *Accord) reseat() {
+func (a *Participant) reseat() {
 	if a.ended {
 		return
 	}
@@ -193,25 +193,25 @@
 }
 
 // Start starts the timers. It must be called on the core's goroutine.
-func (a *Accord) Start() {
+func (a *Participant) Start() {
 	a.log.Info().Strs("voters", a.c.Voters).Bool("votes", a.seat != nil).Uint64("stage", a.lease.State().Revision).
 		Uint64("version", a.lease.State().InForce().Number).Msg("accord: started")
-	a.Look()
+	a.Refresh()
 	a.tick()
 }
 
-// WhenReady calls fn once this mixer has rules to follow: at once if a state was stored,
+// Ready calls fn once this mixer has rules to follow: at once if a state was stored,
 // otherwise with its first lease, and after two lease durations at the latest, so that the
 // mixer also serves when no voter can be reached.
-func (a *Accord) Ready(fn func()) {
+func (a *Participant) Ready(fn func()) {
 	if a.ready = fn; a.lease.State().Revision > 0 || a.acts.Leased {
 		a.isReady()
 		return
 	}
-	a.core.After(2*a.c.Lease, a.isReady)
+	a.core.After(2*a.c.LeaseDuration, a.isReady)
 }
 
-func (a *Accord) isReady() {
+func (a *Participant) isReady() {
 	if fn := a.ready; fn != nil {
 		a.ready = nil
 		fn()
@@ -219,10 +219,10 @@
 }
 
 // newID returns a random number that no other mixer has drawn, never 0.
-func (a *Accord) draw() uint64 { return a.rng.Uint64()>>1 | 1 }
+func (a *Participant) draw() uint64 { return a.rng.Uint64()>>1 | 1 }
 
 // Leader returns the name of the voters' leader as far as this mixer knows, or "".
-func (a *Accord) Leader() string {
+func (a *Participant) Leader() string {
 	switch s := a.seat; {
 	case s != nil && s.led != nil:
 		return a.c.Name
@@ -234,11 +234,11 @@
 
 // Refresh switches to the rules that this mixer may follow now. The core calls it before
 // anything is sent, as a lease may have expired while the process was paused.
-func (a *Accord) Look() {
+func (a *Participant) Refresh() {
 	now := a.core.Now()
 	rules, leased := a.lease.ActiveRules(now)
 	st := a.lease.State()
-	if a.c.Loose {
+	if a.c.IgnoreLeases {
 		rules, leased = a.loose(), true
 	}
 	if a.begun && leased == a.acts.Leased && st.Revision == a.acts.Revision {
@@ -253,8 +253,8 @@
 		line.Bool("lease", leased).Uint64("stage", st.Revision).Uint64("version", st.InForce().Number).Msg("accord: the lease was gained or lost")
 	}
 	a.acts, a.since = ActiveRules{rules, st.Revision, st.InForce().Number, leased, st.Plan}, now
-	if a.Acted != nil {
-		a.Acted(a.acts)
+	if a.OnChange != nil {
+		a.OnChange(a.acts)
 	}
 	if leased {
 		a.isReady()
@@ -263,7 +263,7 @@
 
 // AgreedState returns the latest agreed state that this mixer knows. At the leader it is
 // complete.
-func (a *Accord) Agreed() version.State {
+func (a *Participant) AgreedState() version.State {
 	if a.seat != nil && a.seat.agreed.State.Revision > a.lease.State().Revision {
 		return a.seat.agreed.State
 	}
@@ -272,7 +272,7 @@
 
 // SetZonePlan proposes a zone plan, at the leader. Its number seq must be one more than
 // that of the plan that it replaces. Done is called once, with nil if the plan was agreed.
-func (a *Accord) SetZonePlan(seq uint64, plan, why string, done func(error)) {
+func (a *Participant) SetZonePlan(seq uint64, plan, why string, done func(error)) {
 	if a.seat == nil || a.seat.led == nil || !a.seat.led.sure {
 		done(errNoLead)
 		return
@@ -281,25 +281,25 @@
 }
 
 // latestRules returns the rules of the latest document that this mixer has received.
-func (a *Accord) loose() version.Rules {
+func (a *Participant) loose() version.Rules {
 	st := a.lease.State()
 	text := st.Old.Text
 	if st.Phase != version.PhaseSteady {
 		text = st.New.Text
 	}
-	rules, err := a.c.Read(text)
+	rules, err := a.c.ParseRules(text)
 	if err != nil {
 		a.log.Error().Err(err).Msg("accord: a version can't be applied")
 	}
 	return rules
 }
 
-func (a *Accord) tick() {
+func (a *Participant) tick() {
 	if a.ended {
 		return
 	}
 	now := a.core.Now()
-	a.Look()
+	a.Refresh()
 	if a.seat != nil {
 		a.seat.tick()
 		a.greet(now)
@@ -309,7 +309,7 @@
 }
 
 // renewLease requests a lease if one is due.
-func (a *Accord) renew() {
+func (a *Participant) renew() {
 	r, due := a.lease.NextRequest(a.core.Now())
 	if !due {
 		return
@@ -320,7 +320,7 @@
 
 // sendToLeader sends a message to the leader, or through another voter if no leader is
 // known or it has not answered two attempts.
-func (a *Accord) toLeader(w word, try int) {
+func (a *Participant) toLeader(w word, try int) {
 	w.who = a.c.Name
 	if a.seat != nil && a.seat.led != nil {
 		a.lead(a.c.Name, w)
@@ -339,10 +339,10 @@
 	a.say(to, w)
 }
 
-func (a *Accord) say(to string, w word) { a.fleet.Say(to, w.encode()) }
+func (a *Participant) say(to string, w word) { a.fleet.Say(to, w.encode()) }
 
-// HandleMessage handles a message from another mixer. Malformed messages are ignored.
-func (a *Accord) Word(from string, body []byte) {
+// Word handles a message from another mixer. Malformed messages are ignored.
+func (a *Participant) Word(from string, body []byte) {
 	w, err := decode(body)
 	if err != nil || a.ended {
 		return
@@ -372,7 +372,7 @@
 		}
 		a.answered(w)
 	case kindCheck:
-		_, err := a.c.Read(string(w.body))
+		_, err := a.c.ParseRules(string(w.body))
 		back := word{kind: kindChecked, id: w.id, flag: err == nil}
 		if err != nil {
 			back.why = err.Error()
@@ -394,7 +394,7 @@
 }
 
 // handleAsLeader handles a request at the leader. Through is the mixer that delivered it.
-func (a *Accord) lead(through string, w word) {
+func (a *Participant) lead(through string, w word) {
 	back := func(w word) {
 		if through == a.c.Name {
 			a.answered(w)
@@ -428,7 +428,7 @@
 }
 
 // handleReply handles a lease or an answer from the leader.
-func (a *Accord) answered(w word) {
+func (a *Participant) answered(w word) {
 	if w.leader != "" {
 		a.leader = w.leader
 	}
@@ -460,14 +460,14 @@
 			a.log.Error().Uint64("version", n).Str("why", why).Msg("accord: this mixer can't apply a version")
 		}
 		a.keep()
-		a.Look()
+		a.Refresh()
 		a.renew() // reports the new revision at once
 		return
 	}
-	a.Look()
+	a.Refresh()
 }
 
-func (a *Accord) keep() {
+func (a *Participant) keep() {
 	if a.c.files == nil {
 		return
 	}
@@ -481,8 +481,8 @@
 
 // handleAgreed takes the replicated state of this mixer's own replica, which may be newer
 // than the state of the lease.
-func (a *Accord) heard(g agreed) {
-	if len(g.Seats) > 0 {
+func (a *Participant) heard(g agreed) {
+	if len(g.Peers) > 0 {
 		a.voters = a.seat.voters()
 	}
 	now := a.core.Now()
@@ -492,9 +492,9 @@
 	a.lease.ExpediteRenewal(g.State.Revision, now)
 }
 
-// HandleAnnouncement handles an announcement by another mixer: at a new revision, the lease
+// News handles an announcement by another mixer: at a new revision, the lease
 // is renewed at once. Other keys are ignored.
-func (a *Accord) News(key string, body []byte) {
+func (a *Participant) News(key string, body []byte) {
 	var stage uint64
 	if key != newsKey {
 		return
@@ -507,7 +507,7 @@
 }
 
 // Leave gives up the lease and closes the storage. The Participant can't be used after it.
-func (a *Accord) Leave() {
+func (a *Participant) Leave() {
 	a.toLeader(renewal(a.lease.Release()), 0)
 	a.ended = true
 	if a.seat != nil {
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -25,19 +25,19 @@
 		t.Fatalf("%+v", x)
 	}
 	t.Logf("a version: all mixers follow it after %v", w.until("all mixers follow it", 5*time.Second, func() bool { return w.all(1) }))
-	if got := w.must(6, Question{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.PhaseSteady {
+	if got := w.must(6, Request{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.PhaseSteady {
 		t.Errorf("%+v", got.State)
 	}
-	if got := w.must(2, Question{Op: OpVersions}); len(got.Holders) != 7 || got.Holders[3].Version != 1 || !got.Holders[0].Votes {
+	if got := w.must(2, Request{Op: OpVersions}); len(got.Holders) != 7 || got.Holders[3].Version != 1 || !got.Holders[0].Votes {
 		t.Errorf("%+v", got.Holders)
 	}
-	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{BaseNumber: 0, Mark: "x", Text: "{}"}}); ok || !strings.Contains(got.Error, "the latest is 1") {
+	if got, ok := w.ask(4, Request{Op: OpPropose, Version: version.Version{BaseNumber: 0, Mark: "x", Text: "{}"}}); ok || !strings.Contains(got.Error, "the latest is 1") {
 		t.Errorf("derived from an old version: %+v", got)
 	}
-	if got, ok := w.ask(4, Question{Op: OpPropose, Version: version.Version{BaseNumber: 1, Mark: "x", Text: `{"bad":1}`}}); ok || !strings.Contains(got.Error, "unknown key") {
+	if got, ok := w.ask(4, Request{Op: OpPropose, Version: version.Version{BaseNumber: 1, Mark: "x", Text: `{"bad":1}`}}); ok || !strings.Contains(got.Error, "unknown key") {
 		t.Errorf("a version that can't be applied: %+v", got)
 	}
-	if got, _ := w.ask(4, Question{Op: "dance"}); !strings.Contains(got.Error, "dance") {
+	if got, _ := w.ask(4, Request{Op: "dance"}); !strings.Contains(got.Error, "dance") {
 		t.Errorf("%+v", got)
 	}
 	w.sound()
@@ -113,7 +113,7 @@
 	number := uint64(0)
 	for _, p := range w.procs {
 		if p.a != nil {
-			number = max(number, p.acts.Number)
+			number = max(number, p.acts.VersionNumber)
 		}
 	}
 	return w.all(number)
@@ -212,11 +212,11 @@
 // TestVotersChange: an operator adds a voter and removes another one.
 func TestAnotherVoter(t *testing.T) {
 	w := begun(t, 4, 5, 3)
-	w.must(2, Question{Op: OpAdd, Name: "n4"})
-	w.until("n4 votes", 10*time.Second, func() bool { x, ok := w.ask(1, Question{Op: OpShow}); return ok && slices.Contains(x.Voters, "n4") })
-	w.must(2, Question{Op: OpRemove, Name: "n0"})
+	w.must(2, Request{Op: OpAddVoter, Name: "n4"})
+	w.until("n4 votes", 10*time.Second, func() bool { x, ok := w.ask(1, Request{Op: OpShow}); return ok && slices.Contains(x.Voters, "n4") })
+	w.must(2, Request{Op: OpRemoveVoter, Name: "n0"})
 	w.until("n0 does not", 10*time.Second, func() bool {
-		x, ok := w.ask(1, Question{Op: OpShow})
+		x, ok := w.ask(1, Request{Op: OpShow})
 		return ok && !slices.Contains(x.Voters, "n0") && len(x.Voters) == 3
 	})
 	w.kill(0)
@@ -225,7 +225,7 @@
 		t.Error("not agreed by the new voters")
 	}
 	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(1) })
-	if x, ok := w.ask(1, Question{Op: OpAdd, Name: "n9"}); ok || !strings.Contains(x.Error, "n9 is not there") {
+	if x, ok := w.ask(1, Request{Op: OpAddVoter, Name: "n9"}); ok || !strings.Contains(x.Error, "n9 is not there") {
 		t.Errorf("%+v", x)
 	}
 	w.sound()
@@ -238,7 +238,7 @@
 	if x, ok := w.propose(5, 0); !ok {
 		t.Fatalf("%+v", x)
 	}
-	q := Question{Op: OpPropose, Version: version.Version{BaseNumber: 1, Mark: "late", Text: document(1)}}
+	q := Request{Op: OpPropose, Version: version.Version{BaseNumber: 1, Mark: "late", Text: document(1)}}
 	if x, ok := w.ask(4, q); ok || !strings.Contains(x.Error, "on its way") {
 		t.Fatalf("%+v", x)
 	}
--- a/internal/fleet/accord/ask.go
+++ b/internal/fleet/accord/ask.go
@@ -13,20 +13,20 @@
 
 // Operations that the operators' tool requests.
 const (
-	OpLocal    = "local"    // the state and the rules of the mixer that is asked
-	OpShow     = "show"     // the agreed state
-	OpVersions = "versions" // which mixer follows which revision
-	OpZones    = "zones"    // the judgement of the zones by the whole fleet's evidence
-	OpOwnZones = "own"      // the same by the evidence of the mixer that is asked alone
-	OpPropose  = "propose"  // proposes a version
-	OpWithdraw = "withdraw" // withdraws the version that is being rolled out
-	OpAdd      = "add"      // adds a voter
-	OpRemove   = "remove"   // removes a voter
-	OpOrder    = "order"    // gives an order on a zone
+	OpLocal       = "local"    // the state and the rules of the mixer that is asked
+	OpShow        = "show"     // the agreed state
+	OpVersions    = "versions" // which mixer follows which revision
+	OpZones       = "zones"    // the judgement of the zones by the whole fleet's evidence
+	OpLocalZones  = "own"      // the same by the evidence of the mixer that is asked alone
+	OpPropose     = "propose"  // proposes a version
+	OpWithdraw    = "withdraw" // withdraws the version that is being rolled out
+	OpAddVoter    = "add"      // adds a voter
+	OpRemoveVoter = "remove"   // removes a voter
+	OpZoneOrder   = "order"    // gives an order on a zone
 )
 
 // Request is a request of the operators' tool.
-type Question struct {
+type Request struct {
 	Op      string          `json:"op"`
 	Version version.Version `json:"version,omitzero"` // OpPropose
 	Number  uint64          `json:"number,omitempty"` // OpWithdraw: of the version
@@ -40,7 +40,7 @@
 	Name           string `json:"name"`
 	Revision       uint64 `json:"stage"`
 	Leased         bool   `json:"leased"`
-	LeftMS         int64  `json:"left_ms"`  // until its lease has expired, at the latest
+	RemainingMS    int64  `json:"left_ms"`  // until its lease has expired, at the latest
 	SinceMS        int64  `json:"since_ms"` // since it reported Revision
 	RefusedVersion uint64 `json:"refuses,omitempty"`
 	Why            string `json:"why,omitempty"`
@@ -49,22 +49,22 @@
 }
 
 // Response is the answer to a Request.
-type Answer struct {
-	Error   string        `json:"error,omitempty"`
-	Unsure  bool          `json:"unsure,omitempty"` // with Error: the request may have been executed all the same
-	Mixer   string        `json:"mixer"`
-	Leader  string        `json:"leader,omitempty"`
-	Number  uint64        `json:"number,omitempty"`
-	State   version.State `json:"state"`
-	Voters  []string      `json:"voters,omitempty"`
-	Holders []Holder      `json:"holders,omitempty"`
-	LeaseMS int64         `json:"lease_ms,omitempty"`
+type Response struct {
+	Error          string        `json:"error,omitempty"`
+	OutcomeUnknown bool          `json:"unsure,omitempty"` // with Error: the request may have been executed all the same
+	Mixer          string        `json:"mixer"`
+	Leader         string        `json:"leader,omitempty"`
+	Number         uint64        `json:"number,omitempty"`
+	State          version.State `json:"state"`
+	Voters         []string      `json:"voters,omitempty"`
+	Holders        []Holder      `json:"holders,omitempty"`
+	LeaseMS        int64         `json:"lease_ms,omitempty"`
 
 	Zones stdjson.RawMessage `json:"zones,omitempty"`
 }
 
-func (a *Accord) encode(x Answer) []byte {
-	x.LeaseMS = a.c.Lease.Milliseconds()
+func (a *Participant) encode(x Response) []byte {
+	x.LeaseMS = a.c.LeaseDuration.Milliseconds()
 	text, err := json.Marshal(x)
 	if err != nil {
 		a.log.Error().Err(err).Msg("accord: an answer could not be encoded") // a bug
@@ -72,13 +72,13 @@
 	return text
 }
 
-// HandleRequest handles an operator's encoded Request at any mixer, forwarding it to the
+// Asked handles an operator's encoded Request at any mixer, forwarding it to the
 // leader where needed. Answer is called once with the encoded Response.
-func (a *Accord) Asked(body []byte, answer func([]byte)) {
+func (a *Participant) Asked(body []byte, answer func([]byte)) {
 	fail := func(format string, args ...any) {
-		answer(a.encode(Answer{Mixer: a.c.Name, Error: fmt.Sprintf(format, args...)}))
+		answer(a.encode(Response{Mixer: a.c.Name, Error: fmt.Sprintf(format, args...)}))
 	}
-	var q Question
+	var q Request
 	switch err := json.Unmarshal(body, &q); {
 	case err != nil:
 		fail("the request can't be read: %v", err)
@@ -86,8 +86,8 @@
 	case q.Op == OpLocal:
 		answer(a.encode(a.local()))
 		return
-	case q.Op == OpOwnZones:
-		answer(a.encode(Answer{Mixer: a.c.Name, Leader: a.leader, Zones: a.zones()}))
+	case q.Op == OpLocalZones:
+		answer(a.encode(Response{Mixer: a.c.Name, Leader: a.leader, Zones: a.zones()}))
 		return
 	case len(a.asks) >= mostAsks:
 		fail("too many requests wait")
@@ -99,13 +99,13 @@
 	a.core.After(askTime, func() {
 		if a.asks[id] == k {
 			delete(a.asks, id)
-			answer(a.encode(Answer{Mixer: a.c.Name, Unsure: true, Error: "no answer from the leader of the voters"}))
+			answer(a.encode(Response{Mixer: a.c.Name, OutcomeUnknown: true, Error: "no answer from the leader of the voters"}))
 		}
 	})
 	a.ask(id, k)
 }
 
-func (a *Accord) ask(id uint64, k *asking) {
+func (a *Participant) ask(id uint64, k *asking) {
 	if a.asks[id] != k {
 		return
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (a *Accord) zones() []byte {
+func (a *Participant) zones() []byte {
 	if a.Zones == nil {
 		return nil
 	}
@@ -124,19 +124,19 @@
 }
 
 // localStatus returns what this mixer itself knows and follows.
-func (a *Accord) local() Answer {
+func (a *Participant) local() Response {
 	now := a.core.Now()
 	refuses, why := a.lease.RefusedVersion()
-	return Answer{Mixer: a.c.Name, Leader: a.leader, State: a.lease.State(), Voters: a.voters, Holders: []Holder{{Name: a.c.Name, Revision: a.acts.Revision,
-		Leased: a.acts.Leased, LeftMS: max(0, a.lease.ExpiresAt()-now).Milliseconds(), SinceMS: (now - a.since).Milliseconds(),
-		RefusedVersion: refuses, Why: why, Version: a.acts.Number, Votes: a.seat != nil}}}
+	return Response{Mixer: a.c.Name, Leader: a.leader, State: a.lease.State(), Voters: a.voters, Holders: []Holder{{Name: a.c.Name, Revision: a.acts.Revision,
+		Leased: a.acts.Leased, RemainingMS: max(0, a.lease.ExpiresAt()-now).Milliseconds(), SinceMS: (now - a.since).Milliseconds(),
+		RefusedVersion: refuses, Why: why, Version: a.acts.VersionNumber, Votes: a.seat != nil}}}
 }
 
 // handleRequest executes an operator's request at the leader. Done gets the encoded
 // response, or nil if the outcome is undecided and the sender should retry.
 func (l *lead) answer(body []byte, done func([]byte)) {
 	a, s := l.s.a, l.s
-	x := Answer{Mixer: a.c.Name, Leader: a.c.Name}
+	x := Response{Mixer: a.c.Name, Leader: a.c.Name}
 	reply := func(err error) {
 		// These errors don't tell whether the request was executed: an earlier attempt at it may
 		// have succeeded, here or at another leader. A retry with its idempotency key finds out.
@@ -150,7 +150,7 @@
 		x.State, x.Voters = s.agreed.State, s.voters()
 		done(a.encode(x))
 	}
-	var q Question
+	var q Request
 	if err := json.Unmarshal(body, &q); err != nil {
 		reply(err)
 		return
@@ -170,11 +170,11 @@
 		l.propose(q.Version, func(n uint64, err error) { x.Number = n; reply(err) })
 	case OpWithdraw:
 		s.propose(version.Command{Kind: version.Withdraw, Number: q.Number, Why: q.Why}, func(n uint64, err error) { x.Number = n; reply(err) })
-	case OpAdd:
+	case OpAddVoter:
 		reply(l.add(q.Name))
-	case OpRemove:
+	case OpRemoveVoter:
 		reply(l.remove(q.Name))
-	case OpOrder:
+	case OpZoneOrder:
 		if a.Order == nil {
 			reply(fmt.Errorf("%s has no plan for zones", a.c.Name))
 			return
@@ -190,7 +190,7 @@
 	now, voters := l.s.a.core.Now(), l.s.voters()
 	st := l.s.agreed.State
 	for _, h := range l.g.Holders(now) {
-		x := Holder{Name: h.Name, Revision: h.Revision, Leased: true, LeftMS: (h.ExpiresAt - now).Milliseconds(), SinceMS: (now - h.ReportedAt).Milliseconds(),
+		x := Holder{Name: h.Name, Revision: h.Revision, Leased: true, RemainingMS: (h.ExpiresAt - now).Milliseconds(), SinceMS: (now - h.ReportedAt).Milliseconds(),
 			RefusedVersion: h.RefusedVersion, Why: h.Why, Votes: slices.Contains(voters, h.Name)}
 		if h.Revision == st.Revision {
 			x.Version = st.InForce().Number
@@ -225,7 +225,7 @@
 		return fmt.Errorf("%s is the only voter", voters[0])
 	}
 	delete(l.s.a.wanted, name)
-	for _, x := range l.s.agreed.Seats {
+	for _, x := range l.s.agreed.Peers {
 		if x.Name == name {
 			err := l.s.change(pb.ConfChangeRemoveNode, x)
 			l.s.drive()
--- a/internal/fleet/accord/found.go
+++ b/internal/fleet/accord/found.go
@@ -17,7 +17,7 @@
 // it joins as a learner and then replaces the old replica.
 
 // sendHellos announces this mixer's replica to the other voters until there is a log.
-func (a *Accord) greet(now time.Duration) {
+func (a *Participant) greet(now time.Duration) {
 	if a.seat.rn != nil || now < a.helloA {
 		return
 	}
@@ -37,11 +37,11 @@
 }
 
 // tryBootstrap begins the log if this is the first voter by name and no voter has a log.
-func (a *Accord) tryFound(now time.Duration) {
+func (a *Participant) tryFound(now time.Duration) {
 	if a.seat.saving || a.seat.gone || slices.Min(a.c.Voters) != a.c.Name {
 		return
 	}
-	g := agreed{State: a.lease.State(), Seats: []Seat{{a.seat.id, a.c.Name}}}
+	g := agreed{State: a.lease.State(), Peers: []Peer{{a.seat.id, a.c.Name}}}
 	for _, name := range a.c.Voters {
 		if name == a.c.Name {
 			continue
@@ -50,7 +50,7 @@
 		if !ok || h.founded || now-h.at > helloLasts {
 			return
 		}
-		g.Seats = append(g.Seats, Seat{h.seat, name})
+		g.Peers = append(g.Peers, Peer{h.seat, name})
 		// A fleet that has lost all of its logs continues from the latest state that any of
 		// its voters has stored.
 		var st version.State
@@ -61,7 +61,7 @@
 	if g.State.Revision > 0 {
 		g.State.Revision++ // what follows must not be taken for the former state
 	}
-	slices.SortFunc(g.Seats, func(a, b Seat) int { return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(g.Peers, func(a, b Peer) int { return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
 	text, err := json.Marshal(g)
 	if err != nil {
 		a.log.Error().Err(err).Msg("accord: the bootstrap state could not be encoded") // a bug
@@ -72,7 +72,7 @@
 
 // handleHello handles another voter's hello. A voter with a log answers that it has one, or
 // with the bootstrap state if the sender's replica is part of it.
-func (a *Accord) met(from string, h hello) {
+func (a *Participant) met(from string, h hello) {
 	if len(a.hellos) < maxMembers || a.hellos[from].seat != 0 {
 		a.hellos[from] = h
 	}
@@ -80,7 +80,7 @@
 		return
 	}
 	var g agreed
-	if a.seat.founding != nil && json.Unmarshal(a.seat.founding, &g) == nil && slices.Contains(g.Seats, Seat{h.seat, from}) {
+	if a.seat.founding != nil && json.Unmarshal(a.seat.founding, &g) == nil && slices.Contains(g.Peers, Peer{h.seat, from}) {
 		a.say(from, word{kind: kindFound, body: a.seat.founding})
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // handleInvite opens a replica, as an operator wants this mixer to become a voter.
-func (a *Accord) invited() {
+func (a *Participant) invited() {
 	if a.seat != nil || a.c.files == nil {
 		return
 	}
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -68,13 +68,13 @@
 	}
 	o.n++
 	in := asks{propose: w.rng.IntN(2) == 0, from: o.last}
-	q := Question{Op: OpShow}
+	q := Request{Op: OpShow}
 	if in.propose {
-		q = Question{Op: OpPropose, Version: version.Version{BaseNumber: in.from, Mark: fmt.Sprintf("%d-%d", o.id, o.n), Text: document(o.n % markers)}}
+		q = Request{Op: OpPropose, Version: version.Version{BaseNumber: in.from, Mark: fmt.Sprintf("%d-%d", o.id, o.n), Text: document(o.n % markers)}}
 	}
 	body, _ := json.Marshal(q)
 	begun, over := w.now, false
-	end := func(x Answer, heard bool) {
+	end := func(x Response, heard bool) {
 		if over {
 			return
 		}
@@ -84,7 +84,7 @@
 		back := w.now
 		var latest, other uint64
 		switch {
-		case !heard || x.Unsure:
+		case !heard || x.OutcomeUnknown:
 			if !in.propose {
 				return // a read without an answer proves nothing
 			}
@@ -109,13 +109,13 @@
 		}
 	}
 	w.procs[at].a.Asked(body, func(text []byte) {
-		var x Answer
+		var x Response
 		if err := json.Unmarshal(text, &x); err != nil {
 			w.t.Error(err)
 		}
 		end(x, true)
 	})
-	w.after(8*time.Second, func() { end(Answer{}, false) }) // the mixer has crashed with the request
+	w.after(8*time.Second, func() { end(Response{}, false) }) // the mixer has crashed with the request
 }
 
 func TestHistoriesAreLinearizable(t *testing.T) {
--- a/internal/fleet/accord/lead.go
+++ b/internal/fleet/accord/lead.go
@@ -65,7 +65,7 @@
 
 func newLead(s *seat) *lead {
 	now := s.a.core.Now()
-	return &lead{s: s, g: version.NewGranter(s.a.c.Lease, s.a.c.Trial, now), done: map[uint64][]byte{}}
+	return &lead{s: s, g: version.NewGranter(s.a.c.LeaseDuration, s.a.c.TrialDuration, now), done: map[uint64][]byte{}}
 }
 
 // recordAnswer keeps the answer to a request for its retries.
@@ -166,7 +166,7 @@
 
 // voters returns the sorted names of the voting replicas.
 func (s *seat) voters() (names []string) {
-	for _, x := range s.agreed.Seats {
+	for _, x := range s.agreed.Peers {
 		if slices.Contains(s.conf.GetVoters(), x.ID) {
 			names = append(names, x.Name)
 		}
@@ -179,7 +179,7 @@
 // voter rejects is refused; voters that do not answer in time are passed over.
 func (l *lead) propose(v version.Version, done func(number uint64, err error)) {
 	a := l.s.a
-	if _, err := a.c.Read(v.Text); err != nil {
+	if _, err := a.c.ParseRules(v.Text); err != nil {
 		l.refuse(v, fmt.Errorf("%s: %w", a.c.Name, err), done)
 		return
 	}
@@ -249,14 +249,14 @@
 	s, now := l.s, l.s.a.core.Now()
 	st := s.rn.Status()
 	named := func(name string) (list []uint64) {
-		for _, x := range s.agreed.Seats {
+		for _, x := range s.agreed.Peers {
 			if x.Name == name {
 				list = append(list, x.ID)
 			}
 		}
 		return list
 	}
-	for _, x := range s.agreed.Seats {
+	for _, x := range s.agreed.Peers {
 		if !slices.Contains(s.conf.GetLearners(), x.ID) {
 			continue
 		}
@@ -278,7 +278,7 @@
 		if now-h.at > helloLasts || h.founded || slices.Contains(ours, h.seat) || len(ours) == 0 && !s.a.wanted[name] || len(ours) > 1 {
 			continue
 		}
-		s.changing(s.change(pb.ConfChangeAddLearnerNode, Seat{h.seat, name}))
+		s.changing(s.change(pb.ConfChangeAddLearnerNode, Peer{h.seat, name}))
 		return
 	}
 }
--- a/internal/fleet/accord/seat.go
+++ b/internal/fleet/accord/seat.go
@@ -23,7 +23,7 @@
 )
 
 // Peer identifies a replica of the log. A process that has lost its disk joins with a new ID.
-type Seat struct {
+type Peer struct {
 	ID   uint64 `json:"id"`
 	Name string `json:"name"`
 }
@@ -31,7 +31,7 @@
 // replicatedState is the state that the log's entries build up.
 type agreed struct {
 	State version.State `json:"state"`
-	Seats []Seat        `json:"seats"`
+	Peers []Peer        `json:"seats"`
 }
 
 // entry is the content of a log entry.
@@ -45,7 +45,7 @@
 // send messages, then apply committed entries. The core's goroutine never waits for the
 // disk.
 type seat struct {
-	a        *Accord
+	a        *Participant
 	id       uint64
 	rn       *raft.RawNode // nil: there is no log yet
 	mem      *raft.MemoryStorage
@@ -77,7 +77,7 @@
 }
 
 // newReplica returns the replica that was loaded from a disk.
-func newSeat(a *Accord, d disk, l loaded) *seat {
+func newSeat(a *Participant, d disk, l loaded) *seat {
 	s := &seat{a: a, id: l.seat, disk: d, founding: l.founding, names: map[uint64]string{}, waiting: map[uint64]func(uint64, error){}, conf: &pb.ConfState{}}
 	if !raft.IsEmptySnap(l.snapshot) || len(l.entries) > 0 || !raft.IsEmptyHardState(l.hard) {
 		s.restore(l)
@@ -144,7 +144,7 @@
 	}
 	mine := false
 	conf := &pb.ConfState{}
-	for _, x := range a.Seats {
+	for _, x := range a.Peers {
 		conf.Voters = append(conf.Voters, x.ID)
 		mine = mine || x.ID == s.id
 	}
@@ -162,7 +162,7 @@
 			return
 		}
 		s.founding = text
-		s.a.log.Info().Int("voters", len(a.Seats)).Uint64("stage", a.State.Revision).Msg("accord: the log is bootstrapped")
+		s.a.log.Info().Int("voters", len(a.Peers)).Uint64("stage", a.State.Revision).Msg("accord: the log is bootstrapped")
 		s.restore(loaded{hard: hard, snapshot: snap})
 		s.drive()
 	})
@@ -334,7 +334,7 @@
 }
 
 func (s *seat) nameOf(id uint64) string {
-	for _, x := range s.agreed.Seats {
+	for _, x := range s.agreed.Peers {
 		if x.ID == id {
 			return x.Name
 		}
@@ -372,21 +372,21 @@
 
 func (s *seat) seatChanged(cc *pb.ConfChange) {
 	id, name := cc.GetNodeId(), string(cc.GetContext())
-	var list []Seat
-	for _, x := range s.agreed.Seats {
+	var list []Peer
+	for _, x := range s.agreed.Peers {
 		if x.ID != id {
 			list = append(list, x)
 		}
 	}
 	what := "leaves"
 	if cc.GetType() != pb.ConfChangeRemoveNode {
-		list = append(list, Seat{id, name})
+		list = append(list, Peer{id, name})
 		what = "votes"
 		if cc.GetType() == pb.ConfChangeAddLearnerNode {
 			what = "learns"
 		}
 	}
-	s.agreed.Seats = list
+	s.agreed.Peers = list
 	s.a.log.Info().Str("voter", name).Str("seat", fmt.Sprintf("%016x", id)).Str("what", what).Msg("accord: the voters change")
 }
 
@@ -475,7 +475,7 @@
 }
 
 // proposePeerChange proposes to add, promote or remove a replica.
-func (s *seat) change(kind pb.ConfChangeType, x Seat) error {
+func (s *seat) change(kind pb.ConfChangeType, x Peer) error {
 	err := s.guard(func() error {
 		return s.rn.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &x.ID, Context: []byte(x.Name)})
 	})
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/accord/world_test.go
@@ -54,7 +54,7 @@
 type proc struct {
 	w      *world
 	name   string
-	a      *Accord
+	a      *Participant
 	acts   ActiveRules
 	life   int
 	paused time.Duration
@@ -106,13 +106,13 @@
 	p := w.procs[i]
 	p.life++
 	p.paused, p.held = 0, nil
-	a, err := New(p, p, Config{Name: p.name, Instance: w.rng.Uint64() | 1, Voters: w.voters, Lease: testLease, Trial: testTrial, Seed: w.rng.Uint64(),
-		Read: read, Loose: w.loose, files: p}, w.log.With().Str("mixer", p.name).Logger())
+	a, err := New(p, p, Config{Name: p.name, Instance: w.rng.Uint64() | 1, Voters: w.voters, LeaseDuration: testLease, TrialDuration: testTrial, Seed: w.rng.Uint64(),
+		ParseRules: read, IgnoreLeases: w.loose, files: p}, w.log.With().Str("mixer", p.name).Logger())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	p.a = a
-	a.Acted = func(x ActiveRules) { p.acts = x }
+	a.OnChange = func(x ActiveRules) { p.acts = x }
 	a.Start()
 }
 
@@ -146,7 +146,7 @@
 		if p.a == nil || p.paused > w.now {
 			continue
 		}
-		p.a.Look()
+		p.a.Refresh()
 		w.looks++
 		if p.acts.Leased {
 			w.leased++
@@ -204,7 +204,7 @@
 }
 
 // ask sends a request to mixer i, as the operators' tool does, and waits for the response.
-func (w *world) ask(i int, q Question) (x Answer, ok bool) {
+func (w *world) ask(i int, q Request) (x Response, ok bool) {
 	done := false
 	body, _ := json.Marshal(q)
 	w.procs[i].a.Asked(body, func(text []byte) {
@@ -220,7 +220,7 @@
 	return x, done && x.Error == ""
 }
 
-func (w *world) must(i int, q Question) Answer {
+func (w *world) must(i int, q Request) Response {
 	w.t.Helper()
 	x, ok := w.ask(i, q)
 	if !ok {
@@ -251,7 +251,7 @@
 // all reports whether all running mixers follow a version under a lease.
 func (w *world) all(number uint64) bool {
 	for _, p := range w.procs {
-		if p.a != nil && (p.acts.Number != number || !p.acts.Leased || p.a.lease.State().Phase != version.PhaseSteady) {
+		if p.a != nil && (p.acts.VersionNumber != number || !p.acts.Leased || p.a.lease.State().Phase != version.PhaseSteady) {
 			return false
 		}
 	}
@@ -292,12 +292,12 @@
 }
 
 // propose proposes the document of marker i, from the latest version.
-func (w *world) propose(at, i int) (Answer, bool) {
-	from, ok := w.ask(at, Question{Op: OpShow})
+func (w *world) propose(at, i int) (Response, bool) {
+	from, ok := w.ask(at, Request{Op: OpShow})
 	if !ok {
 		return from, false
 	}
-	return w.ask(at, Question{Op: OpPropose, Version: version.Version{BaseNumber: from.State.Latest, Mark: fmt.Sprintf("mark%d-%d", i, w.n), Text: document(i)}})
+	return w.ask(at, Request{Op: OpPropose, Version: version.Version{BaseNumber: from.State.Latest, Mark: fmt.Sprintf("mark%d-%d", i, w.n), Text: document(i)}})
 }
 
 // The methods below implement Core, Fleet, persistence and logWriter.
@@ -318,7 +318,7 @@
 	case p.paused > p.w.now:
 		p.w.after(p.paused-p.w.now, func() { p.do(life, fn) })
 	default:
-		p.a.Look()
+		p.a.Refresh()
 		fn()
 	}
 }
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -47,7 +47,7 @@
 // Accord is what it needs of what the mixers agree on.
 type Accord interface {
 	Leader() string
-	Agreed() version.State
+	AgreedState() version.State
 	SetZonePlan(seq uint64, plan, why string, done func(error))
 }
 
@@ -187,7 +187,7 @@
 }
 
 // latest is the plan that is agreed, as the leader knows it.
-func (s *Steer) latest() (zone.Plan, error) { return parse(s.accord.Agreed().Plan) }
+func (s *Steer) latest() (zone.Plan, error) { return parse(s.accord.AgreedState().Plan) }
 
 // propose has a plan agreed.
 func (s *Steer) propose(was, next zone.Plan, done func(error)) {
--- a/internal/standin/crew.go
+++ b/internal/standin/crew.go
@@ -204,7 +204,7 @@
 
 // Ask asks a mixer about the settings that the fleet agrees on. An error of the answer's
 // is one.
-func (c *Crew) Ask(i int, q accord.Question) (x accord.Answer, err error) {
+func (c *Crew) Ask(i int, q accord.Request) (x accord.Response, err error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return x, err
