--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -315,7 +315,7 @@
 			return connectionError{http2.ErrCodeStreamClosed, "HEADERS on a closed stream"}
 		}
 		c.lastID = f.StreamID
-		// A client may disregard the limit that the settings announced.
+		// A client may disregard the announced limit, which bounds memory and the load of the core.
 		if len(c.streams) >= maxStreams || c.goingAway {
 			_ = c.framer.WriteRSTStream(f.StreamID, http2.ErrCodeRefusedStream)
 			return nil
