--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -60,7 +60,7 @@
 	}
 	w := &world{now: 24 * time.Hour}
 	w.Core = broker.New(set, decide.New(set.Module, 1), func() time.Duration { return w.now }, w)
-	w.Use(w, w)
+	w.Attach(w, w)
 	w.Post(func() {
 		var list []broker.ListedNode
 		for i := range nodeCount {
@@ -68,7 +68,7 @@
 		}
 		w.UpdateNodeList(broker.List{Full: true, Version: 1, Members: list})
 	})
-	w.Turn()
+	w.RunOnce()
 	return w, set
 }
 
@@ -79,7 +79,7 @@
 		cfg.Classes = append(cfg.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline})
 	}
 	r := tracing.New(cfg)
-	w.Record(r)
+	w.SetTraceRecorder(r)
 	var take func()
 	take = func() {
 		r.Take(w.Now(), 1000)
@@ -117,7 +117,7 @@
 			}
 		})
 	}
-	w.Turn()
+	w.RunOnce()
 }
 
 // until turns until n queries are served.
@@ -215,7 +215,7 @@
 			f := platform.New(w.Core, set.Module.Classes, nil, space{}, zerolog.Nop())
 			c := &client{}
 			h := f.Accept(c)
-			w.Turn()
+			w.RunOnce()
 			class := set.Module.Classes[s.class]
 			var list []string
 			for _, p := range parts(s.parts) {
--- a/cmd/kiteloft/ending.go
+++ b/cmd/kiteloft/ending.go
@@ -86,7 +86,7 @@
 		e.columns.Stop()
 	}
 	e.quietly()
-	e.core.After(max(0, e.kill-lastBefore-e.core.Now()), e.core.EndAll)
+	e.core.After(max(0, e.kill-lastBefore-e.core.Now()), e.core.FailAllQueries)
 }
 
 // quietly ends the program once nothing is open and nothing has been for a while. A client
@@ -94,9 +94,9 @@
 // for as long as there is time.
 func (e *ending) quietly() {
 	e.core.After(lingerOn, func() {
-		e.core.Stop(func() {
+		e.core.OnIdle(func() {
 			e.core.After(lingerOn, func() {
-				process := gate.Process{Open: e.core.Held(), Clients: e.front.Clients(), Now: e.core.Now(), Last: e.kill - lastBefore}
+				process := gate.Process{Open: e.core.OpenCount(), Clients: e.front.Clients(), Now: e.core.Now(), Last: e.kill - lastBefore}
 				if gate.End(process) != gate.Allowed {
 					e.quietly()
 					return
--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -43,7 +43,7 @@
 	if cfg.Lists {
 		t.roll = roll.New(core, topic{f, aboutLists}, dir, cfg.Name, cfg.Settings.Zones, cfg.Seed, log)
 		dir.Filter = t.roll.Filter
-		core.Use(nodes, t.roll)
+		core.Attach(nodes, t.roll)
 	}
 	checks := broker.Prober(nodes)
 	if cfg.Accord != nil {
@@ -52,7 +52,7 @@
 		}
 	}
 	probes := duty.New(core, f, checks)
-	core.Divide(probes)
+	core.SetProber(probes)
 	f.Changed = core.AggregatorsChanged
 	f.News = func(key string, body []byte, age time.Duration) {
 		probes.News(key, body, age)
@@ -147,7 +147,7 @@
 			l.Left[i] = true
 		}
 	}
-	core.Limit(l)
+	core.SetLimits(l)
 }
 
 // limits are agreed rules as the core takes them.
@@ -176,7 +176,7 @@
 func (t *team) Start(core *broker.Core) {
 	t.link.Start()
 	if t.accord != nil {
-		core.Before(t.accord.Refresh)
+		core.OnTurn(t.accord.Refresh)
 		t.accord.Start()
 		t.survey.Start()
 		t.steer.Start()
--- a/cmd/kiteloft/main.go
+++ b/cmd/kiteloft/main.go
@@ -239,8 +239,8 @@
 		StreamsPerConn: set.StreamsPerConn}, map[string]node.Protocol{"": node.Frames, nodeflight.Scheme: nodeflight.Protocol}, log)
 	dir := discovery.New(core, net.Direct(), cfg.Discovery, set.Zones, log)
 	dir.MixerCount, dir.PushedToAgent = set.Module.Aggregators, !set.Module.WatchDiscovery
-	core.Use(links, dir)
-	core.Count(&count.set)
+	core.Attach(links, dir)
+	core.SetCounts(&count.set)
 	links.Counts, dir.Counts = &count.set, &count.set
 	front := platform.New(core, set.Module.Classes, set.Module.Tenants, net, log)
 	var ln *transport.Listener
--- a/cmd/kiteloft/traces.go
+++ b/cmd/kiteloft/traces.go
@@ -55,7 +55,7 @@
 		send = otlp.NewSender(t.Collector)
 	}
 	tr := &traces{core: core, rec: tracing.New(rc), exp: otlp.NewExporter(src, disk, send, log), log: log}
-	core.Record(tr.rec)
+	core.SetTraceRecorder(tr.rec)
 	log.Info().Str("collector", t.Collector).Str("directory", t.Directory).Int("memory_kb", t.MemoryKB).Msg("traces are recorded")
 	return tr, nil
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -177,14 +177,14 @@
 	barred   map[string]bool // nodes to which nothing is sent, whatever the list says
 	before   func()          // may be nil
 	observer Observer        // may be nil
-	lag      time.Duration   // longest delay of a timer since Lag was last called
+	lag      time.Duration   // longest delay of a timer since the last call of Lag
 	number   int64           // number of the latest query
 	held     int             // open queries and their parts
 	audit    Audit
-	ended    bool   // EndAll was called: no new query is taken
+	ended    bool   // FailAllQueries was called: no new query is taken
 	shards   []int  // buffer of sum
-	stopping bool   // Stop was called
-	idle     func() // called once when no query is open, after Stop
+	stopping bool   // OnIdle was called
+	idle     func() // called once when no query is open, after OnIdle
 }
 
 // query is an open query.
@@ -271,19 +271,19 @@
 	return parent, state
 }
 
-// New returns a Core. Use has to be called before Run.
+// New returns a Core. Attach has to be called before Run.
 func New(set settings.Settings, mod Stepper, clock func() time.Duration, log Logger) *Core {
 	return &Core{limits: Limits{MaxOpen: set.Module.MaxOpen, MaxAttempts: set.Module.MaxAttempts}, set: set, mod: mod, clock: clock, log: log, mail: newMailbox(), watch: storm.New(),
 		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, members: map[string]ListedNode{},
 		told: map[string]time.Duration{}}
 }
 
-// Use sets the transport to the nodes and the source of the node list. Nodes are also
-// probed through n, unless Divide sets another prober.
-func (c *Core) Use(n Nodes, d Directory) { c.nodes, c.dir, c.prober = n, d, n }
+// Attach sets the transport to the nodes and the source of the node list. Nodes are also
+// probed through n, unless SetProber sets another prober.
+func (c *Core) Attach(n Nodes, d Directory) { c.nodes, c.dir, c.prober = n, d, n }
 
-// Divide sets the prober in place of the Nodes given to Use.
-func (c *Core) Divide(p Prober) { c.prober = p }
+// SetProber sets the prober in place of the Nodes given to Attach.
+func (c *Core) SetProber(p Prober) { c.prober = p }
 
 // AggregatorsChanged tells the decision module how many mixers of the fleet are alive, and this
 // mixer's share, from 0 to 1, of the budgets that they have in common.
@@ -300,12 +300,12 @@
 // ListedNode returns a node's entry in the list, or the zero ListedNode if it is not listed.
 func (c *Core) ListedNode(id string) ListedNode { return c.members[id] }
 
-// Record sets the recorder of traces.
-func (c *Core) Record(r *tracing.Recorder) { c.traces = r }
+// SetTraceRecorder sets the recorder of traces.
+func (c *Core) SetTraceRecorder(r *tracing.Recorder) { c.traces = r }
 
-// Count has the core add up its counters in s, and remember the latest events for the log
+// SetCounts has the core add up its counters in s, and remember the latest events for the log
 // lines of guards.
-func (c *Core) Count(s *counts.Set) { c.counts, c.recent = s, new(counts.Recent) }
+func (c *Core) SetCounts(s *counts.Set) { c.counts, c.recent = s, new(counts.Recent) }
 
 // ListAge returns the time since the last update of the node list.
 func (c *Core) ListAge() time.Duration { return c.now - c.listed }
@@ -328,8 +328,8 @@
 // Audit returns the counts so far.
 func (c *Core) Audit() Audit { return c.audit }
 
-// Held returns the number of open queries and their parts.
-func (c *Core) Held() int { return c.held }
+// OpenCount returns the number of open queries and their parts.
+func (c *Core) OpenCount() int { return c.held }
 
 // Run runs the event loop until stop is closed. The calling goroutine becomes the core's.
 func (c *Core) Run(stop <-chan struct{}) {
@@ -345,7 +345,7 @@
 		case <-c.mail.ready:
 		case <-timer.C:
 		}
-		c.Turn()
+		c.RunOnce()
 	}
 }
 
@@ -362,10 +362,10 @@
 	return max(0, due-c.clock()), ok
 }
 
-// Turn runs one iteration of the event loop: the posted functions, the timers that are
+// RunOnce runs one iteration of the event loop: the posted functions, the timers that are
 // due, and then a step of the module. It is called by Run, or in its place by a caller
 // that controls the clock, as a benchmark does.
-func (c *Core) Turn() {
+func (c *Core) RunOnce() {
 	c.now = c.clock()
 	if c.before != nil {
 		c.before()
@@ -391,16 +391,16 @@
 	}
 }
 
-// Stop has idle called once, as soon as no query is open.
-func (c *Core) Stop(idle func()) { c.stopping, c.idle = true, idle }
+// OnIdle has idle called once, as soon as no query is open.
+func (c *Core) OnIdle(idle func()) { c.stopping, c.idle = true, idle }
 
-// Instant reads the module's clock. Unlike Now, it counts what the current turn of the
+// ReadClock reads the module's clock. Unlike Now, it counts what the current turn of the
 // event loop has taken so far, which may be long.
-func (c *Core) Instant() time.Duration { return max(c.now, c.clock()) }
+func (c *Core) ReadClock() time.Duration { return max(c.now, c.clock()) }
 
-// EndAll fails every open query and has all new ones turned away. It is called when the
+// FailAllQueries fails every open query and has all new ones turned away. It is called when the
 // process is about to be killed.
-func (c *Core) EndAll() {
+func (c *Core) FailAllQueries() {
 	c.ended = true
 	open := slices.Collect(maps.Values(c.queries))
 	slices.SortFunc(open, func(a, b *query) int { return cmp.Compare(a.number, b.number) })
@@ -622,7 +622,7 @@
 	if a.over {
 		return false
 	}
-	verdict := c.rules().Attempt(c.facts(a, c.Instant()))
+	verdict := c.rules().Attempt(c.facts(a, c.ReadClock()))
 	if verdict.Unexpected() {
 		c.guard(a.p.q, verdict.String(), "an attempt at node "+a.Node.ID+" waited for too long")
 	}
@@ -632,7 +632,7 @@
 // CheckWritten checks an attempt that has just been written against the rules, and counts and
 // logs a violation. Told is the time left that the node was sent.
 func (c *Core) CheckWritten(a *Attempt, told time.Duration) {
-	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.Instant()), Told: told})
+	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.ReadClock()), Told: told})
 	if verdict != gate.Allowed {
 		c.audit.Violations++
 		c.guard(a.p.q, verdict.String(), "VIOLATION: an attempt at node "+a.Node.ID+" left too late")
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -103,7 +103,7 @@
 // at moves the clock and runs the event loop once.
 func (s *stage) at(d time.Duration) {
 	s.now = time.Hour + d
-	s.Turn()
+	s.RunOnce()
 }
 
 const tick = 5 * time.Millisecond
@@ -116,7 +116,7 @@
 		MaxAttempts: 2, Classes: []decide.Class{{Name: "a", RequiredWeight: 1, MinWeight: 1}, {Name: "b", RequiredWeight: 1, MinWeight: 0.5, SecondStepParts: 1},
 			{Name: "c", Idempotency: decide.NonIdempotent}}}}
 	s.Core = New(set, &s.script, func() time.Duration { return s.now }, s)
-	s.Use(s, s)
+	s.Attach(s, s)
 	s.Post(func() {
 		s.UpdateNodeList(List{Full: true, Version: 1, Members: []ListedNode{{Server: decide.Server{ID: "n0", Cell: 0}, Addr: "x"}, {Server: decide.Server{ID: "n1", Cell: 1}, Addr: "y"}}})
 	})
@@ -240,8 +240,8 @@
 	if diff := cmp.Diff(want, s.done()); diff != "" || s.givenUp != 3 {
 		t.Errorf("%s; %d given up", diff, s.givenUp)
 	}
-	if diff := cmp.Diff([]string{"failed"}, s.answers); diff != "" || s.Held() != 0 || len(s.parts) != 0 {
-		t.Errorf("%s; %d held, %d parts kept", diff, s.Held(), len(s.parts))
+	if diff := cmp.Diff([]string{"failed"}, s.answers); diff != "" || s.OpenCount() != 0 || len(s.parts) != 0 {
+		t.Errorf("%s; %d held, %d parts kept", diff, s.OpenCount(), len(s.parts))
 	}
 }
 
@@ -309,8 +309,8 @@
 	for d := tick; d <= time.Second; d += tick {
 		s.at(d)
 	}
-	if len(s.answers) != 0 || s.givenUp != 2 || s.Held() != 0 {
-		t.Errorf("answers %v, %d given up, %d held", s.answers, s.givenUp, s.Held())
+	if len(s.answers) != 0 || s.givenUp != 2 || s.OpenCount() != 0 {
+		t.Errorf("answers %v, %d given up, %d held", s.answers, s.givenUp, s.OpenCount())
 	}
 }
 
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -28,11 +28,11 @@
 	Left map[int]bool
 }
 
-// Before has fn called at the start of each turn of the event loop, before anything is sent.
-func (c *Core) Before(fn func()) { c.before = fn }
+// OnTurn has fn called at the start of each turn of the event loop, before anything is sent.
+func (c *Core) OnTurn(fn func()) { c.before = fn }
 
-// Limit sets the limits that hold from now on. Attempts that are out go on.
-func (c *Core) Limit(l Limits) {
+// SetLimits sets the limits that hold from now on. Attempts that are out go on.
+func (c *Core) SetLimits(l Limits) {
 	c.limits = l
 	c.watch.Set(l.Storm)
 	c.events = append(c.events, decide.Limits{MaxAttempts: l.MaxAttempts, CopiesAllowed: l.Copies, RetryBudgetRatio: l.RetryBudgetRatio,
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -136,7 +136,7 @@
 		return
 	}
 	c.parser.Write(b)
-	c.arrived.add(len(b), c.f.core.Instant()-c.conn.InputDelay())
+	c.arrived.add(len(b), c.f.core.ReadClock()-c.conn.InputDelay())
 	c.next()
 	c.readAhead()
 	// Guards memory against a client that pipelines without end. What was read whole is owed
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -23,7 +23,7 @@
 }
 
 func (d *desk) Now() time.Duration              { return d.now }
-func (d *desk) Instant() time.Duration          { return d.now }
+func (d *desk) ReadClock() time.Duration        { return d.now }
 func (d *desk) After(_ time.Duration, f func()) { d.due = append(d.due, f) }
 func (d *desk) Post(fn func())                  { fn() }
 func (d *desk) Admit(q broker.Query) (broker.Admission, *broker.QueryHandle) {
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -33,8 +33,8 @@
 // Core is what a front needs of the core.
 type Core interface {
 	Now() time.Duration
-	// Instant is the clock at this very moment, where Now is that of the present turn.
-	Instant() time.Duration
+	// ReadClock is the clock at this very moment, where Now is that of the present turn.
+	ReadClock() time.Duration
 	After(d time.Duration, fn func())
 	Admit(q broker.Query) (broker.Admission, *broker.QueryHandle)
 	Post(fn func())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,8 +44,8 @@
 	Now() time.Duration
 	After(d time.Duration, fn func())
 	Ended(a *broker.Attempt, o decide.Outcome, score int64, value []byte)
-	// Instant reads the clock.
-	Instant() time.Duration
+	// ReadClock reads the clock.
+	ReadClock() time.Duration
 	// MaySend reports whether an attempt may be written now.
 	MaySend(a *broker.Attempt) bool
 	// CheckWritten checks an attempt that was written; told is the time left that its node was sent.
@@ -492,7 +492,7 @@
 
 // TimeLeft returns how long a ticket will still be waited for, and records it as sent to the node.
 func (l *Link) TimeLeft(t *Ticket) time.Duration {
-	t.told = t.Attempt.TimeLeft(l.ls.core.Instant())
+	t.told = t.Attempt.TimeLeft(l.ls.core.ReadClock())
 	return t.told
 }
 
