--- a/decide/health.go
+++ b/decide/health.go
@@ -10,146 +10,149 @@
 // silence is how long the server has left us without a word while something was out. With nothing out it
 // fades as fast as it grew: evidence that nothing renews must not keep a server out for good.
 func (m *StateMachine) silence(s *server) time.Duration {
-	if s.out == 0 {
-		return max(0, s.silentFor-(m.now-s.idleSince))
+	if s.inFlight == 0 {
+		return max(0, s.lastSilence-(m.now-s.idleSince))
 	}
-	return m.now - s.waitSince
+	return m.now - s.unansweredSince
 }
 
 // heard ends a silence. After a long one the server may have restarted unseen, so it counts as cold.
-func (m *StateMachine) heard(s *server) {
-	if m.shortest > 0 && m.silence(s) > 4*m.shortest && m.set.WarmupTime > 0 {
-		m.chill(s, m.now)
+func (m *StateMachine) recordResponse(s *server) {
+	if m.shortestTarget > 0 && m.silence(s) > 4*m.shortestTarget && m.settings.WarmupTime > 0 {
+		m.markCold(s, m.now)
 	}
-	s.silentFor, s.waitSince, s.mute, s.misses = 0, m.now, false, 0
+	s.lastSilence, s.unansweredSince, s.unresponsive, s.missedAttempts = 0, m.now, false, 0
 }
 
-func (m *StateMachine) judge(s *server, a *attempt, e AttemptDone) {
+func (m *StateMachine) recordOutcome(s *server, a *attempt, e AttemptDone) {
 	switch e.Outcome {
 	case OK:
-		m.heard(s)
-		m.tally(a, 0)
-		s.usedAt = m.now
-		s.answers.add(m.now, 1)
-		s.heardOf = max(s.heardOf, a.sent)
-		s.fault *= 1 - faultWeight
-		s.trials = 0
-		m.sample(a, e.Latency)
-		m.took.add(m.now, e.Latency.Seconds())
-		m.answered.add(m.now, 1)
+		m.recordResponse(s)
+		m.countLoss(a, 0)
+		s.connUsedAt = m.now
+		s.answerRate.add(m.now, 1)
+		s.lastAnsweredSentAt = max(s.lastAnsweredSentAt, a.sentAt)
+		s.failureShare *= 1 - failureWeight
+		s.failedTrials = 0
+		m.recordSample(a, e.Latency)
+		m.latencySum.add(m.now, e.Latency.Seconds())
+		m.answerCount.add(m.now, 1)
 	case Failed, Full, Reset:
-		m.heard(s)
+		m.recordResponse(s)
 		if e.Outcome == Reset {
-			s.usedAt = 0
+			s.connUsedAt = 0
 		}
 		if e.Outcome != Reset || a.idle == 0 {
-			m.blame(s)
+			m.recordFailure(s)
 		} else {
-			m.lostIdle = 1 // it was certainly dropped
-			m.learnIdle(a)
+			m.idleLossShare = 1 // it was certainly dropped
+			m.lowerIdleLimit(a)
 		}
 	case ConnectFailed:
-		s.usedAt = 0
-		m.blame(s)
+		s.connUsedAt = 0
+		m.recordFailure(s)
 	case TimedOut:
-		m.sample(a, e.Latency)
+		m.recordSample(a, e.Latency)
 	}
 }
 
-func (m *StateMachine) blame(s *server) {
-	if m.suspect(s) {
-		s.trials++
+func (m *StateMachine) recordFailure(s *server) {
+	if m.isSuspect(s) {
+		s.failedTrials++
 	}
-	s.fault += (1 - s.fault) * faultWeight
-	s.trialAt = m.now + m.restPause(s)
+	s.failureShare += (1 - s.failureShare) * failureWeight
+	s.trialAt = m.now + m.nextTrialPause(s)
 }
 
-func (m *StateMachine) trialPause() time.Duration {
-	return time.Duration(trialAims * float64(m.shortest))
+func (m *StateMachine) baseTrialPause() time.Duration {
+	return time.Duration(trialTargetShare * float64(m.shortestTarget))
 }
 
 // missed notes an attempt that was called off late, without a word from its server since it was sent. Guards
 // against a server that is gone and known by nothing: a copy answers each of its parts before its silence is
 // long, and the next part comes when that has faded. Connections that may have been dropped prove nothing.
-func (m *StateMachine) missed(a *attempt) {
+func (m *StateMachine) recordMissed(a *attempt) {
 	s := a.s
-	if s.waitSince > a.sent || a.idle > 0 && m.lostIdle > m.lostFresh {
+	if s.unansweredSince > a.sentAt || a.idle > 0 && m.idleLossShare > m.freshLossShare {
 		return
 	}
-	s.misses++
-	m.blame(s)
-	if (m.suspect(s) || s.misses >= mostMisses) && !s.mute && m.set.ProbesAllowed {
-		s.mute, s.probeAt = true, m.now+m.restPause(s)
+	s.missedAttempts++
+	m.recordFailure(s)
+	if (m.isSuspect(s) || s.missedAttempts >= maxMissedAttempts) && !s.unresponsive &&
+		m.settings.ProbesAllowed {
+		s.unresponsive, s.probeAt = true, m.now+m.nextTrialPause(s)
 	}
 }
 
 // restPause is how long a suspect is left alone: no shorter than the time between the parts that a server
 // gets from us anyway, and twice as long after each trial that failed. Guards against suspicion that changes
 // nothing: where each of many aggregators meets a server once in seconds, every part would be a trial.
-func (m *StateMachine) restPause(s *server) time.Duration {
-	pause := m.trialPause()
+func (m *StateMachine) nextTrialPause(s *server) time.Duration {
+	pause := m.baseTrialPause()
 	if rate := m.partRate.rate(m.now); rate > 0 {
-		gap := time.Duration(float64(len(m.order)) / rate * float64(time.Second))
-		pause = max(pause, min(gap, restMost))
+		gap := time.Duration(float64(len(m.sortedServers)) / rate * float64(time.Second))
+		pause = max(pause, min(gap, maxTrialPause))
 	}
-	return time.Duration(float64(min(pause<<min(s.trials, 8), restMost)) * (0.75 + 0.5*m.draws.Float64()))
+	return time.Duration(float64(min(pause<<min(s.failedTrials, 8), maxTrialPause)) *
+		(0.75 + 0.5*m.jitter.Float64()))
 }
 
 // suspect guards against servers that fail, refuse or stay silent, for whatever cause.
-func (m *StateMachine) suspect(s *server) bool {
-	return s.fault > faultSuspect || s.mute || m.tooSilent(s)
+func (m *StateMachine) isSuspect(s *server) bool {
+	return s.failureShare > suspectFailureShare || s.unresponsive || m.tooSilent(s)
 }
 
 func (m *StateMachine) tooSilent(s *server) bool {
 	silence := m.silence(s)
-	return silence > time.Duration(silentAims*float64(m.shortest)) &&
-		silence > time.Duration(silentLate*float64(m.lateMark(s, m.shortest)))
+	return silence > time.Duration(silenceTargetShare*float64(m.shortestTarget)) &&
+		silence > time.Duration(silenceLateFactor*float64(m.lateThreshold(s, m.shortestTarget)))
 }
 
 // attend probes servers that have fallen silent until they are heard of again. Guards against giving such a
 // one real parts over and over: when the last part out there is called off, its silence proves nothing any
 // more and fades, though nothing shows that it is over.
-func (m *StateMachine) attend() {
-	if !m.set.ProbesAllowed {
+func (m *StateMachine) probeSilentServers() {
+	if !m.settings.ProbesAllowed {
 		return
 	}
-	for _, s := range m.order {
-		if !s.mute && s.out > 0 && m.tooSilent(s) {
-			s.mute, s.probeAt = true, m.now
+	for _, s := range m.sortedServers {
+		if !s.unresponsive && s.inFlight > 0 && m.tooSilent(s) {
+			s.unresponsive, s.probeAt = true, m.now
 		}
-		if s.mute && !s.probing && !s.barred && m.now >= s.probeAt {
-			s.probing = true
-			m.act(Probe{Server: s.ID})
+		if s.unresponsive && !s.probeInFlight && !s.retiring && m.now >= s.probeAt {
+			s.probeInFlight = true
+			m.emit(Probe{Server: s.ID})
 		}
 	}
 }
 
-func (m *StateMachine) takeProbe(e ProbeDone) {
+func (m *StateMachine) handleProbe(e ProbeDone) {
 	s := m.servers[e.Server]
 	if s == nil {
 		return
 	}
-	if s.mute && (e.Outcome == OK || e.Outcome == Failed || e.Outcome == Full) {
-		m.heard(s) // an error is a word, too
+	if s.unresponsive && (e.Outcome == OK || e.Outcome == Failed || e.Outcome == Full) {
+		m.recordResponse(s) // an error is a word, too
 		if e.Outcome == OK {
-			s.fault, s.trials = 0, 0 // a probe is served as parts are
+			s.failureShare, s.failedTrials = 0, 0 // a probe is served as parts are
 		}
 	} else if e.Outcome != NotSent {
-		s.trials++
+		s.failedTrials++
 	}
-	s.probing, s.probeAt = false, m.now+m.restPause(s)
+	s.probeInFlight, s.probeAt = false, m.now+m.nextTrialPause(s)
 }
 
 // fit tells whether the server may take the part by the offset rule: a suspect gets a repeatable part now
 // and then, as a trial, so that it is found again when it is sound; a silent one is probed instead.
-func (m *StateMachine) fit(p *part, s *server) bool {
-	if !m.allowed(p, s) {
+func (m *StateMachine) usableAtOffset(p *part, s *server) bool {
+	if !m.maySend(p, s) {
 		return false
 	}
-	doubt := m.suspect(s)
-	if doubt != s.doubted {
-		s.doubted = doubt
-		m.note("server %s suspect=%v: failing share %.2f, silent %v", s.ID, doubt, s.fault, m.silence(s))
+	doubt := m.isSuspect(s)
+	if doubt != s.loggedSuspect {
+		s.loggedSuspect = doubt
+		m.logf("server %s suspect=%v: failing share %.2f, silent %v",
+			s.ID, doubt, s.failureShare, m.silence(s))
 	}
-	return !doubt || (m.now >= s.trialAt && m.repeatable(p) && !s.mute)
+	return !doubt || (m.now >= s.trialAt && m.mayRepeat(p) && !s.unresponsive)
 }
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -468,7 +468,7 @@
 			if w.finals < 100 || w.sends < 300 || len(w.further) < 20 {
 				t.Errorf("%d finals, %d sends, %d further attempts: the day tests too little", w.finals, w.sends, len(w.further))
 			}
-			if n := len(w.m.parts) + len(w.m.queries) + len(w.m.ids) + len(w.m.live); n != 0 {
+			if n := len(w.m.parts) + len(w.m.queries) + len(w.m.queriesByID) + len(w.m.active); n != 0 {
 				t.Errorf("%d queries and parts are still held", n)
 			}
 		})
--- a/decide/seldom_test.go
+++ b/decide/seldom_test.go
@@ -62,7 +62,7 @@
 	for i := 0; i < int(length/(5*ms)); i++ {
 		r.now += 5 * ms
 		if i%10 == 0 {
-			r.ask((r.queries * 7) % r.m.set.Cells)
+			r.ask((r.queries * 7) % r.m.settings.Cells)
 			see(r.actions)
 		}
 		see(r.step(TimerFired{Token: "due"}))
@@ -103,13 +103,13 @@
 	r := seldom(t)
 	r.live(20*time.Second, "")
 	r.live(20*time.Second, "s07")
-	if s := r.m.servers["s07"]; s.mute {
-		r.pass(2 * restMost) // its probe, which is answered now
+	if s := r.m.servers["s07"]; s.unresponsive {
+		r.pass(2 * maxTrialPause) // its probe, which is answered now
 		r.step(ProbeDone{Server: "s07", Outcome: OK})
 	}
 	r.live(12*time.Second, "")
-	if s := r.m.servers["s07"]; r.m.suspect(s) || s.fault > faultCareful {
-		t.Errorf("still doubted %v after it was back: failing share %.2f, silent %v", 12*time.Second, s.fault, r.m.silence(s))
+	if s := r.m.servers["s07"]; r.m.isSuspect(s) || s.failureShare > singleTryFailureShare {
+		t.Errorf("still doubted %v after it was back: failing share %.2f, silent %v", 12*time.Second, s.failureShare, r.m.silence(s))
 	}
 }
 
--- a/decide/state.go
+++ b/decide/state.go
@@ -17,121 +17,123 @@
 
 // Module decides for one aggregator. Make it with New.
 type StateMachine struct {
-	set      Settings
-	share    float64 // of what all aggregators share
-	rng      *rand.Rand
-	draws    *rand.Rand // for waits that are spread over the aggregators
-	now      time.Duration
-	actions  []Action
-	shortest time.Duration // shortest aim of all classes
-	topWorth float64
-
-	servers map[string]*server
-	order   []*server         // by id
-	shares  []float64         // by zone, of what would be sent there; none: the whole
-	holders map[int][]*server // by shard, in the order of order; rebuilt when the list changes
-	queries map[int64]*query  // by number
-	ids     map[string]*query // by id
-	live    []*query          // in order of arrival
-	parts   map[string]*part  // held while their query lives or an attempt is out
-	calls   map[*server]*call // calls of this step that still have room
-	usual   []usual           // by class
-
-	taken, further      []time.Duration // times of arrivals and of further attempts, within FurtherWindow
-	partRate            meter
-	tenants             []meter
-	tokens              float64
-	tokensAt            time.Duration
-	rescues, saves      meter         // parts sent again without a token, and those so answered
-	took, answered      meter         // seconds and number of answers, over all servers
-	slow                quantile      // time of slow answers, in seconds, over all servers
-	wakeAt              time.Duration // of the timer that is set; 0: none
-	idleLimit           time.Duration // connections idle for longer are closed before use
-	idleLearned         time.Duration
-	lostIdle, lostFresh float64    // shares of attempts lost on connections that had been idle, and on others
-	out                 []*attempt // in the order of their sends
-	borne               borne
-	bore                recent // what a warm server bore from us
-	boreAt              time.Duration
-	askAt               time.Duration
-	asks                int
-	subscribed          bool
+	settings       Settings
+	allowanceShare float64 // of what all aggregators share
+	rng            *rand.Rand
+	jitter         *rand.Rand // for waits that are spread over the aggregators
+	now            time.Duration
+	actions        []Action
+	shortestTarget time.Duration // shortest aim of all classes
+	maxValue       float64
+
+	servers       map[string]*server
+	sortedServers []*server         // by id
+	zoneShares    []float64         // by zone, of what would be sent there; none: the whole
+	holders       map[int][]*server // by shard, in the order of order; rebuilt when the list changes
+	queries       map[int64]*query  // by number
+	queriesByID   map[string]*query // by id
+	active        []*query          // in order of arrival
+	parts         map[string]*part  // held while their query lives or an attempt is out
+	calls         map[*server]*call // calls of this step that still have room
+	commonTimeout []commonTimeout   // by class
+
+	// times of arrivals and of further attempts, within FurtherWindow
+	arrivals, extraAttempts      []time.Duration
+	partRate                     meter
+	tenantRates                  []meter
+	copyTokens                   float64
+	tokensRefilledAt             time.Duration
+	forcedCopies, forcedCopyWins meter             // parts sent again without a token, and those so answered
+	latencySum, answerCount      meter             // seconds and number of answers, over all servers
+	slowLatency                  quantileEstimator // time of slow answers, in seconds, over all servers
+	timerAt                      time.Duration     // of the timer that is set; 0: none
+	idleLimit                    time.Duration     // connections idle for longer are closed before use
+	idleLimitSetAt               time.Duration
+	// shares of attempts lost on connections that had been idle, and on others
+	idleLossShare, freshLossShare float64
+	inFlight                      []*attempt // in the order of their sends
+	warmRateCache                 warmRateCache
+	recentWarmRate                recentMax // what a warm server bore from us
+	maintenanceAt                 time.Duration
+	watchAt                       time.Duration
+	watchAttempts                 int
+	subscribed                    bool
 }
 
 type server struct {
 	Server
-	listed               bool
-	barred               bool          // Stopping, Deleted or gone from the list
-	barredAt             time.Duration // when that last changed
-	fill, read           *ddsketch.DDSketch
-	swapAt               time.Duration
-	out                  int // attempts
-	calls                int
-	latency, depth       float64 // means of late answers: seconds, and our calls out when they were sent
-	learnedAt            time.Duration
-	fault                float64 // failing share of late outcomes
-	waitSince            time.Duration
-	silentFor, idleSince time.Duration // silence when the last one out ended, and when that was
-	trialAt              time.Duration
-	trials               int // that failed since the last answer
-	misses               int // parts called off late since the last word
-	answers              meter
-	heardOf              time.Duration // when the latest answered attempt was sent
-	usedAt               time.Duration // last sign of life of our connection; 0: none open
-	doubted              bool          // logged as a suspect
-	mute                 bool          // fallen silent, and not heard of since
-	probing              bool          // a probe is out
-	probeAt              time.Duration // mute: when it is probed
-	coldSince            time.Duration
-	cold                 bool
-	coldSends            []time.Duration
-	coldTold, coldLast   time.Duration // when we learned that it is cold, and of the latest send
-	coldDraw             float64       // that spreads the first sends of all aggregators
+	listed                    bool
+	retiring                  bool          // Stopping, Deleted or gone from the list
+	retiringAt                time.Duration // when that last changed
+	fillSketch, readSketch    *ddsketch.DDSketch
+	sketchSwapAt              time.Duration
+	inFlight                  int // attempts
+	calls                     int
+	latency, depth            float64 // means of late answers: seconds, and our calls out when they were sent
+	sampledAt                 time.Duration
+	failureShare              float64 // failing share of late outcomes
+	unansweredSince           time.Duration
+	lastSilence, idleSince    time.Duration // silence when the last one out ended, and when that was
+	trialAt                   time.Duration
+	failedTrials              int // that failed since the last answer
+	missedAttempts            int // parts called off late since the last word
+	answerRate                meter
+	lastAnsweredSentAt        time.Duration // when the latest answered attempt was sent
+	connUsedAt                time.Duration // last sign of life of our connection; 0: none open
+	loggedSuspect             bool          // logged as a suspect
+	unresponsive              bool          // fallen silent, and not heard of since
+	probeInFlight             bool          // a probe is out
+	probeAt                   time.Duration // mute: when it is probed
+	coldSince                 time.Duration
+	cold                      bool
+	coldSends                 []time.Duration
+	coldKnownAt, lastColdSend time.Duration // when we learned that it is cold, and of the latest send
+	coldJitter                float64       // that spreads the first sends of all aggregators
 }
 
 type call struct{ parts, room int }
 
 type query struct {
 	QueryArrived
-	class            *Class
-	end, aim         time.Duration // clock times: last answer, full worth
-	parts            []*part       // of the present step
-	second, shortFst bool
-	begun            bool
-	offset           int
-	over             bool
+	class                          *Class
+	deadline, target               time.Duration // clock times: last answer, full worth
+	parts                          []*part       // of the present step
+	inSecondStep, firstStepPartial bool
+	started                        bool
+	offset                         int
+	ended                          bool
 }
 
 type part struct {
 	PartArrived
-	q        *query
-	attempts []*attempt
-	done     bool
-	copied   bool
-	shed     bool // its step or query is over
-	tryAt    time.Duration
-	remarked [3]bool // by Shortage
+	q                *query
+	attempts         []*attempt
+	done             bool
+	copied           bool
+	shed             bool // its step or query is over
+	retryAt          time.Duration
+	shortageReported [3]bool // by Shortage
 }
 
 type attempt struct {
-	p       *part
-	n       int
-	s       *server
-	c       *call
-	sent    time.Duration
-	stop    time.Duration
-	idle    time.Duration // how long its connection had been idle
-	depth   int           // calls out at the server when it was sent
-	over    bool
-	tallied bool // as lost or answered
-	rescue  bool // sent without a token
-	called  bool // cancelled by us
-	outcome Outcome
-}
-
-func (p *part) live() *attempt {
+	p           *part
+	number      int
+	s           *server
+	c           *call
+	sentAt      time.Duration
+	deadline    time.Duration
+	idle        time.Duration // how long its connection had been idle
+	depth       int           // calls out at the server when it was sent
+	ended       bool
+	lossCounted bool // as lost or answered
+	forced      bool // sent without a token
+	cancelled   bool // cancelled by us
+	outcome     Outcome
+}
+
+func (p *part) active() *attempt {
 	for _, a := range p.attempts {
-		if !a.over && !a.called {
+		if !a.ended && !a.cancelled {
 			return a
 		}
 	}
@@ -141,15 +143,15 @@
 // mayHaveRun returns the first attempt that is not proved never to have run.
 func (p *part) mayHaveRun() *attempt {
 	for _, a := range p.attempts {
-		if !a.over || !a.outcome.NeverRan() {
+		if !a.ended || !a.outcome.NeverRan() {
 			return a
 		}
 	}
 	return nil
 }
 
-func (p *part) outAt(s *server) bool {
-	return slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.s == s && !a.over })
+func (p *part) inFlightAt(s *server) bool {
+	return slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.s == s && !a.ended })
 }
 
 func (p *part) triedAt(s *server) bool {
@@ -165,7 +167,7 @@
 	if r.start == 0 {
 		r.start, r.at = now, now
 	}
-	r.sum = r.sum*math.Exp(-(now-r.at).Seconds()/rateSpan.Seconds()) + n
+	r.sum = r.sum*math.Exp(-(now-r.at).Seconds()/rateWindow.Seconds()) + n
 	r.at = now
 }
 
@@ -174,16 +176,16 @@
 	if r.start == 0 {
 		return 0
 	}
-	seen := max(now-r.start, time.Second).Seconds() / rateSpan.Seconds()
-	return r.count(now) / rateSpan.Seconds() / (1 - math.Exp(-seen))
+	seen := max(now-r.start, time.Second).Seconds() / rateWindow.Seconds()
+	return r.count(now) / rateWindow.Seconds() / (1 - math.Exp(-seen))
 }
 
 // count is the number of late, older ones counting less.
 func (r *meter) count(now time.Duration) float64 {
-	return r.sum * math.Exp(-(now-r.at).Seconds()/rateSpan.Seconds())
+	return r.sum * math.Exp(-(now-r.at).Seconds()/rateWindow.Seconds())
 }
 
-func (q *query) in() (weight float64, all bool) {
+func (q *query) receivedWeight() (weight float64, all bool) {
 	all = len(q.parts) > 0
 	for _, p := range q.parts {
 		if p.done {
@@ -196,15 +198,15 @@
 }
 
 // untouched tells whether no attempt of the query has reached a server, as far as is known.
-func (q *query) untouched() bool {
-	return !q.second && !slices.ContainsFunc(q.parts, func(p *part) bool {
+func (q *query) reachedNoServer() bool {
+	return !q.inSecondStep && !slices.ContainsFunc(q.parts, func(p *part) bool {
 		return slices.ContainsFunc(p.attempts, func(a *attempt) bool {
-			return !a.over || a.outcome != ConnectFailed && a.outcome != NotSent
+			return !a.ended || a.outcome != ConnectFailed && a.outcome != NotSent
 		})
 	})
 }
 
-func (q *query) missing() int {
+func (q *query) missingParts() int {
 	n := 0
 	for _, p := range q.parts {
 		if !p.done {
@@ -215,7 +217,7 @@
 }
 
 // since drops the times before from.
-func since(times []time.Duration, from time.Duration) []time.Duration {
+func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] < from {
 		i++
@@ -231,83 +233,86 @@
 	return ddsketch.NewDDSketch(mp, store.NewDenseStore(), store.NewDenseStore())
 }
 
-func (s *server) learn(now time.Duration, latency time.Duration) {
-	s.swap(now)
+func (s *server) observe(now time.Duration, latency time.Duration) {
+	s.swapSketches(now)
 	if latency > 0 {
-		_ = s.fill.Add(latency.Seconds()) // fails only for values out of the mapping's range
+		_ = s.fillSketch.Add(latency.Seconds()) // fails only for values out of the mapping's range
 	}
 }
 
-func (s *server) swap(now time.Duration) {
-	if now < s.swapAt {
+func (s *server) swapSketches(now time.Duration) {
+	if now < s.sketchSwapAt {
 		return
 	}
-	s.read, s.fill = s.fill, s.read
-	s.fill.Clear()
-	s.swapAt = now + sketchSwap
+	s.readSketch, s.fillSketch = s.fillSketch, s.readSketch
+	s.fillSketch.Clear()
+	s.sketchSwapAt = now + sketchSwap
 }
 
-func (m *StateMachine) release(a *attempt, o Outcome) {
-	a.over, a.outcome = true, o
+func (m *StateMachine) finishAttempt(a *attempt, o Outcome) {
+	a.ended, a.outcome = true, o
 	if a.c.parts--; a.c.parts == 0 {
 		a.s.calls--
 	}
-	if a.s.out--; a.s.out == 0 && o != OK {
-		a.s.silentFor, a.s.idleSince = m.now-a.s.waitSince, m.now
+	if a.s.inFlight--; a.s.inFlight == 0 && o != OK {
+		a.s.lastSilence, a.s.idleSince = m.now-a.s.unansweredSince, m.now
 	}
 }
 
-func (m *StateMachine) drop(p *part) {
-	if !slices.ContainsFunc(p.attempts, func(a *attempt) bool { return !a.over }) {
+func (m *StateMachine) removeUnlessInFlight(p *part) {
+	if !slices.ContainsFunc(p.attempts, func(a *attempt) bool { return !a.ended }) {
 		delete(m.parts, p.ID)
 	}
 }
 
 // usual is the time that most queries of a class bring, by majority vote.
-type usual struct {
-	left  time.Duration
-	votes int
+type commonTimeout struct {
+	timeout time.Duration
+	votes   int
 }
 
-func (s *server) forget(now time.Duration) {
-	s.fill, s.read, s.swapAt = newSketch(sketchAccuracy), newSketch(sketchAccuracy), now+sketchSwap
-	s.latency, s.fault, s.silentFor, s.waitSince, s.mute = 0, 0, 0, now, false
-	s.trialAt, s.trials, s.misses = 0, 0, 0
-	s.learnedAt = now - 1000*sketchSwap // nothing is known: infinitely old
+func (s *server) resetStatistics(now time.Duration) {
+	s.fillSketch, s.readSketch, s.sketchSwapAt =
+		newSketch(sketchAccuracy), newSketch(sketchAccuracy), now+sketchSwap
+	s.latency, s.failureShare, s.lastSilence, s.unansweredSince, s.unresponsive = 0, 0, 0, now, false
+	s.trialAt, s.failedTrials, s.missedAttempts = 0, 0, 0
+	s.sampledAt = now - 1000*sketchSwap // nothing is known: infinitely old
 }
 
 // limit takes other figures.
-func (m *StateMachine) limit(e Limits) {
-	m.set.MaxAttempts, m.set.CopiesAllowed = e.MaxAttempts, e.CopiesAllowed
-	m.set.RetryBudgetRatio, m.set.RetryBudgetBase = e.RetryBudgetRatio, e.RetryBudgetBase
-	m.set.ColdBudgetFactor = e.ColdBudgetFactor
-	m.set.Tenants = slices.Clone(m.set.Tenants) // the Settings are the caller's
-	for i, x := range e.Allowances[:min(len(e.Allowances), len(m.set.Tenants))] {
-		m.set.Tenants[i].Allowance = x
+func (m *StateMachine) updateLimits(e Limits) {
+	m.settings.MaxAttempts, m.settings.CopiesAllowed = e.MaxAttempts, e.CopiesAllowed
+	m.settings.RetryBudgetRatio, m.settings.RetryBudgetBase = e.RetryBudgetRatio, e.RetryBudgetBase
+	m.settings.ColdBudgetFactor = e.ColdBudgetFactor
+	m.settings.Tenants = slices.Clone(m.settings.Tenants) // the Settings are the caller's
+	for i, x := range e.Allowances[:min(len(e.Allowances), len(m.settings.Tenants))] {
+		m.settings.Tenants[i].Allowance = x
 	}
-	m.shares = e.Shares
+	m.zoneShares = e.Shares
 }
 
 // New returns a Module that has seen nothing yet.
-func New(set Settings, seed uint64) *StateMachine {
+func New(settings Settings, seed uint64) *StateMachine {
 	m := &StateMachine{
-		set: set, rng: rand.New(rand.NewPCG(seed, 0)), draws: rand.New(rand.NewPCG(seed, 1)),
+		settings: settings, rng: rand.New(rand.NewPCG(seed, 0)), jitter: rand.New(rand.NewPCG(seed, 1)),
 		servers: map[string]*server{}, holders: map[int][]*server{},
-		queries: map[int64]*query{}, ids: map[string]*query{}, parts: map[string]*part{}, askAt: -1,
-		share: 1 / float64(max(set.Aggregators, 1)), shortest: set.ShortestLatencyTarget(),
-		idleLimit: math.MaxInt64, lostFresh: lostExcess, tokens: 1,
-		usual: make([]usual, len(set.Classes)), tenants: make([]meter, len(set.Tenants)),
-	}
-	m.set.Classes = slices.Clone(set.Classes)
-	for i := range m.set.Classes {
-		c := &m.set.Classes[i]
+		queries: map[int64]*query{}, queriesByID: map[string]*query{}, parts: map[string]*part{}, watchAt: -1,
+		allowanceShare: 1 / float64(max(settings.Aggregators, 1)),
+		shortestTarget: settings.ShortestLatencyTarget(),
+		idleLimit:      math.MaxInt64, freshLossShare: idleLossExcess, copyTokens: 1,
+		commonTimeout: make([]commonTimeout, len(settings.Classes)),
+		tenantRates:   make([]meter, len(settings.Tenants)),
+	}
+	m.settings.Classes = slices.Clone(settings.Classes)
+	for i := range m.settings.Classes {
+		c := &m.settings.Classes[i]
 		if c.RequiredWeight <= 0 {
 			c.RequiredWeight = 1
 		}
 		if c.MinWeight <= 0 || c.MinWeight > c.RequiredWeight {
 			c.MinWeight = c.RequiredWeight
 		}
-		m.topWorth = max(m.topWorth, c.Value)
+		m.maxValue = max(m.maxValue, c.Value)
 	}
 	return m
 }
@@ -317,9 +322,9 @@
 		return hs
 	}
 	var hs []*server
-	n := max(m.set.Cells, 1)
-	for _, s := range m.order {
-		if s.listed && (m.set.Cells <= 0 || ((s.Cell-shard)%n+n)%n < m.set.CellsPerShard) {
+	n := max(m.settings.Cells, 1)
+	for _, s := range m.sortedServers {
+		if s.listed && (m.settings.Cells <= 0 || ((s.Cell-shard)%n+n)%n < m.settings.CellsPerShard) {
 			hs = append(hs, s)
 		}
 	}
@@ -327,8 +332,8 @@
 	return hs
 }
 
-func (m *StateMachine) takePart(e PartArrived) {
-	m.countTaken()
+func (m *StateMachine) addPart(e PartArrived) {
+	m.countArrival()
 	q := m.queries[e.Number]
 	if q == nil || m.parts[e.ID] != nil {
 		return
@@ -338,9 +343,9 @@
 	m.parts[e.ID] = p
 }
 
-func (m *StateMachine) countTaken() {
-	if m.set.RetryBudgetWindow > 0 {
-		m.taken = append(since(m.taken, m.now-m.set.RetryBudgetWindow+1), m.now)
+func (m *StateMachine) countArrival() {
+	if m.settings.RetryBudgetWindow > 0 {
+		m.arrivals = append(dropBefore(m.arrivals, m.now-m.settings.RetryBudgetWindow+1), m.now)
 	}
 }
 
@@ -349,70 +354,70 @@
 	for _, p := range q.parts {
 		if !p.done {
 			p.done = true
-			m.callOff(p)
+			m.cancelAttempts(p)
 		}
 		p.shed = true
-		m.drop(p)
+		m.removeUnlessInFlight(p)
 	}
 }
 
 func (m *StateMachine) close(q *query) {
-	q.over = true
+	q.ended = true
 	m.shed(q)
 	delete(m.queries, q.Number)
-	delete(m.ids, q.ID)
+	delete(m.queriesByID, q.ID)
 }
 
 // latency is the mean of late answers over all servers. It goes by time, not by the order of the answers: the
 // last ones of a query are its slowest.
 func (m *StateMachine) latency() float64 {
-	if m.answered.start == 0 {
+	if m.answerCount.start == 0 {
 		return 0
 	}
-	return m.took.rate(m.now) / m.answered.rate(m.now)
+	return m.latencySum.rate(m.now) / m.answerCount.rate(m.now)
 }
 
 // sample takes an answer's time, or the age of an attempt given up late: a lower bound, without which a slow
 // server would be known only by the answers that came.
-func (m *StateMachine) sample(a *attempt, latency time.Duration) {
+func (m *StateMachine) recordSample(a *attempt, latency time.Duration) {
 	s := a.s
-	mean, depth := m.usualAt(s)
+	mean, depth := m.serverMeans(s)
 	w := 1 - (1-latencyWeight)*m.freshness(s)
 	s.latency, s.depth = mean+w*(latency.Seconds()-mean), depth+w*(float64(a.depth)-depth)
-	s.learnedAt = m.now
-	s.learn(m.now, latency)
-	m.slow.learn(latency.Seconds())
+	s.sampledAt = m.now
+	s.observe(m.now, latency)
+	m.slowLatency.observe(latency.Seconds())
 }
 
 // usualAt is what answers of the server took of late, and our calls out when they were sent. Old evidence
 // fades into what all servers took: where aggregators are many, one learns of a server too rarely to let
 // the last word stand until the next.
-func (m *StateMachine) usualAt(s *server) (latency, depth float64) {
+func (m *StateMachine) serverMeans(s *server) (latency, depth float64) {
 	k, all := m.freshness(s), m.latency()
 	return all + k*(s.latency-all), 1 + k*(s.depth-1)
 }
 
 func (m *StateMachine) freshness(s *server) float64 {
-	return math.Exp(-(m.now - s.learnedAt).Seconds() / sketchSwap.Seconds())
+	return math.Exp(-(m.now - s.sampledAt).Seconds() / sketchSwap.Seconds())
 }
 
 // tally keeps the shares of attempts that broke or are out for too long on connections that had been idle and
 // on new ones: while idle ones are lost far more often, connections are dropped unseen.
-func (m *StateMachine) tally(a *attempt, lost float64) {
-	if a.tallied {
+func (m *StateMachine) countLoss(a *attempt, lost float64) {
+	if a.lossCounted {
 		return
 	}
-	a.tallied = true
+	a.lossCounted = true
 	switch {
 	case a.idle == 0:
-		m.lostFresh += lostWeight * (lost - m.lostFresh)
-	case a.idle > time.Duration(idleShare*float64(m.shortest)):
-		m.lostIdle += lostWeight * (lost - m.lostIdle)
+		m.freshLossShare += lossWeight * (lost - m.freshLossShare)
+	case a.idle > time.Duration(safeIdleShare*float64(m.shortestTarget)):
+		m.idleLossShare += lossWeight * (lost - m.idleLossShare)
 	}
-	if m.lostIdle <= m.lostFresh+lostExcess {
+	if m.idleLossShare <= m.freshLossShare+idleLossExcess {
 		m.idleLimit = math.MaxInt64
 	} else if lost > 0 && a.idle > 0 {
-		m.learnIdle(a)
+		m.lowerIdleLimit(a)
 	}
 }
 
@@ -420,15 +425,15 @@
 // Not those that were in use a moment ago, however short the time after which it broke: one that breaks under
 // use tells of its server or of the way there. Taken for the measure, it had a connection closed before every
 // third send, and a new one opened, on which the first part waits for the handshake.
-func (m *StateMachine) learnIdle(a *attempt) {
-	limit := time.Duration(idleShare * float64(max(a.idle, m.shortest)))
-	m.idleLimit, m.idleLearned = min(m.idleLimit, limit), m.now
+func (m *StateMachine) lowerIdleLimit(a *attempt) {
+	limit := time.Duration(safeIdleShare * float64(max(a.idle, m.shortestTarget)))
+	m.idleLimit, m.idleLimitSetAt = min(m.idleLimit, limit), m.now
 	a.idle = 0
 }
 
 // chill notes that a server counts as cold from then on.
-func (m *StateMachine) chill(s *server, since time.Duration) {
-	s.cold, s.coldSince, s.coldTold, s.coldDraw = true, since, m.now, m.draws.Float64()
+func (m *StateMachine) markCold(s *server, since time.Duration) {
+	s.cold, s.coldSince, s.coldKnownAt, s.coldJitter = true, since, m.now, m.jitter.Float64()
 }
 
 // quantile follows the hedgeQuantile of values that change: each that is above lifts it,
@@ -436,12 +441,12 @@
 // It goes by the latest few dozen values, however long ago the one before them came.
 // Guards against a mean of the last rateSpan, which says that all is well while the
 // servers that still run are swamped.
-type quantile struct{ value float64 }
+type quantileEstimator struct{ value float64 }
 
 // quantileStep is by how much one value above moves it.
 const quantileStep = 0.05
 
-func (q *quantile) learn(v float64) {
+func (q *quantileEstimator) observe(v float64) {
 	switch {
 	case q.value == 0:
 		q.value = v
@@ -452,25 +457,27 @@
 	}
 }
 
-func (m *StateMachine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // note writes a rare line for those on call.
-func (m *StateMachine) note(format string, args ...any) {
-	m.act(Log{Line: fmt.Sprintf(format, args...)})
+func (m *StateMachine) logf(format string, args ...any) {
+	m.emit(Log{Line: fmt.Sprintf(format, args...)})
 }
 
 // askWithin is AskWithin, where it is set.
-func (m *StateMachine) askWithin() time.Duration { return max(m.set.ListRefreshInterval, time.Second) }
+func (m *StateMachine) listRefreshInterval() time.Duration {
+	return max(m.settings.ListRefreshInterval, time.Second)
+}
 
 // askSpan is the span over which the calls of all aggregators are spread.
-func (m *StateMachine) askSpan() time.Duration {
-	all := time.Duration(max(m.set.Aggregators, 1)) * askSpread
-	return min(all, time.Duration(askShare*float64(m.askWithin())))
+func (m *StateMachine) watchSpread() time.Duration {
+	all := time.Duration(max(m.settings.Aggregators, 1)) * watchSpreadEach
+	return min(all, time.Duration(watchDelayShare*float64(m.listRefreshInterval())))
 }
 
 // coldShare is the share of its capacity that a cold server has now at the least.
-func (m *StateMachine) coldShare(s *server) float64 {
-	return WarmupShare(m.now-s.coldSince, m.set.WarmupTime, m.set.WarmupStartShare)
+func (m *StateMachine) warmupShare(s *server) float64 {
+	return WarmupShare(m.now-s.coldSince, m.settings.WarmupTime, m.settings.WarmupStartShare)
 }
 
 // ColdShare is the share of its capacity that a server has at an age: from what it has at its
@@ -486,103 +493,103 @@
 // ones answer for the capacity that they have by now: guards against a fleet of cold
 // servers that is sent next to nothing, until the last of them is warm, for want of a
 // warm one to judge by.
-func (m *StateMachine) bears() float64 {
+func (m *StateMachine) warmServerRate() float64 {
 	// Looked at for each candidate, and over all servers: it changes slowly.
-	if !m.borne.known || m.now >= m.borne.at+bearsPace {
-		m.borne = borne{m.surveyLoad(), m.now, true}
+	if !m.warmRateCache.known || m.now >= m.warmRateCache.at+warmRateInterval {
+		m.warmRateCache = warmRateCache{m.measureWarmRate(), m.now, true}
 	}
-	return m.borne.rate
+	return m.warmRateCache.rate
 }
 
 // bearsPace is how often what servers bear is worked out anew; it is a mean over rateSpan.
-const bearsPace = 100 * time.Millisecond
+const warmRateInterval = 100 * time.Millisecond
 
 // borne is what servers were found to bear, and when that was.
-type borne struct {
+type warmRateCache struct {
 	rate  float64
 	at    time.Duration
 	known bool
 }
 
 // surveyLoad works out what bears returns.
-func (m *StateMachine) surveyLoad() float64 {
+func (m *StateMachine) measureWarmRate() float64 {
 	busiest, sum, n, cold := 0.0, 0.0, 0.0, 0.0
-	for _, w := range m.order {
-		switch r := w.answers.rate(m.now); {
-		case w.barred:
+	for _, w := range m.sortedServers {
+		switch r := w.answerRate.rate(m.now); {
+		case w.retiring:
 		case w.cold:
-			cold = max(cold, r/m.coldShare(w))
+			cold = max(cold, r/m.warmupShare(w))
 		default:
 			busiest, sum, n = max(busiest, r), sum+r, n+1
 		}
 	}
 	if n == 0 {
-		return coldMargin * max(m.bore.most(), cold)
+		return coldFleetShare * max(m.recentWarmRate.value(), cold)
 	}
 	now := (busiest + sum/n) / 2
-	m.bore.note(m.now, now)
+	m.recentWarmRate.add(m.now, now)
 	return now
 }
 
 // remember keeps up what warm servers bear, once a second: when the last of them has
 // gone it is too late to look.
-func (m *StateMachine) remember() {
-	if m.now >= m.boreAt {
-		m.boreAt = m.now + time.Second
-		m.bears()
-		m.forgive()
+func (m *StateMachine) maintain() {
+	if m.now >= m.maintenanceAt {
+		m.maintenanceAt = m.now + time.Second
+		m.warmServerRate()
+		m.decayFailureShares()
 	}
 }
 
 // forgive lets a doubt fade that no trial renews, once a second. Guards servers that are
 // met seldom: one failure makes the offset rule pass them over, so that nothing would
 // ever speak for them. A suspect is left to its trials.
-func (m *StateMachine) forgive() {
-	for _, s := range m.order {
-		if s.fault <= faultSuspect {
-			s.fault *= 1 - time.Second.Seconds()/restMost.Seconds()
+func (m *StateMachine) decayFailureShares() {
+	for _, s := range m.sortedServers {
+		if s.failureShare <= suspectFailureShare {
+			s.failureShare *= 1 - time.Second.Seconds()/maxTrialPause.Seconds()
 		}
 	}
 }
 
 // recent is the greatest value of late: of this span of bearSpan and of the one before.
 // It stands still while nothing is noted.
-type recent struct {
-	this, last float64
-	since      time.Duration
+type recentMax struct {
+	current, previous float64
+	since             time.Duration
 }
 
 // coldMargin is the share of that which is relied on: aggregators come back at the same
 // moment, each with the queries that clients have saved up for it.
-const coldMargin = 0.7
+const coldFleetShare = 0.7
 
 // bearSpan is at least how far back what servers bore is remembered: what they answer
 // fades in the first seconds of an outage, before it is known as one.
-const bearSpan = 20 * time.Second
+const recentMaxSpan = 20 * time.Second
 
-func (r *recent) note(now time.Duration, v float64) {
-	if now-r.since > bearSpan {
-		r.last, r.this, r.since = r.this, 0, now
+func (r *recentMax) add(now time.Duration, v float64) {
+	if now-r.since > recentMaxSpan {
+		r.previous, r.current, r.since = r.current, 0, now
 	}
-	r.this = max(r.this, v)
+	r.current = max(r.current, v)
 }
 
-func (r *recent) most() float64 { return max(r.this, r.last) }
+func (r *recentMax) value() float64 { return max(r.current, r.previous) }
 
 // remark tells, once a part and kind, what kept it from being sent.
-func (m *StateMachine) remark(p *part, what Shortage) {
-	if m.set.ReportShortages && !p.remarked[what] {
-		p.remarked[what] = true
-		m.act(ShortageReport{Part: p.ID, Kind: what})
+func (m *StateMachine) reportShortage(p *part, what Shortage) {
+	if m.settings.ReportShortages && !p.shortageReported[what] {
+		p.shortageReported[what] = true
+		m.emit(ShortageReport{Part: p.ID, Kind: what})
 	}
 }
 
 // coldOnly tells whether cold servers without room are all that keep a part.
-func (m *StateMachine) coldOnly(p *part) bool {
+func (m *StateMachine) blockedByColdBudget(p *part) bool {
 	cold := false
 	for _, s := range m.holdersOf(p.Shard) {
-		if s.State == Running && !s.barred {
-			if m.coldRoom(s) {
+		if s.State == Running && !s.retiring {
+			if m.withinColdBudget(s) {
 				return false
 			}
 			cold = true
@@ -592,21 +599,21 @@
 }
 
 // insert keeps order sorted by id.
-func (m *StateMachine) insert(entry Server) *server {
+func (m *StateMachine) insertServer(entry Server) *server {
 	s := &server{Server: entry}
-	s.forget(m.now)
+	s.resetStatistics(m.now)
 	m.servers[entry.ID] = s
-	at, _ := slices.BinarySearchFunc(m.order, entry.ID, func(s *server, id string) int {
+	at, _ := slices.BinarySearchFunc(m.sortedServers, entry.ID, func(s *server, id string) int {
 		return strings.Compare(s.ID, id)
 	})
-	m.order = slices.Insert(m.order, at, s)
+	m.sortedServers = slices.Insert(m.sortedServers, at, s)
 	return s
 }
 
 // dropUnlisted forgets servers that are off the list with nothing out, and who holds what.
-func (m *StateMachine) dropUnlisted() {
-	m.order = slices.DeleteFunc(m.order, func(s *server) bool {
-		gone := !s.listed && s.out == 0
+func (m *StateMachine) removeUnlisted() {
+	m.sortedServers = slices.DeleteFunc(m.sortedServers, func(s *server) bool {
+		gone := !s.listed && s.inFlight == 0
 		if gone {
 			delete(m.servers, s.ID)
 		}
@@ -615,8 +622,8 @@
 	clear(m.holders)
 }
 
-func (m *StateMachine) unlistAll() {
-	for _, s := range m.order {
+func (m *StateMachine) markAllUnlisted() {
+	for _, s := range m.sortedServers {
 		s.listed = false
 	}
 }
@@ -625,7 +632,7 @@
 func (m *StateMachine) joinCall(s *server) *call {
 	c := m.calls[s]
 	if c == nil || c.room == 0 {
-		c = &call{room: max(m.set.PartsPerCall, 1)}
+		c = &call{room: max(m.settings.PartsPerCall, 1)}
 		m.calls[s] = c
 		s.calls++
 	}
@@ -635,4 +642,4 @@
 }
 
 // tick is the least time between two steps.
-func (m *StateMachine) tick() time.Duration { return max(m.set.Tick, time.Millisecond) }
+func (m *StateMachine) tick() time.Duration { return max(m.settings.Tick, time.Millisecond) }
--- a/decide/symptom_test.go
+++ b/decide/symptom_test.go
@@ -72,7 +72,7 @@
 		r.pass(4 * time.Second)
 	}
 	s := r.m.servers["a"]
-	if !s.fill.IsEmpty() || !s.read.IsEmpty() {
+	if !s.fillSketch.IsEmpty() || !s.readSketch.IsEmpty() {
 		t.Errorf("a failure was recorded as a latency")
 	}
 }
@@ -147,12 +147,12 @@
 	r.pass(1100 * ms) // the query ends at its aim, its attempt is cancelled
 	r.step(AttemptDone{Part: "q1.0", Attempt: 0, Server: "a", Outcome: Cancelled})
 	s := r.m.servers["a"]
-	s.silentFor = 3 * time.Second
-	if !r.m.suspect(s) {
+	s.lastSilence = 3 * time.Second
+	if !r.m.isSuspect(s) {
 		t.Fatalf("not a suspect after %v of silence", r.m.silence(s))
 	}
 	r.pass(2 * time.Second)
-	if r.m.suspect(s) {
+	if r.m.isSuspect(s) {
 		t.Errorf("still a suspect, silent for %v", r.m.silence(s))
 	}
 }
@@ -292,7 +292,7 @@
 	r.step(AttemptDone{Part: parts[0], Attempt: 0, Outcome: OK}, AttemptDone{Part: parts[0], Attempt: -1})
 	id, _ := r.query(0, 1)
 	r.pass(5 * time.Second)
-	if r.m.ids[id] != nil || len(r.m.parts) != 0 || len(r.m.live) != 0 {
+	if r.m.queriesByID[id] != nil || len(r.m.parts) != 0 || len(r.m.active) != 0 {
 		t.Errorf("state is left after the queries ended")
 	}
 }
@@ -303,8 +303,8 @@
 	r.query(0, 2)
 	r.pass(8 * time.Second)
 	s := r.m.servers["a"]
-	if s.out != 0 || s.calls != 0 || len(r.m.parts) != 0 {
-		t.Errorf("%d attempts, %d calls and %d parts are left", s.out, s.calls, len(r.m.parts))
+	if s.inFlight != 0 || s.calls != 0 || len(r.m.parts) != 0 {
+		t.Errorf("%d attempts, %d calls and %d parts are left", s.inFlight, s.calls, len(r.m.parts))
 	}
 }
 
@@ -358,8 +358,8 @@
 	r := newRig(t, testSettings(), "a", "b")
 	r.warm(20, 40*ms)
 	for range 20 {
-		r.m.servers["a"].learn(r.now, 900*ms)
-		r.m.servers["b"].learn(r.now, 900*ms)
+		r.m.servers["a"].observe(r.now, 900*ms)
+		r.m.servers["b"].observe(r.now, 900*ms)
 	}
 	_, parts := r.query(0, 1)
 	r.pass(520 * ms)
@@ -391,9 +391,9 @@
 	for _, s := range r.m.servers {
 		s.latency = 0.4
 	}
-	tokens := r.m.tokens
+	copyTokens := r.m.copyTokens
 	r.pass(300 * ms)
-	if len(r.sent[parts[0]]) != 1 || r.m.tokens < tokens {
+	if len(r.sent[parts[0]]) != 1 || r.m.copyTokens < copyTokens {
 		t.Errorf("copied to a holder that is as slow")
 	}
 }
@@ -404,7 +404,7 @@
 	r.warm(20, 40*ms)
 	r.query(0, 1)
 	r.pass(800 * ms)
-	r.m.servers["a"].waitSince = r.now - 3*time.Second
+	r.m.servers["a"].unansweredSince = r.now - 3*time.Second
 	if _, parts := r.query(0, 1); len(r.sent[parts[0]]) != 1 {
 		t.Errorf("refused though the holder's trial is due")
 	}
@@ -413,7 +413,7 @@
 func TestAllHoldersSuspectStillServes(t *testing.T) {
 	r := newRig(t, testSettings(), "a", "b")
 	for _, s := range r.m.servers {
-		s.fault = 1
+		s.failureShare = 1
 		s.trialAt = r.now + time.Hour
 	}
 	if _, parts := r.query(0, 1); len(r.sent[parts[0]]) != 1 {
@@ -467,15 +467,15 @@
 // calls.
 func TestFailingServerIsPassedOver(t *testing.T) {
 	for _, c := range []struct {
-		fault float64
-		busy  int
+		failureShare float64
+		busy         int
 	}{{0.9, 6}, {0.4, 1}} {
 		r := newRig(t, testSettings(), "a", "b")
 		r.warm(20, 40*ms)
 		a, b := r.m.servers["a"], r.m.servers["b"]
-		a.fault, a.trialAt, b.calls = c.fault, r.now+time.Hour, c.busy
+		a.failureShare, a.trialAt, b.calls = c.failureShare, r.now+time.Hour, c.busy
 		if _, parts := r.query(0, 1); r.sent[parts[0]][0].Server != "b" {
-			t.Errorf("failing share %.1f: sent to the failing server", c.fault)
+			t.Errorf("failing share %.1f: sent to the failing server", c.failureShare)
 		}
 	}
 }
@@ -539,10 +539,10 @@
 	r := newRig(t, testSettings(), "a", "b")
 	r.warm(8, 50*ms)
 	m, a := r.m, r.m.servers["a"]
-	a.latency, a.learnedAt = 2, m.now
-	fresh := m.delay(a)
+	a.latency, a.sampledAt = 2, m.now
+	fresh := m.expectedDelay(a)
 	r.pass(40 * time.Second)
-	if old := m.delay(a); fresh < 1 || old > 0.2 {
+	if old := m.expectedDelay(a); fresh < 1 || old > 0.2 {
 		t.Errorf("expected delay %.2f s at first, %.2f s after 40 s", fresh, old)
 	}
 }
@@ -570,7 +570,7 @@
 		r.done(p, 0, OK, 50*ms)
 	}
 	for range 100 {
-		r.m.tokens = 0
+		r.m.copyTokens = 0
 		r.pass(5 * ms)
 	}
 	if n := len(r.sent[parts[0]]); n != 2 {
@@ -586,7 +586,7 @@
 	r.pass(2 * time.Second)
 	_, parts := r.query(0, 1)
 	r.done(parts[0], 0, Reset, 2*ms)
-	if s := r.m.servers[r.sent[parts[0]][0].Server]; s.fault > 0 {
+	if s := r.m.servers[r.sent[parts[0]][0].Server]; s.failureShare > 0 {
 		t.Errorf("a server is blamed for a dropped connection")
 	}
 	r.pass(100 * ms)
@@ -610,7 +610,7 @@
 	r.done(parts[0], 0, OK, 2*ms)
 	r.pass(4 * ms)
 	_, parts = r.query(0, 1)
-	if idle := r.m.out[len(r.m.out)-1].idle; idle <= 0 || idle > 70*ms {
+	if idle := r.m.inFlight[len(r.m.inFlight)-1].idle; idle <= 0 || idle > 70*ms {
 		t.Fatalf("the connection had rested for %v", idle)
 	}
 	r.done(parts[0], 0, Reset, 2*ms)
@@ -637,7 +637,7 @@
 		_, parts := r.query(0, 1)
 		closes := count[CloseIdle](r.actions)
 		closed += closes
-		if closes == 0 && r.m.out[len(r.m.out)-1].idle > 0 {
+		if closes == 0 && r.m.inFlight[len(r.m.inFlight)-1].idle > 0 {
 			lost++
 			continue
 		}
@@ -657,12 +657,12 @@
 	again := 0
 	for range 20 {
 		_, parts := r.query(0, 8)
-		r.m.tokens = 0
+		r.m.copyTokens = 0
 		for _, p := range parts[1:] {
 			r.done(p, 0, OK, 50*ms)
 		}
 		for range 130 {
-			r.m.tokens = 0
+			r.m.copyTokens = 0
 			r.pass(5 * ms)
 		}
 		again += len(r.sent[parts[0]]) - 1
@@ -740,7 +740,7 @@
 		if len(r.sent[some[3]])+len(r.sent[all[2]])+len(r.sent[all[3]]) > 3 {
 			break
 		}
-		r.m.tokens, r.m.tokensAt = 1, r.now
+		r.m.copyTokens, r.m.tokensRefilledAt = 1, r.now
 		r.pass(5 * ms)
 	}
 	if len(r.sent[some[3]]) > 1 || len(r.sent[all[2]])+len(r.sent[all[3]]) != 3 {
@@ -793,7 +793,7 @@
 		t.Errorf("%d of 40 queries went to the silent server first, %d probes", toA, probes)
 	}
 	r.step(ProbeDone{Server: "a", Outcome: OK})
-	if s := r.m.servers["a"]; r.m.suspect(s) {
+	if s := r.m.servers["a"]; r.m.isSuspect(s) {
 		t.Errorf("still a suspect after its word: silent %v", r.m.silence(s))
 	}
 }
@@ -874,9 +874,9 @@
 	r.pass(10 * time.Second)
 	r.step(ServerListUpdate{})
 	m := r.m
-	got := []int{len(m.servers), len(m.order), len(m.queries), len(m.ids), len(m.live), len(m.parts), len(m.out)}
-	if diff := cmp.Diff([]int{1, 1, 0, 0, 0, 0, 0}, got); diff != "" || len(m.taken) > 100 || len(m.holders) > 1 {
-		t.Errorf("servers, order, queries, ids, live, parts, out: %s; %d taken, %d holders", diff, len(m.taken), len(m.holders))
+	got := []int{len(m.servers), len(m.sortedServers), len(m.queries), len(m.queriesByID), len(m.active), len(m.parts), len(m.inFlight)}
+	if diff := cmp.Diff([]int{1, 1, 0, 0, 0, 0, 0}, got); diff != "" || len(m.arrivals) > 100 || len(m.holders) > 1 {
+		t.Errorf("servers, order, queries, ids, live, parts, out: %s; %d taken, %d holders", diff, len(m.arrivals), len(m.holders))
 	}
 }
 
@@ -887,7 +887,7 @@
 	r := newRig(t, testSettings(), "a", "b")
 	r.warm(40, 20*ms)
 	for _, s := range r.m.servers { // a stall that is over: the answers that came of it were late
-		s.latency, s.depth, s.learnedAt = 2, 1, r.now
+		s.latency, s.depth, s.sampledAt = 2, 1, r.now
 	}
 	refused := 0
 	for range 40 {
