--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -20,10 +20,10 @@
 	Allowances       []float64       // by tenant, queries a second
 	Storm            storm.Shares    // at which a retry storm is reported
 	Barred           map[string]bool // nodes to which nothing new is sent
-	// ZoneShares holds, by zone, the share that its nodes get of the parts that they would get
+	// Shares holds, by zone, the share that its nodes get of the parts that they would get
 	// without it; empty: all of them.
 	Shares []float64
-	// LeftZones are the zones to which nothing new is sent, except to nodes that hold shards
+	// Left are the zones to which nothing new is sent, except to nodes that hold shards
 	// that no running node of another zone holds.
 	Left map[int]bool
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// HeldUp is how long the process may be stalled between reading its clock and writing,
+	// MaxProcessPause is how long the process may be stalled between reading its clock and writing,
 	// by the operators' acceptance terms. A write may be that much later than the clock said.
 	MaxProcessPause = decide.MaxProcessPause
 	// DrainMargin is the last part of the drain grace, in which nothing is sent any more. It
