--- a/internal/fleet/link/codec.go
+++ b/internal/fleet/link/codec.go
@@ -163,20 +163,20 @@
 	for _, r := range p.Records {
 		v := fields.AppendString([]byte{}, 1, r.ID)
 		v = fields.AppendString(fields.AppendString(v, 2, r.Zone), 3, r.Addr)
-		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 4, r.Instance), 5, uint64(r.Life.Generation)), 6, uint64(r.Life.Turn))
-		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 7, uint64(r.State)), 8, flag(r.Proved)), 9, flag(r.Ready))
-		v = fields.AppendUint(fields.AppendUint(v, 10, millis(r.Age)), 11, math.Float64bits(r.Kept))
+		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 4, r.Instance), 5, uint64(r.Incarnation.Generation)), 6, uint64(r.Incarnation.Turn))
+		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 7, uint64(r.State)), 8, flag(r.ConfirmedGone)), 9, flag(r.Ready))
+		v = fields.AppendUint(fields.AppendUint(v, 10, millis(r.Age)), 11, math.Float64bits(r.RetainedShare))
 		b = fields.AppendBytes(b, fRecord, v)
 	}
 	for _, d := range p.Doubts {
 		v := fields.AppendString(fields.AppendString([]byte{}, 1, d.Subject), 2, d.Observer)
-		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 3, uint64(d.Life.Generation)), 4, uint64(d.Life.Turn)), 5, uint64(d.Stamp))
-		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 6, millis(d.Heard)), 7, flag(d.Refused)), 8, flag(d.Over))
+		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 3, uint64(d.Incarnation.Generation)), 4, uint64(d.Incarnation.Turn)), 5, uint64(d.Version))
+		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 6, millis(d.SilentFor)), 7, flag(d.Refused)), 8, flag(d.Withdrawn))
 		b = fields.AppendBytes(b, fDoubt, v)
 	}
 	for _, n := range p.News {
 		v := fields.AppendString(fields.AppendString([]byte{}, 1, n.Key), 2, n.Origin)
-		v = fields.AppendUint(fields.AppendBytes(fields.AppendUint(v, 3, n.Stamp), 4, n.Body), 5, millis(n.Age))
+		v = fields.AppendUint(fields.AppendBytes(fields.AppendUint(v, 3, n.Version), 4, n.Body), 5, millis(n.Age))
 		b = fields.AppendBytes(b, fNews, v)
 	}
 	return fields.AppendBytes(b, fAnswer, p.answer)
@@ -220,7 +220,7 @@
 		case fRecord:
 			var r member.Record
 			sound = sound && fields.Each(v, func(n protowire.Number, x uint64, v []byte) bool { readRecord(&r, n, x, v); return true }) &&
-				len(r.ID) <= maxName && len(r.Zone) <= maxName && len(r.Addr) <= maxName && !math.IsNaN(r.Kept) && r.Kept >= 0 && r.Kept <= 1
+				len(r.ID) <= maxName && len(r.Zone) <= maxName && len(r.Addr) <= maxName && !math.IsNaN(r.RetainedShare) && r.RetainedShare >= 0 && r.RetainedShare <= 1
 			p.Records = append(p.Records, r)
 		case fDoubt:
 			var d member.Doubt
@@ -252,19 +252,19 @@
 	case 4:
 		r.Instance = x
 	case 5:
-		r.Life.Generation = uint32(x)
+		r.Incarnation.Generation = uint32(x)
 	case 6:
-		r.Life.Turn = uint32(x)
+		r.Incarnation.Turn = uint32(x)
 	case 7:
 		r.State = member.State(min(x, 255))
 	case 8:
-		r.Proved = x != 0
+		r.ConfirmedGone = x != 0
 	case 9:
 		r.Ready = x != 0
 	case 10:
 		r.Age = span(x)
 	case 11:
-		r.Kept = math.Float64frombits(x)
+		r.RetainedShare = math.Float64frombits(x)
 	}
 }
 
@@ -275,17 +275,17 @@
 	case 2:
 		d.Observer = string(v)
 	case 3:
-		d.Life.Generation = uint32(x)
+		d.Incarnation.Generation = uint32(x)
 	case 4:
-		d.Life.Turn = uint32(x)
+		d.Incarnation.Turn = uint32(x)
 	case 5:
-		d.Stamp = uint32(x)
+		d.Version = uint32(x)
 	case 6:
-		d.Heard = span(x)
+		d.SilentFor = span(x)
 	case 7:
 		d.Refused = x != 0
 	case 8:
-		d.Over = x != 0
+		d.Withdrawn = x != 0
 	}
 }
 
@@ -296,7 +296,7 @@
 	case 2:
 		w.Origin = string(v)
 	case 3:
-		w.Stamp = x
+		w.Version = x
 	case 4:
 		w.Body = append([]byte(nil), v...)
 	case 5:
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -146,7 +146,7 @@
 		if via := f.c.Via[k.ID]; via != "" {
 			addr = via
 		}
-		c.Known = append(c.Known, member.Record{ID: k.ID, Zone: k.Zone, Addr: addr})
+		c.KnownMembers = append(c.KnownMembers, member.Record{ID: k.ID, Zone: k.Zone, Addr: addr})
 	}
 	f.m = member.New(c, f.core.Now())
 	f.log.Info().Str("fleet", f.c.Fleet).Str("listen", f.c.Listen).Str("announce", f.c.Announce).Int("known", len(old.Members)).Msg("fleet begins")
@@ -156,7 +156,7 @@
 func (f *Fleet) tick() {
 	f.m.Tick(f.core.Now())
 	f.carry()
-	f.core.After(max(time.Millisecond, f.m.Next()-f.core.Now()), f.tick)
+	f.core.After(max(time.Millisecond, f.m.NextTick()-f.core.Now()), f.tick)
 	if f.core.Now() >= f.said+reportPace {
 		f.report()
 	}
@@ -195,7 +195,7 @@
 // has it.
 func (f *Fleet) Mine(key string) (mine, owned bool) {
 	mine, _ = f.m.Mine(f.core.Now(), "", key)
-	whole, _ := f.m.Whole(f.core.Now())
+	whole, _ := f.m.HasQuorum(f.core.Now())
 	return mine, whole && f.m.Owner("", key) != ""
 }
 
@@ -252,7 +252,7 @@
 
 // carry carries out what the machine wants.
 func (f *Fleet) carry() {
-	out := f.m.Take()
+	out := f.m.TakeOutput()
 	for _, e := range out.Send {
 		if to, err := netip.ParseAddrPort(f.via(e.Target)); err == nil && to.Addr().Is4() {
 			f.packets.Send(to, f.pack(e.Message))
@@ -266,8 +266,8 @@
 		if c.To != member.Alive {
 			line = f.log.Warn()
 		}
-		line.Str("member", c.ID).Str("from", c.From.String()).Str("to", c.To.String()).Uint32("generation", c.Life.Generation).
-			Uint32("turn", c.Life.Turn).Bool("new", c.New).Str("cause", c.Cause).Strs("observers", c.Observers).
+		line.Str("member", c.ID).Str("from", c.From.String()).Str("to", c.To.String()).Uint32("generation", c.Incarnation.Generation).
+			Uint32("turn", c.Incarnation.Turn).Bool("new", c.FirstSeen).Str("cause", c.Cause).Strs("observers", c.Observers).
 			Int("live", f.m.Alive()).Msg("fleet: a member's state")
 	}
 	for _, n := range out.News {
@@ -429,11 +429,11 @@
 		p, err = d.f.read(body)
 	}
 	d.end()
-	if err != nil || p.Kind != member.SyncBack {
+	if err != nil || p.Kind != member.SyncReply {
 		d.f.bad["answers to exchanges that can't be used"]++
 		return
 	}
-	d.f.m.Exchanged(d.f.core.Now(), d.to, p.Message)
+	d.f.m.ExchangeDone(d.f.core.Now(), d.to, p.Message)
 	d.f.carry()
 }
 
@@ -485,8 +485,8 @@
 		return false // not begun yet
 	}
 	switch p.Kind {
-	case member.Sync:
-		back := s.f.m.Served(s.f.core.Now(), p.Message)
+	case member.SyncRequest:
+		back := s.f.m.AnswerExchange(s.f.core.Now(), p.Message)
 		s.conn.Write(frame(s.f.pack(back)))
 		s.f.carry()
 	case kindAsk:
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -16,12 +16,12 @@
 )
 
 func sample() packet {
-	return packet{fleet: "f", count: 7, Message: member.Message{Kind: member.Push, From: "n1", Instance: 1 << 60, To: "n2", Target: 3, Seq: 4,
+	return packet{fleet: "f", count: 7, Message: member.Message{Kind: member.Gossip, From: "n1", Instance: 1 << 60, To: "n2", Target: 3, Seq: 4,
 		Subject: "n3", Digest: 5,
-		Records: []member.Record{{ID: "n1", Zone: "a", Addr: "127.0.0.1:1", Instance: 9, Life: member.Life{Generation: 1, Turn: 2}, State: member.Gone,
-			Proved: true, Ready: true, Age: time.Second, Kept: 0.25}},
-		Doubts: []member.Doubt{{Subject: "n3", Life: member.Life{Generation: 4}, Observer: "n1", Stamp: 6, Heard: 2 * time.Second, Refused: true, Over: true}},
-		News:   []member.News{{Key: "k", Origin: "n1", Stamp: 8, Body: []byte("b")}}}}
+		Records: []member.Record{{ID: "n1", Zone: "a", Addr: "127.0.0.1:1", Instance: 9, Incarnation: member.Incarnation{Generation: 1, Turn: 2}, State: member.Gone,
+			ConfirmedGone: true, Ready: true, Age: time.Second, RetainedShare: 0.25}},
+		Doubts: []member.Doubt{{Subject: "n3", Incarnation: member.Incarnation{Generation: 4}, Observer: "n1", Version: 6, SilentFor: 2 * time.Second, Refused: true, Withdrawn: true}},
+		News:   []member.News{{Key: "k", Origin: "n1", Version: 8, Body: []byte("b")}}}}
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
--- a/internal/fleet/link/snapshot.go
+++ b/internal/fleet/link/snapshot.go
@@ -66,7 +66,7 @@
 
 // snapshotOf is what is kept of a view.
 func snapshotOf(name string, m *member.Machine) snapshot {
-	s := snapshot{Name: name, Generation: m.Self().Life.Generation}
+	s := snapshot{Name: name, Generation: m.Self().Incarnation.Generation}
 	for _, e := range m.View() {
 		if !e.Self && e.Record.State == member.Alive {
 			s.Members = append(s.Members, known{e.ID, e.Zone, e.Addr})
--- a/internal/fleet/link/view.go
+++ b/internal/fleet/link/view.go
@@ -41,12 +41,12 @@
 	v := View{Fleet: f.c.Fleet, Mixer: f.c.ID, Live: f.m.Alive(), Share: f.m.Share(now), Isolated: f.m.Isolated()}
 	for _, e := range f.m.View() {
 		l := Line{ID: e.ID, Zone: e.Zone, Addr: e.Addr, State: e.State.String(), Self: e.Self, Ready: e.Ready,
-			Generation: e.Life.Generation, Turn: e.Life.Turn, SinceMS: (now - e.Since).Milliseconds(), HeardMS: -1, DoubtedBy: e.Doubts}
+			Generation: e.Incarnation.Generation, Turn: e.Incarnation.Turn, SinceMS: (now - e.Since).Milliseconds(), HeardMS: -1, DoubtedBy: e.Doubters}
 		if e.Self && e.State == member.Doubted {
 			l.State = "isolated"
 		}
-		if e.Heard > 0 {
-			l.HeardMS = (now - e.Heard).Milliseconds()
+		if e.LastHeard > 0 {
+			l.HeardMS = (now - e.LastHeard).Milliseconds()
 		}
 		v.Members = append(v.Members, l)
 	}
--- a/internal/fleet/member/cases_test.go
+++ b/internal/fleet/member/cases_test.go
@@ -48,7 +48,7 @@
 			}
 		}
 		cut(true)
-		knows := w.until(6*period, "it knows that it is cut off", func() bool { whole, _ := p.m.Whole(w.now); return !whole })
+		knows := w.until(6*period, "it knows that it is cut off", func() bool { whole, _ := p.m.HasQuorum(w.now); return !whole })
 		if n := len(w.thrownOut()); n > 0 {
 			t.Errorf("seed %d: %d threw it out before it knew", seed, n)
 		}
@@ -242,7 +242,7 @@
 	w.procs = w.procs[:5]
 	w.until(4*period, "the view is as it was", w.agree)
 	for _, c := range w.changes {
-		if !c.New { // the second saw them all, before it stopped
+		if !c.FirstSeen { // the second saw them all, before it stopped
 			t.Errorf("%+v", c)
 		}
 	}
@@ -263,13 +263,13 @@
 // moved on; a killed and forgotten member stays forgotten.
 func TestOldWordsChangeNothing(t *testing.T) {
 	w := newWorld(t, 9, 5)
-	var old []Envelope
+	var old []Datagram
 	w.startAll()
 	for range 200 {
 		w.run(10 * ms)
 		for _, p := range w.procs {
 			if p.m != nil {
-				old = append(old, Envelope{Message: p.m.full(Push, 0)})
+				old = append(old, Datagram{Message: p.m.full(Gossip, 0)})
 			}
 		}
 	}
--- a/internal/fleet/member/claim.go
+++ b/internal/fleet/member/claim.go
@@ -54,7 +54,7 @@
 
 // renew says that we are there, against whatever is said of our present life.
 func (m *Machine) renew() {
-	m.self.Life.Turn++
+	m.self.Incarnation.Turn++
 	m.self.State = Alive
 	clear(m.against)
 	m.stale = true
@@ -66,11 +66,11 @@
 // mergeSelf takes what others say of our name.
 func (m *Machine) mergeSelf(r Record) {
 	if r.Instance == m.c.Instance {
-		if r.State == Alive || r.Life.Before(m.self.Life) {
+		if r.State == Alive || r.Incarnation.Before(m.self.Incarnation) {
 			return
 		}
 		// We were thrown out: the others have shared out anew, and learn that we are back.
-		m.self.Life.Turn = r.Life.Turn
+		m.self.Incarnation.Turn = r.Incarnation.Turn
 		m.self.Ready = false
 		m.readyAt = m.now + m.settled()
 		m.renew()
@@ -81,12 +81,12 @@
 		return
 	}
 	// It is gone, or it had the very address that is ours now: it was we, before.
-	if m.contest.open && r.Life.Before(m.contest.rival.Life) {
+	if m.contest.open && r.Incarnation.Before(m.contest.rival.Incarnation) {
 		return // this is about one still earlier
 	}
 	m.contest = contest{}
-	if r.Life.Generation >= m.self.Life.Generation {
-		m.self.Life = Life{Generation: r.Life.Generation + 1}
+	if r.Incarnation.Generation >= m.self.Incarnation.Generation {
+		m.self.Incarnation = Incarnation{Generation: r.Incarnation.Generation + 1}
 		m.stale = true
 		if m.joined {
 			m.enqueue(recordKey(m.c.ID))
@@ -96,7 +96,7 @@
 
 // dispute looks into a process that is said to live under our name elsewhere.
 func (m *Machine) dispute(r Record) {
-	if m.seated() && r.Life.Generation < m.self.Life.Generation {
+	if m.seated() && r.Incarnation.Generation < m.self.Incarnation.Generation {
 		return // we have taken over from it; it will hear of that
 	}
 	if !m.contest.open {
@@ -117,7 +117,7 @@
 		return
 	}
 	if m.now-c.since > 2*m.periods(goneAfter) {
-		m.self.Life = Life{Generation: max(c.rival.Life.Generation, m.self.Life.Generation) + 1}
+		m.self.Incarnation = Incarnation{Generation: max(c.rival.Incarnation.Generation, m.self.Incarnation.Generation) + 1}
 		m.contest = contest{}
 		m.joined = false
 		m.takeSeat()
@@ -125,7 +125,7 @@
 	}
 	c.askAt = m.now + m.c.Period/2
 	m.seq++
-	m.out.Send = append(m.out.Send, Envelope{Target{m.c.ID, c.rival.Addr},
+	m.out.Send = append(m.out.Send, Datagram{Target{m.c.ID, c.rival.Addr},
 		Message{Kind: Ping, From: m.c.ID, Instance: m.c.Instance, To: m.c.ID, Target: c.rival.Instance, Seq: m.seq, Records: []Record{m.self}}})
 }
 
@@ -139,7 +139,7 @@
 		// It asks whether we are there. Where it stands is in its own record.
 		for _, r := range msg.Records {
 			if r.ID == m.c.ID && r.Instance == msg.Instance && m.joined {
-				m.out.Send = append(m.out.Send, Envelope{Target{m.c.ID, r.Addr}, Message{Kind: Ack, From: m.c.ID, Instance: m.c.Instance,
+				m.out.Send = append(m.out.Send, Datagram{Target{m.c.ID, r.Addr}, Message{Kind: Ack, From: m.c.ID, Instance: m.c.Instance,
 					To: m.c.ID, Target: msg.Instance, Seq: msg.Seq, Records: []Record{m.self}}})
 			}
 		}
@@ -150,8 +150,8 @@
 		}
 		// The one that has its place stays. Of two that have one, the later generation does,
 		// and else the lower instance.
-		theirs := c.rival.Life.Generation
-		if m.joined && (theirs < m.self.Life.Generation || theirs == m.self.Life.Generation && m.c.Instance < msg.Instance) {
+		theirs := c.rival.Incarnation.Generation
+		if m.joined && (theirs < m.self.Incarnation.Generation || theirs == m.self.Incarnation.Generation && m.c.Instance < msg.Instance) {
 			m.contest = contest{}
 			m.renew()
 			return
--- a/internal/fleet/member/every_test.go
+++ b/internal/fleet/member/every_test.go
@@ -119,10 +119,10 @@
 			fmt.Fprint(h, "dead")
 			continue
 		}
-		whole, _ := p.m.Whole(w.now)
+		whole, _ := p.m.HasQuorum(w.now)
 		fmt.Fprint(h, p.id, whole, p.m.isolated, p.m.self.Ready)
 		for _, e := range p.m.View() {
-			fmt.Fprint(h, e.ID, e.State, e.Ready, e.Life, len(e.Doubts))
+			fmt.Fprint(h, e.ID, e.State, e.Ready, e.Incarnation, len(e.Doubters))
 		}
 	}
 	return h.Sum64()
--- a/internal/fleet/member/gossip.go
+++ b/internal/fleet/member/gossip.go
@@ -89,7 +89,7 @@
 	m.gossipAt = m.now + m.periods(gossipPace)
 	for _, p := range m.pick(gossipFan, func(p *peer) bool { return p.State == Alive }) {
 		if len(m.queue) > 0 {
-			m.send(p, Message{Kind: Push})
+			m.send(p, Message{Kind: Gossip})
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	m.step(now)
 	m.newsStamp++
 	// Another start under our name counts on from the one before.
-	m.keepNews(News{Key: key, Origin: m.c.ID, Stamp: uint64(m.self.Life.Generation)<<32 + m.newsStamp, Body: body})
+	m.keepNews(News{Key: key, Origin: m.c.ID, Version: uint64(m.self.Incarnation.Generation)<<32 + m.newsStamp, Body: body})
 }
 
 func (m *Machine) mergeNews(n News) {
@@ -107,7 +107,7 @@
 		return
 	}
 	// By key and origin: two who announce one key would replace each other's word for good.
-	if old := m.news[n.id()]; old != nil && old.Stamp >= n.Stamp {
+	if old := m.news[n.id()]; old != nil && old.Version >= n.Version {
 		return
 	}
 	m.keepNews(n)
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -31,10 +31,10 @@
 
 // Life orders what is said of a member: Generation counts the starts under its name,
 // Turn what it has said of itself since.
-type Life struct{ Generation, Turn uint32 }
+type Incarnation struct{ Generation, Turn uint32 }
 
 // Before reports whether l is older than o.
-func (l Life) Before(o Life) bool {
+func (l Incarnation) Before(o Incarnation) bool {
 	return l.Generation < o.Generation || l.Generation == o.Generation && l.Turn < o.Turn
 }
 
@@ -42,29 +42,29 @@
 type Record struct {
 	ID, Zone, Addr string
 	Instance       uint64 // drawn at its start: tells two processes of one name apart
-	Life           Life
+	Incarnation    Incarnation
 	State          State         // Alive, Gone or Left
-	Proved         bool          // gone for certain: its machine refuses connections
+	ConfirmedGone  bool          // gone for certain: its machine refuses connections
 	Ready          bool          // it has been there for long enough to own duties and take its full share
 	Age            time.Duration // since when it is gone or left
-	Kept           float64       // gone in silence: what it may still use of shared budgets, as the largest of all views has it
+	RetainedShare  float64       // gone in silence: what it may still use of shared budgets, as the largest of all views has it
 }
 
 // Doubt is one observer's word that it does not hear a member.
 type Doubt struct {
-	Subject  string
-	Life     Life // the subject's
-	Observer string
-	Stamp    uint32        // counts what the observer has said of the subject
-	Heard    time.Duration // how long ago it last heard it
-	Refused  bool          // the subject's machine refuses connections
-	Over     bool          // it hears it again
+	Subject     string
+	Incarnation Incarnation // the subject's
+	Observer    string
+	Version     uint32        // counts what the observer has said of the subject
+	SilentFor   time.Duration // how long ago it last heard it
+	Refused     bool          // the subject's machine refuses connections
+	Withdrawn   bool          // it hears it again
 }
 
 // News is a word that all are told once. Of one key and origin, the latest stamp counts.
 type News struct {
 	Key, Origin string
-	Stamp       uint64
+	Version     uint64
 	Body        []byte
 	Age         time.Duration // since it was announced, but for the time on the way
 }
@@ -74,13 +74,13 @@
 
 // The kinds. Sync and SyncBack travel over a connection, the others as datagrams.
 const (
-	Ping     Kind = iota + 1 // answered by an Ack with the same Seq
-	Ack                      // a round trip: each side hears the other
-	Ask                      // please ping Subject for me
-	Relayed                  // Subject has answered your Ask
-	Push                     // carries updates only
-	Sync                     // all that the sender knows; answered by SyncBack
-	SyncBack                 // the same, back
+	Ping        Kind = iota + 1 // answered by an Ack with the same Seq
+	Ack                         // a round trip: each side hears the other
+	PingRequest                 // please ping Subject for me
+	RelayedAck                  // Subject has answered your Ask
+	Gossip                      // carries updates only
+	SyncRequest                 // all that the sender knows; answered by SyncBack
+	SyncReply                   // the same, back
 )
 
 // Message is what mixers say to each other.
@@ -108,7 +108,7 @@
 	Expected       int           // mixers that the settings name
 	Seed           uint64
 	Seeds          []string // addresses that are asked at the start
-	Known          []Record // members known from before; they are asked too
+	KnownMembers   []Record // members known from before; they are asked too
 }
 
 // Figures of the protocol, in periods unless said otherwise. docs/design/membership.md
@@ -146,7 +146,7 @@
 }
 
 // Envelope is a message to send as a datagram.
-type Envelope struct {
+type Datagram struct {
 	Target
 	Message Message
 }
@@ -160,18 +160,18 @@
 
 // Change is a change of a member's state in this view.
 type Change struct {
-	At        time.Duration
-	ID        string
-	From, To  State
-	New       bool // it was not known before
-	Life      Life
-	Cause     string
-	Observers []string // whose doubts it rests on
+	At          time.Duration
+	ID          string
+	From, To    State
+	FirstSeen   bool // it was not known before
+	Incarnation Incarnation
+	Cause       string
+	Observers   []string // whose doubts it rests on
 }
 
 // Out is what the caller has to carry out.
-type Out struct {
-	Send      []Envelope
+type Output struct {
+	Send      []Datagram
 	Exchanges []Exchange
 	Changes   []Change
 	News      []News
@@ -226,7 +226,7 @@
 // told is the doubt as it is told now.
 func (d *doubt) told(now time.Duration) Doubt {
 	said := d.Doubt
-	said.Heard = now - d.heardAt
+	said.SilentFor = now - d.heardAt
 	return said
 }
 
@@ -280,7 +280,7 @@
 	digest    uint64
 	stale     bool // the digest is
 	flawed    bool // a test has it act as if it were never cut off, to see that this is found
-	out       Out
+	out       Output
 }
 
 // pending is a ping that has not been answered.
@@ -295,8 +295,8 @@
 func New(c Config, now time.Duration) *Machine {
 	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), now: now, woke: now, looked: now,
 		peers: map[string]*peer{}, pending: map[uint64]pending{}, queue: map[string]int{}, against: map[string]*doubt{}, news: map[string]*heardNews{}, stale: true}
-	m.self = Record{ID: c.ID, Zone: c.Zone, Addr: c.Addr, Instance: c.Instance, Life: Life{Generation: c.Generation + 1}}
-	for _, r := range c.Known {
+	m.self = Record{ID: c.ID, Zone: c.Zone, Addr: c.Addr, Instance: c.Instance, Incarnation: Incarnation{Generation: c.Generation + 1}}
+	for _, r := range c.KnownMembers {
 		if r.ID != c.ID && r.Addr != "" {
 			m.c.Seeds = append(m.c.Seeds, r.Addr)
 		}
@@ -312,12 +312,12 @@
 func (m *Machine) periods(n float64) time.Duration { return time.Duration(n * float64(m.c.Period)) }
 
 // Next is when Tick wants to be called at the latest.
-func (m *Machine) Next() time.Duration { return m.looked + m.periods(pace) }
+func (m *Machine) NextTick() time.Duration { return m.looked + m.periods(pace) }
 
 // Take returns what there is to do, and forgets it.
-func (m *Machine) Take() Out {
+func (m *Machine) TakeOutput() Output {
 	out := m.out
-	m.out = Out{}
+	m.out = Output{}
 	return out
 }
 
@@ -373,11 +373,11 @@
 	switch msg.Kind {
 	case Ack:
 		m.acked(msg)
-	case Ask:
+	case PingRequest:
 		if s := m.peers[msg.Subject]; s != nil {
 			m.ping(s, msg.From, msg.Seq)
 		}
-	case Relayed:
+	case RelayedAck:
 		if w, ok := m.pending[msg.Seq]; ok && w.id == msg.Subject && w.behalf == "" {
 			if s := m.peers[msg.Subject]; s != nil {
 				s.path = msg.From
@@ -389,18 +389,18 @@
 }
 
 // Served answers a full exchange that another mixer began.
-func (m *Machine) Served(now time.Duration, msg Message) Message {
+func (m *Machine) AnswerExchange(now time.Duration, msg Message) Message {
 	m.step(now)
 	if msg.From == m.c.ID {
 		m.rival(msg)
 	} else if !m.leaving {
 		m.merge(msg)
 	}
-	return m.full(SyncBack, msg.Seq)
+	return m.full(SyncReply, msg.Seq)
 }
 
 // Exchanged takes the answer to a full exchange that we began with somebody.
-func (m *Machine) Exchanged(now time.Duration, with Target, msg Message) {
+func (m *Machine) ExchangeDone(now time.Duration, with Target, msg Message) {
 	m.step(now)
 	m.merge(msg)
 	if msg.From == m.c.ID {
@@ -432,13 +432,13 @@
 		return
 	}
 	m.leaving = true
-	m.self.Life.Turn++
+	m.self.Incarnation.Turn++
 	m.self.State = Left
 	m.stale = true
 	to := m.pick(2*observers, func(p *peer) bool { return p.State == Alive })
 	for range 2 { // one of them may be lost
 		for _, p := range to {
-			m.send(p, Message{Kind: Push, Records: []Record{m.self}})
+			m.send(p, Message{Kind: Gossip, Records: []Record{m.self}})
 		}
 	}
 }
@@ -447,7 +447,7 @@
 func (m *Machine) send(p *peer, msg Message) {
 	msg.From, msg.Instance, msg.To, msg.Digest = m.c.ID, m.c.Instance, p.ID, m.viewDigest()
 	m.fill(&msg)
-	m.out.Send = append(m.out.Send, Envelope{Target{p.ID, p.Addr}, msg})
+	m.out.Send = append(m.out.Send, Datagram{Target{p.ID, p.Addr}, msg})
 }
 
 // full is a message of all that we know.
@@ -471,5 +471,5 @@
 
 // exchange begins a full exchange.
 func (m *Machine) exchange(t Target) {
-	m.out.Exchanges = append(m.out.Exchanges, Exchange{t, m.full(Sync, 0)})
+	m.out.Exchanges = append(m.out.Exchanges, Exchange{t, m.full(SyncRequest, 0)})
 }
--- a/internal/fleet/member/probe.go
+++ b/internal/fleet/member/probe.go
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, h := range chosen {
-		m.send(h, Message{Kind: Ask, Seq: p.lastSeq, Subject: p.ID})
+		m.send(h, Message{Kind: PingRequest, Seq: p.lastSeq, Subject: p.ID})
 	}
 }
 
@@ -168,7 +168,7 @@
 	delete(m.pending, msg.Seq)
 	m.hear(m.peers[w.id])
 	if h := m.peers[w.behalf]; h != nil {
-		m.send(h, Message{Kind: Relayed, Seq: w.seq, Subject: w.id})
+		m.send(h, Message{Kind: RelayedAck, Seq: w.seq, Subject: w.id})
 	}
 }
 
@@ -180,7 +180,7 @@
 
 // withdraw takes our doubt of a member back.
 func (m *Machine) withdraw(p *peer) {
-	if p.mine == nil || p.mine.Over {
+	if p.mine == nil || p.mine.Withdrawn {
 		return
 	}
 	m.say(p, true)
@@ -190,7 +190,7 @@
 func (m *Machine) say(p *peer, over bool) {
 	p.stamp++
 	p.saidAt = m.now
-	d := Doubt{Subject: p.ID, Life: p.Life, Observer: m.c.ID, Stamp: p.stamp, Refused: p.refused && !over, Over: over}
+	d := Doubt{Subject: p.ID, Incarnation: p.Incarnation, Observer: m.c.ID, Version: p.stamp, Refused: p.refused && !over, Withdrawn: over}
 	p.mine = &d
 	p.doubts[m.c.ID] = &doubt{Doubt: d, heardAt: max(p.heard, p.lifeAt), at: m.now}
 	m.enqueue(doubtKey(p.ID, m.c.ID))
--- a/internal/fleet/member/share.go
+++ b/internal/fleet/member/share.go
@@ -9,7 +9,7 @@
 // Whole reports whether a majority is within reach; until is when that has to be asked
 // again at the latest. It looks at the clock that it is given, not at the last Tick: a
 // process that stood still is not whole when it wakes.
-func (m *Machine) Whole(now time.Duration) (whole bool, until time.Duration) {
+func (m *Machine) HasQuorum(now time.Duration) (whole bool, until time.Duration) {
 	if until = m.lease(); m.flawed {
 		until = forever
 	}
@@ -25,7 +25,7 @@
 	if !m.joined || m.leaving || m.contest.open || !m.self.Ready {
 		return 0
 	}
-	if whole, _ := m.Whole(now); !whole || now < m.backAt {
+	if whole, _ := m.HasQuorum(now); !whole || now < m.backAt {
 		if m.isolated && now-m.isoSince > m.c.Forget/2 {
 			return 0 // the others may have forgotten us
 		}
@@ -100,7 +100,7 @@
 // asking again. Two never hold one at once: who takes it over waits until the other has
 // lost it by its own clock, or said so.
 func (m *Machine) Mine(now time.Duration, zone, key string) (bool, time.Duration) {
-	whole, until := m.Whole(now)
+	whole, until := m.HasQuorum(now)
 	if !whole || !m.self.Ready || now < m.backAt || now < m.readyAt+m.settled() || m.Owner(zone, key) != m.c.ID {
 		return false, 0
 	}
@@ -108,18 +108,18 @@
 }
 
 // Entry is a member as this view has it.
-type Entry struct {
+type MemberStatus struct {
 	Record
-	State  State
-	Since  time.Duration // when it came to that
-	Doubts []string      // who doubts it
-	Heard  time.Duration // when we last had a round trip with it; 0: we never had
-	Self   bool
+	State     State
+	Since     time.Duration // when it came to that
+	Doubters  []string      // who doubts it
+	LastHeard time.Duration // when we last had a round trip with it; 0: we never had
+	Self      bool
 }
 
 // View is all members, by id.
-func (m *Machine) View() []Entry {
-	list := []Entry{{Record: m.self, State: m.self.State, Since: m.isoSince, Doubts: sortedKeys(m.against), Heard: m.now, Self: true}}
+func (m *Machine) View() []MemberStatus {
+	list := []MemberStatus{{Record: m.self, State: m.self.State, Since: m.isoSince, Doubters: sortedKeys(m.against), LastHeard: m.now, Self: true}}
 	if m.isolated {
 		list[0].State = Doubted
 	}
@@ -128,15 +128,15 @@
 		if p.forgotten {
 			continue
 		}
-		e := Entry{Record: p.Record, State: p.shown, Since: p.changed, Heard: p.heard}
+		e := MemberStatus{Record: p.Record, State: p.shown, Since: p.changed, LastHeard: p.heard}
 		for _, name := range sortedKeys(p.doubts) {
-			if !p.doubts[name].Over {
-				e.Doubts = append(e.Doubts, name)
+			if !p.doubts[name].Withdrawn {
+				e.Doubters = append(e.Doubters, name)
 			}
 		}
 		list = append(list, e)
 	}
-	slices.SortFunc(list, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b MemberStatus) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -46,14 +46,14 @@
 		m.adopt(p, r, "joined", true)
 		return
 	}
-	if r.Life == p.Life && r.Instance == p.Instance && r.State == Gone && p.State == Gone && r.Kept > p.Kept {
+	if r.Incarnation == p.Incarnation && r.Instance == p.Instance && r.State == Gone && p.State == Gone && r.RetainedShare > p.RetainedShare {
 		m.stale = true
-		p.Kept = min(r.Kept, 1) // whoever knew it longer knows what it may still use
+		p.RetainedShare = min(r.RetainedShare, 1) // whoever knew it longer knows what it may still use
 		m.enqueue(recordKey(p.ID))
 	}
 	switch {
-	case p.Life.Before(r.Life):
-	case r.Life.Before(p.Life), r.Instance != p.Instance, r.State <= p.State:
+	case p.Incarnation.Before(r.Incarnation):
+	case r.Incarnation.Before(p.Incarnation), r.Instance != p.Instance, r.State <= p.State:
 		return
 	case r.State == Gone && m.now-p.heard < m.periods(doubtAfter):
 		return // we hear it; it will be told what is said of it, and say that it is there
@@ -84,7 +84,7 @@
 	switch {
 	case r.State == Left:
 		return "it ends"
-	case r.State == Gone && r.Proved:
+	case r.State == Gone && r.ConfirmedGone:
 		return "its machine refuses connections, as others found"
 	case r.State == Gone:
 		return "others hear nothing of it"
@@ -99,21 +99,21 @@
 	if p.Instance != r.Instance {
 		p.stamp, p.mine, p.heard, p.path, p.observed = 0, nil, 0, "", false
 	}
-	if p.Life != r.Life {
+	if p.Incarnation != r.Incarnation {
 		p.lifeAt, p.refused, p.mine = m.now, false, nil
 		clear(p.doubts)
 	}
 	age := r.Age
 	r.Age = 0
 	before, kept := p.State, 0.0
-	if r.State == Gone && !r.Proved {
-		kept = min(1, max(r.Kept, keptShare*m.high, keptShare*m.part()))
+	if r.State == Gone && !r.ConfirmedGone {
+		kept = min(1, max(r.RetainedShare, keptShare*m.high, keptShare*m.part()))
 	}
 	if fresh || before != Alive {
 		m.alive++
 	}
 	p.Record = r
-	p.Kept, p.mark = kept, mark(r)
+	p.RetainedShare, p.mark = kept, mark(r)
 	if r.State != Alive {
 		m.alive--
 		p.goneAt = m.now - age
@@ -130,35 +130,35 @@
 	if p.shown == to && !fresh {
 		return
 	}
-	m.out.Changes = append(m.out.Changes, Change{At: m.now, ID: p.ID, From: p.shown, To: to, New: fresh, Life: p.Life, Cause: cause, Observers: by})
+	m.out.Changes = append(m.out.Changes, Change{At: m.now, ID: p.ID, From: p.shown, To: to, FirstSeen: fresh, Incarnation: p.Incarnation, Cause: cause, Observers: by})
 	p.shown, p.changed = to, m.now
 }
 
 // mergeDoubt takes an observer's word.
 func (m *Machine) mergeDoubt(d Doubt) {
-	if d.Observer == m.c.ID || d.Observer == d.Subject || d.Heard < 0 {
+	if d.Observer == m.c.ID || d.Observer == d.Subject || d.SilentFor < 0 {
 		return
 	}
 	held, life := m.doubtsOf(d.Subject)
-	if held == nil || d.Life != life || m.peers[d.Observer] == nil {
+	if held == nil || d.Incarnation != life || m.peers[d.Observer] == nil {
 		return
 	}
-	if old := held[d.Observer]; old != nil && old.Stamp >= d.Stamp {
+	if old := held[d.Observer]; old != nil && old.Version >= d.Version {
 		return
 	}
-	held[d.Observer] = &doubt{Doubt: d, heardAt: m.now - d.Heard, at: m.now}
+	held[d.Observer] = &doubt{Doubt: d, heardAt: m.now - d.SilentFor, at: m.now}
 	m.enqueue(doubtKey(d.Subject, d.Observer))
 }
 
 // doubtsOf is what is held against a member's present life.
-func (m *Machine) doubtsOf(id string) (map[string]*doubt, Life) {
+func (m *Machine) doubtsOf(id string) (map[string]*doubt, Incarnation) {
 	if id == m.c.ID {
-		return m.against, m.self.Life
+		return m.against, m.self.Incarnation
 	}
 	if p := m.peers[id]; p != nil && p.State == Alive {
-		return p.doubts, p.Life
+		return p.doubts, p.Incarnation
 	}
-	return nil, Life{}
+	return nil, Incarnation{}
 }
 
 // Alive is the number of members deemed alive, this one among them.
@@ -186,7 +186,7 @@
 			}
 			zone = p.Zone
 		}
-		if d.Over {
+		if d.Withdrawn {
 			continue
 		}
 		e.by = append(e.by, name)
@@ -242,7 +242,7 @@
 			continue
 		}
 		d := p.mine
-		if d == nil || d.Over || d.Refused != p.refused || m.now-p.saidAt >= m.periods(doubtAgain) {
+		if d == nil || d.Withdrawn || d.Refused != p.refused || m.now-p.saidAt >= m.periods(doubtAgain) {
 			m.say(p, false)
 		}
 	}
@@ -297,7 +297,7 @@
 	for _, p := range m.peers {
 		doubted := false
 		for _, d := range p.doubts {
-			doubted = doubted || !d.Over
+			doubted = doubted || !d.Withdrawn
 		}
 		if p.State == Alive && !doubted {
 			n++
@@ -309,7 +309,7 @@
 // bury holds a member as gone, by our own judgement.
 func (m *Machine) bury(p *peer, proved bool, cause string, e evidence) {
 	r := p.Record
-	r.State, r.Proved = Gone, proved
+	r.State, r.ConfirmedGone = Gone, proved
 	m.show(p, Gone, cause, e.by, false)
 	m.adopt(p, r, cause, false)
 }
@@ -370,7 +370,7 @@
 	if !m.seated() {
 		return // it is in no fleet yet
 	}
-	m.out.Changes = append(m.out.Changes, Change{At: m.now, ID: m.c.ID, From: from, To: to, Life: m.self.Life, Cause: cause, Observers: sortedKeys(m.against)})
+	m.out.Changes = append(m.out.Changes, Change{At: m.now, ID: m.c.ID, From: from, To: to, Incarnation: m.self.Incarnation, Cause: cause, Observers: sortedKeys(m.against)})
 }
 
 // settled is by when all members know of a change.
@@ -392,7 +392,7 @@
 	m.stale, m.digest, m.baseSize = false, mark(m.self), 0
 	kept, known := 0.0, 1
 	count := func(r Record) {
-		if r.Ready && (r.State == Alive || r.State == Gone && !r.Proved) {
+		if r.Ready && (r.State == Alive || r.State == Gone && !r.ConfirmedGone) {
 			m.baseSize++
 		}
 	}
@@ -406,7 +406,7 @@
 		count(p.Record)
 		known++
 		if p.State == Gone {
-			kept += p.Kept
+			kept += p.RetainedShare
 		}
 	}
 	if unseen := m.c.Expected - known; unseen > 0 {
@@ -420,7 +420,7 @@
 	if r.State != Alive {
 		return 0
 	}
-	return hash(r.ID, r.Instance^uint64(r.Life.Generation)<<32^uint64(r.Life.Turn))
+	return hash(r.ID, r.Instance^uint64(r.Incarnation.Generation)<<32^uint64(r.Incarnation.Turn))
 }
 
 // compare begins a full exchange with somebody whose view has differed from ours for a
--- a/internal/fleet/member/world_test.go
+++ b/internal/fleet/member/world_test.go
@@ -158,8 +158,8 @@
 // carry carries out what a machine wants.
 func (w *world) carry(p *proc) {
 	m := p.m
-	out := m.Take()
-	p.generation = max(p.generation, m.self.Life.Generation)
+	out := m.TakeOutput()
+	p.generation = max(p.generation, m.self.Incarnation.Generation)
 	for _, e := range out.Send {
 		w.sent++
 		w.note("send", p.id, e.ID, e.Message.Kind, e.Message.Seq)
@@ -215,10 +215,10 @@
 			return
 		}
 		w.deliver(to, to.m, func() {
-			back := to.m.Served(w.now, x.Message)
+			back := to.m.AnswerExchange(w.now, x.Message)
 			w.after(slow(), func() {
 				if open() {
-					w.deliver(p, m, func() { m.Exchanged(w.now, x.Target, back) })
+					w.deliver(p, m, func() { m.ExchangeDone(w.now, x.Target, back) })
 				}
 			})
 		})
@@ -265,7 +265,7 @@
 		}
 		fmt.Fprintf(&b, "%s share %.4f isolated %v ready %v:", p.id, p.m.Share(w.now), p.m.Isolated(), p.m.self.Ready)
 		for _, e := range p.m.View() {
-			fmt.Fprintf(&b, " %s=%v/%d.%d", e.ID, e.State, e.Life.Generation, e.Life.Turn)
+			fmt.Fprintf(&b, " %s=%v/%d.%d", e.ID, e.State, e.Incarnation.Generation, e.Incarnation.Turn)
 		}
 		fmt.Fprintln(&b)
 	}
