--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -9,7 +9,7 @@
 const ms = time.Millisecond
 
 // rig drives one Module with hand-written events and keeps what it did.
-type rig struct {
+type harness struct {
 	t       *testing.T
 	m       *StateMachine
 	now     time.Duration
@@ -37,8 +37,8 @@
 	}
 }
 
-func newRig(t *testing.T, set Settings, servers ...string) *rig {
-	r := &rig{t: t, m: New(set, 1), now: 100 * time.Second, sent: map[string][]Send{}}
+func newHarness(t *testing.T, set Settings, servers ...string) *harness {
+	r := &harness{t: t, m: New(set, 1), now: 100 * time.Second, sent: map[string][]Send{}}
 	r.step(listOf(servers...))
 	return r
 }
@@ -51,7 +51,7 @@
 	return l
 }
 
-func (r *rig) step(events ...Event) []Action {
+func (r *harness) step(events ...Event) []Action {
 	r.actions = r.m.Step(r.now, events)
 	for _, a := range r.actions {
 		if s, ok := a.(Send); ok {
@@ -62,7 +62,7 @@
 }
 
 // pass lets time go by in ticks, without events.
-func (r *rig) pass(d time.Duration) {
+func (r *harness) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
 		r.step(TimerFired{Token: "due"})
@@ -70,7 +70,7 @@
 }
 
 // query hands in a query of so many parts of shard 0 and returns their ids.
-func (r *rig) query(class, parts int) (string, []string) {
+func (r *harness) query(class, parts int) (string, []string) {
 	r.queries++
 	id := fmt.Sprintf("q%d", r.queries)
 	events := []Event{QueryArrived{ID: id, Number: int64(r.queries), Class: class, Left: 4 * time.Second}}
@@ -84,7 +84,7 @@
 }
 
 // done reports the outcome of the part's n-th attempt.
-func (r *rig) done(part string, n int, o Outcome, latency time.Duration) []Action {
+func (r *harness) finish(part string, n int, o Outcome, latency time.Duration) []Action {
 	r.t.Helper()
 	if n >= len(r.sent[part]) {
 		r.t.Fatalf("attempt %d of %s was not sent", n, part)
@@ -93,17 +93,17 @@
 }
 
 // warm answers queries of one part on every server, so that each has a known latency.
-func (r *rig) warm(rounds int, latency time.Duration) {
+func (r *harness) warmUp(rounds int, latency time.Duration) {
 	r.t.Helper()
 	for range rounds {
 		_, parts := r.query(0, 1)
 		r.now += latency
-		r.done(parts[0], 0, OK, latency)
-		r.pass(50 * ms)
+		r.finish(parts[0], 0, OK, latency)
+		r.advance(50 * ms)
 	}
 }
 
-func has[A Action](actions []Action) (A, bool) {
+func findAction[A Action](actions []Action) (A, bool) {
 	for _, a := range actions {
 		if v, ok := a.(A); ok {
 			return v, true
@@ -113,7 +113,7 @@
 	return zero, false
 }
 
-func count[A Action](actions []Action) int {
+func countActions[A Action](actions []Action) int {
 	n := 0
 	for _, a := range actions {
 		if _, ok := a.(A); ok {
--- a/decide/large_bench_test.go
+++ b/decide/large_bench_test.go
@@ -14,14 +14,14 @@
 		for _, cold := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d servers, cold %v", servers, cold), func(b *testing.B) {
 				for range b.N {
-					minuteOf(servers, cold)
+					runMinute(servers, cold)
 				}
 			})
 		}
 	}
 }
 
-func minuteOf(servers int, cold bool) {
+func runMinute(servers int, cold bool) {
 	set := testSettings()
 	set.Cells, set.CellsPerShard, set.Aggregators, set.WarmupTime = servers/4, 2, 300, 100*time.Second
 	m, now := New(set, 1), 200*time.Second
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestModuleStaysReadable bounds each file of the module.
-func TestModuleStaysReadable(t *testing.T) {
+func TestSourceFilesStaySmall(t *testing.T) {
 	const mostLines, mostColumns = 700, 110
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -9,35 +9,35 @@
 
 // directory is one discovery for many aggregators: it works through calls in turn, so
 // many a second, and fails what has waited for too long.
-type directory struct {
-	rate    float64       // calls a second
-	waits   time.Duration // longest wait for a turn
-	free    time.Duration // when its turn is free
-	fails   func() bool   // calls that fail all the same
-	calls   []time.Duration
-	settled map[int]time.Duration // when each aggregator had its list
+type fakeDiscovery struct {
+	rate     float64       // calls a second
+	maxWait  time.Duration // longest wait for a turn
+	nextFree time.Duration // when its turn is free
+	fails    func() bool   // calls that fail all the same
+	calls    []time.Duration
+	listedAt map[int]time.Duration // when each aggregator had its list
 }
 
 // call returns when a call ends, and whether by a list.
-func (d *directory) call(now time.Duration) (time.Duration, bool) {
+func (d *fakeDiscovery) call(now time.Duration) (time.Duration, bool) {
 	d.calls = append(d.calls, now)
 	if d.fails != nil && d.fails() {
 		return now + 2*ms, false
 	}
-	turn := max(now, d.free)
-	if turn-now > d.waits {
-		return now + d.waits, false
+	turn := max(now, d.nextFree)
+	if turn-now > d.maxWait {
+		return now + d.maxWait, false
 	}
-	d.free = turn + time.Duration(float64(time.Second)/d.rate)
-	return d.free, true
+	d.nextFree = turn + time.Duration(float64(time.Second)/d.rate)
+	return d.nextFree, true
 }
 
 // follow starts so many aggregators at one moment and has them ask for the list until
 // the end.
-func (d *directory) follow(n int, length time.Duration) {
+func (d *fakeDiscovery) run(n int, length time.Duration) {
 	set := testSettings()
 	set.WatchDiscovery, set.ListRefreshInterval, set.Tick, set.Aggregators = true, 10*time.Second, ms, n
-	d.settled = map[int]time.Duration{}
+	d.listedAt = map[int]time.Duration{}
 	start := 50 * time.Second
 	modules, inbox := make([]*StateMachine, n), map[time.Duration]map[int][]Event{}
 	later := func(at time.Duration, i int, e Event) {
@@ -56,7 +56,7 @@
 			events := inbox[now][i]
 			for _, e := range events {
 				if l, ok := e.(ServerListUpdate); ok && !l.Full {
-					d.settled[i] = now - start
+					d.listedAt[i] = now - start
 				}
 			}
 			if len(events) == 0 {
@@ -82,12 +82,12 @@
 // TestManyAggregatorsShareOneDiscovery: most are killed at once and come back with an old
 // list, and discovery can answer a fraction of them before the others' calls have waited
 // for too long. Those went without a list for 7 to 9 s.
-func TestManyAggregatorsShareOneDiscovery(t *testing.T) {
+func TestRestartedAggregatorsAllGetTheServerList(t *testing.T) {
 	const n = 56
-	d := directory{rate: 14, waits: 2 * time.Second}
-	d.follow(n, 20*time.Second)
+	d := fakeDiscovery{rate: 14, maxWait: 2 * time.Second}
+	d.run(n, 20*time.Second)
 	var at []time.Duration
-	for _, s := range d.settled {
+	for _, s := range d.listedAt {
 		at = append(at, s)
 	}
 	slices.Sort(at)
@@ -97,12 +97,12 @@
 }
 
 // TestFailingDiscoveryIsNotStormed fails nine calls in ten for 10 s.
-func TestFailingDiscoveryIsNotStormed(t *testing.T) {
+func TestFailingDiscoveryIsNotFloodedWithCalls(t *testing.T) {
 	const n = 80
 	rng := rand.New(rand.NewPCG(5, 5))
-	d := directory{rate: 50, waits: 2 * time.Second}
+	d := fakeDiscovery{rate: 50, maxWait: 2 * time.Second}
 	d.fails = func() bool { return d.calls[len(d.calls)-1] < 60*time.Second && rng.IntN(10) > 0 }
-	d.follow(n, 30*time.Second)
+	d.run(n, 30*time.Second)
 	seconds := map[int]int{}
 	for _, c := range d.calls {
 		seconds[int((c-50*time.Second)/time.Second)]++
@@ -113,13 +113,13 @@
 		}
 	}
 	late := 0
-	for _, s := range d.settled {
+	for _, s := range d.listedAt {
 		if s > 20*time.Second {
 			late++
 		}
 	}
-	if len(d.settled) < n || late > 0 {
-		t.Errorf("%d of %d had a list, %d of them more than 10s after discovery was sound", len(d.settled), n, late)
+	if len(d.listedAt) < n || late > 0 {
+		t.Errorf("%d of %d had a list, %d of them more than 10s after discovery was sound", len(d.listedAt), n, late)
 	}
 	// In step, they would all come back within a few milliseconds.
 	most, first := 0, d.calls[n:]
--- a/decide/odd_fleet_test.go
+++ b/decide/odd_fleet_test.go
@@ -9,7 +9,7 @@
 // TestOddFleets: lists and settings that nobody would write on purpose. Whatever they
 // say, each query has one final answer in time, and nothing goes to a server that does
 // not hold its shard.
-func TestOddFleets(t *testing.T) {
+func TestUnusualServerLists(t *testing.T) {
 	list := func(n int, change func(i int, s *Server)) (servers []Server) {
 		for i := range n {
 			s := Server{ID: fmt.Sprintf("s%04d", i), Cell: i}
@@ -37,13 +37,13 @@
 				set := testSettings()
 				set.Aggregators, set.Cells, set.CellsPerShard, set.WatchDiscovery, set.ListRefreshInterval = aggregators, 12, 2, true, 10*time.Second
 				set.ProbesAllowed = true
-				oddFleet(t, set, servers)
+				checkServerList(t, set, servers)
 			})
 		}
 	}
 }
 
-func oddFleet(t *testing.T, set Settings, servers []Server) {
+func checkServerList(t *testing.T, set Settings, servers []Server) {
 	m, now, watched := New(set, 1), 100*time.Second, time.Duration(-1)
 	ends, last := map[string]int{}, map[string]time.Duration{}
 	cells := map[string]int{}
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -11,28 +11,28 @@
 
 // world feeds a Module with random legal events and checks every action against the rules. It shares no code with
 // the decisions: it counts for itself.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	set     Settings
-	m       *StateMachine
-	now     time.Duration
-	wakes   []time.Duration
-	pending []timed
-	servers map[string]*wServer
-	names   []string
-	queries map[string]*wQuery
-	numbers map[int64]*wQuery
-	parts   map[string]*wPart
-	taken   []time.Duration
-	further []time.Duration
-	log     []Action
-	next    int
-	finals  int
-	sends   int
+type ruleChecker struct {
+	t               *testing.T
+	rng             *rand.Rand
+	settings        Settings
+	machine         *StateMachine
+	now             time.Duration
+	timers          []time.Duration
+	pending         []pendingEvent
+	servers         map[string]*modelServer
+	serverIDs       []string
+	queries         map[string]*modelQuery
+	queriesByNumber map[int64]*modelQuery
+	parts           map[string]*modelPart
+	arrivals        []time.Duration
+	extraAttempts   []time.Duration
+	actions         []Action
+	nextID          int
+	finals          int
+	sends           int
 }
 
-type timed struct {
+type pendingEvent struct {
 	at time.Duration
 	e  Event
 }
@@ -45,47 +45,49 @@
 
 func (lostOutcome) event() {}
 
-type wServer struct {
-	cell        int
-	started     time.Duration
-	down        bool
-	stopping    bool
-	toldStopped time.Duration // 0: not, or told since that it runs
-	cold        []time.Duration
+type modelServer struct {
+	cell          int
+	started       time.Duration
+	down          bool
+	stopping      bool
+	stoppingSince time.Duration // 0: not, or told since that it runs
+	cold          []time.Duration
 }
 
-type wQuery struct {
-	id     string
-	class  Class
-	number int64
-	end    time.Duration
-	second bool
-	whole1 bool
-	over   bool
-	parts  []*wPart
+type modelQuery struct {
+	id                string
+	class             Class
+	number            int64
+	end               time.Duration
+	inSecondStep      bool
+	firstStepComplete bool
+	closed            bool
+	parts             []*modelPart
 }
 
-type wPart struct {
+type modelPart struct {
 	id       string
-	q        *wQuery
+	q        *modelQuery
 	shard    int
 	weight   float64
-	attempts []*wAttempt
-	ok       bool // its answer was delivered
+	attempts []*modelAttempt
+	answered bool // its answer was delivered
 	ended    bool
 }
 
-type wAttempt struct {
-	sent    time.Duration
-	out     bool
-	outcome Outcome
+type modelAttempt struct {
+	sent     time.Duration
+	inFlight bool
+	outcome  Outcome
 }
 
-func (w *world) deliver(d time.Duration, e Event) { w.pending = append(w.pending, timed{w.now + d, e}) }
+func (w *ruleChecker) schedule(d time.Duration, e Event) {
+	w.pending = append(w.pending, pendingEvent{w.now + d, e})
+}
 
-func (w *world) list(full bool) ServerListUpdate {
+func (w *ruleChecker) list(full bool) ServerListUpdate {
 	l := ServerListUpdate{Full: full}
-	for _, n := range w.names {
+	for _, n := range w.serverIDs {
 		s := w.servers[n]
 		state := Running
 		if s.stopping {
@@ -97,16 +99,16 @@
 }
 
 // step delivers all that is due and checks what comes back.
-func (w *world) step() {
+func (w *ruleChecker) step() {
 	var events []Event
-	w.pending = slices.DeleteFunc(w.pending, func(p timed) bool {
+	w.pending = slices.DeleteFunc(w.pending, func(p pendingEvent) bool {
 		if p.at > w.now {
 			return false
 		}
 		events = append(events, p.e)
 		return true
 	})
-	w.wakes = slices.DeleteFunc(w.wakes, func(at time.Duration) bool {
+	w.timers = slices.DeleteFunc(w.timers, func(at time.Duration) bool {
 		if at > w.now {
 			return false
 		}
@@ -117,113 +119,113 @@
 		return
 	}
 	for _, e := range events {
-		w.note(e)
+		w.recordEvent(e)
 	}
-	for _, a := range w.m.Step(w.now, events) {
-		w.log = append(w.log, a)
-		w.check(a)
+	for _, a := range w.machine.Step(w.now, events) {
+		w.actions = append(w.actions, a)
+		w.checkAction(a)
 	}
 }
 
 // note keeps what the module has been told.
-func (w *world) note(e Event) {
+func (w *ruleChecker) recordEvent(e Event) {
 	switch e := e.(type) {
 	case QueryArrived:
-		w.taken = append(w.taken, w.now)
-		q := &wQuery{id: e.ID, class: w.set.Classes[e.Class], number: e.Number, end: w.now + e.Left}
-		w.queries[e.ID], w.numbers[e.Number] = q, q
+		w.arrivals = append(w.arrivals, w.now)
+		q := &modelQuery{id: e.ID, class: w.settings.Classes[e.Class], number: e.Number, end: w.now + e.Left}
+		w.queries[e.ID], w.queriesByNumber[e.Number] = q, q
 	case PartArrived:
-		w.taken = append(w.taken, w.now)
-		q := w.numbers[e.Number]
-		p := &wPart{id: e.ID, q: q, shard: e.Shard, weight: e.Weight}
+		w.arrivals = append(w.arrivals, w.now)
+		q := w.queriesByNumber[e.Number]
+		p := &modelPart{id: e.ID, q: q, shard: e.Shard, weight: e.Weight}
 		q.parts = append(q.parts, p)
 		w.parts[e.ID] = p
 	case ServerListUpdate:
 		for _, entry := range e.Servers {
 			s := w.servers[entry.ID]
 			if entry.State == Running {
-				s.toldStopped = 0
-			} else if s.toldStopped == 0 {
-				s.toldStopped = w.now
+				s.stoppingSince = 0
+			} else if s.stoppingSince == 0 {
+				s.stoppingSince = w.now
 			}
 		}
 	case lostOutcome:
-		w.parts[e.part].attempts[e.n].out, w.parts[e.part].attempts[e.n].outcome = false, TimedOut
+		w.parts[e.part].attempts[e.n].inFlight, w.parts[e.part].attempts[e.n].outcome = false, TimedOut
 	case AttemptDone:
 		p := w.parts[e.Part]
-		if p == nil || e.Attempt >= len(p.attempts) || !p.attempts[e.Attempt].out {
+		if p == nil || e.Attempt >= len(p.attempts) || !p.attempts[e.Attempt].inFlight {
 			return // a duplicate or a stranger
 		}
-		p.attempts[e.Attempt].out, p.attempts[e.Attempt].outcome = false, e.Outcome
+		p.attempts[e.Attempt].inFlight, p.attempts[e.Attempt].outcome = false, e.Outcome
 		if e.Outcome == OK && !p.ended {
-			p.ok = true
+			p.answered = true
 		}
 	case ClientGone:
 		if q := w.queries[e.Query]; q != nil {
-			q.over = true
+			q.closed = true
 		}
 	}
 }
 
-func (w *world) check(a Action) {
+func (w *ruleChecker) checkAction(a Action) {
 	switch a := a.(type) {
 	case Send:
 		w.checkSend(a)
 	case Cancel:
 		if p := w.parts[a.Part]; p == nil || a.Attempt >= len(p.attempts) {
 			w.t.Errorf("%v: cancelled an attempt that was never made: %v", w.now, a)
-		} else if at := p.attempts[a.Attempt]; at.out && w.rng.IntN(2) == 0 {
-			w.deliver(w.jitter(20), AttemptDone{Part: a.Part, Attempt: a.Attempt, Outcome: Cancelled})
+		} else if at := p.attempts[a.Attempt]; at.inFlight && w.rng.IntN(2) == 0 {
+			w.schedule(w.randomDelay(20), AttemptDone{Part: a.Part, Attempt: a.Attempt, Outcome: Cancelled})
 		}
 	case Answer:
 		w.checkAnswer(a)
 	case Refuse:
-		q := w.final(a.Query)
+		q := w.checkFinal(a.Query)
 		for _, p := range q.parts {
 			if q.class.Idempotency == NonIdempotent && p.mayHaveRun() >= 0 {
 				w.t.Errorf("%v: refused %s though part %s may have run", w.now, q.id, p.id)
 			}
 		}
 	case Fail:
-		w.final(a.Query)
+		w.checkFinal(a.Query)
 	case SetTimer:
 		if a.After <= 0 {
 			w.t.Errorf("a timer of %v", a.After)
 		}
-		w.wakes = append(w.wakes, w.now+a.After)
+		w.timers = append(w.timers, w.now+a.After)
 	case Watch:
-		w.deliver(w.jitter(2000), w.listAnswer())
+		w.schedule(w.randomDelay(2000), w.listAnswer())
 	}
 }
 
-func (w *world) listAnswer() Event {
+func (w *ruleChecker) listAnswer() Event {
 	if w.rng.IntN(3) == 0 {
 		return WatchFailed{}
 	}
 	return w.list(true)
 }
 
-func (p *wPart) mayHaveRun() time.Duration {
+func (p *modelPart) mayHaveRun() time.Duration {
 	for _, a := range p.attempts {
-		if a.out || !a.outcome.NeverRan() {
+		if a.inFlight || !a.outcome.NeverRan() {
 			return a.sent
 		}
 	}
 	return -1
 }
 
-func (w *world) final(id string) *wQuery {
+func (w *ruleChecker) checkFinal(id string) *modelQuery {
 	q := w.queries[id]
 	if q == nil {
 		w.t.Fatalf("a final answer for the unknown query %q", id)
 	}
-	if q.over {
+	if q.closed {
 		w.t.Errorf("%v: a second final answer for %s", w.now, id)
 	}
 	if w.now > q.end {
 		w.t.Errorf("%v: %s was ended %v late", w.now, id, w.now-q.end)
 	}
-	q.over = true
+	q.closed = true
 	w.finals++
 	for _, p := range q.parts {
 		p.ended = true
@@ -231,14 +233,14 @@
 	return q
 }
 
-func (w *world) checkAnswer(a Answer) {
+func (w *ruleChecker) checkAnswer(a Answer) {
 	q := w.queries[a.Query]
 	if q == nil {
 		w.t.Fatalf("an answer for the unknown query %q", a.Query)
 	}
 	in, all := 0.0, true
 	for _, p := range q.parts {
-		if p.ok {
+		if p.answered {
 			in += p.weight
 		} else {
 			all = false
@@ -255,63 +257,63 @@
 		w.t.Errorf("%v: %s answered from %.3f, floor %.3f", w.now, q.id, in, floor)
 	}
 	whole := in >= need-1e-4
-	if q.second {
-		whole = all && q.whole1
+	if q.inSecondStep {
+		whole = all && q.firstStepComplete
 	}
 	if a.Whole && !whole {
-		w.t.Errorf("%v: %s marked whole from %.3f (second step %v)", w.now, q.id, in, q.second)
+		w.t.Errorf("%v: %s marked whole from %.3f (second step %v)", w.now, q.id, in, q.inSecondStep)
 	}
-	if q.class.SecondStepParts > 0 && !q.second {
-		q.second, q.whole1 = true, a.Whole
+	if q.class.SecondStepParts > 0 && !q.inSecondStep {
+		q.inSecondStep, q.firstStepComplete = true, a.Whole
 		for _, p := range q.parts {
 			p.ended = true
 		}
 		shard := q.parts[0].shard
 		q.parts = nil
 		for i := range 2 {
-			w.next++
-			w.deliver(5*ms, PartArrived{ID: fmt.Sprintf("f%d", w.next), Number: q.number, Shard: shard + i, Weight: 0.5})
+			w.nextID++
+			w.schedule(5*ms, PartArrived{ID: fmt.Sprintf("f%d", w.nextID), Number: q.number, Shard: shard + i, Weight: 0.5})
 		}
 		return
 	}
-	w.final(a.Query)
+	w.checkFinal(a.Query)
 }
 
-func (w *world) checkSend(a Send) {
+func (w *ruleChecker) checkSend(a Send) {
 	w.sends++
 	p, s := w.parts[a.Part], w.servers[a.Server]
 	if p == nil || s == nil {
 		w.t.Fatalf("%v: a send of something unknown: %v", w.now, a)
 	}
-	if p.q.over || p.ended || p.ok {
+	if p.q.closed || p.ended || p.answered {
 		w.t.Errorf("%v: a send for the finished part %s", w.now, p.id)
 	}
-	if k := ((s.cell-p.shard)%w.set.Cells + w.set.Cells) % w.set.Cells; k >= w.set.CellsPerShard {
+	if k := ((s.cell-p.shard)%w.settings.Cells + w.settings.Cells) % w.settings.Cells; k >= w.settings.CellsPerShard {
 		w.t.Errorf("%v: %s does not hold shard %d", w.now, a.Server, p.shard)
 	}
-	if s.toldStopped > 0 && w.now > s.toldStopped+w.set.DrainGrace {
-		w.t.Errorf("%v: a send to %s, told to stop at %v", w.now, a.Server, s.toldStopped)
+	if s.stoppingSince > 0 && w.now > s.stoppingSince+w.settings.DrainGrace {
+		w.t.Errorf("%v: a send to %s, told to stop at %v", w.now, a.Server, s.stoppingSince)
 	}
-	w.checkEffect(p)
+	w.checkRepeat(p)
 	if len(p.attempts) > 0 {
-		w.further = append(w.further, w.now)
-		n := within(w.further, w.now-w.set.RetryBudgetWindow)
-		limit := w.set.RetryBudgetBase + w.set.RetryBudgetRatio*float64(within(w.taken, w.now-w.set.RetryBudgetWindow+1))
+		w.extraAttempts = append(w.extraAttempts, w.now)
+		n := countSince(w.extraAttempts, w.now-w.settings.RetryBudgetWindow)
+		limit := w.settings.RetryBudgetBase + w.settings.RetryBudgetRatio*float64(countSince(w.arrivals, w.now-w.settings.RetryBudgetWindow+1))
 		if float64(n) > limit {
 			w.t.Errorf("%v: %d further attempts, budget %.1f", w.now, n, limit)
 		}
 	}
-	if s.started > 0 && w.now < s.started+w.set.WarmupTime {
-		w.checkCold(s)
+	if s.started > 0 && w.now < s.started+w.settings.WarmupTime {
+		w.checkColdBudget(s)
 	}
-	at := &wAttempt{sent: w.now, out: true}
+	at := &modelAttempt{sent: w.now, inFlight: true}
 	p.attempts = append(p.attempts, at)
-	w.answer(p, len(p.attempts)-1, s, a)
+	w.scheduleOutcome(p, len(p.attempts)-1, s, a)
 }
 
-func (w *world) checkEffect(p *wPart) {
-	if w.set.MaxAttempts > 0 && len(p.attempts) >= w.set.MaxAttempts {
-		w.t.Errorf("%v: more than %d attempts for %s", w.now, w.set.MaxAttempts, p.id)
+func (w *ruleChecker) checkRepeat(p *modelPart) {
+	if w.settings.MaxAttempts > 0 && len(p.attempts) >= w.settings.MaxAttempts {
+		w.t.Errorf("%v: more than %d attempts for %s", w.now, w.settings.MaxAttempts, p.id)
 	}
 	first := p.mayHaveRun()
 	switch {
@@ -321,24 +323,24 @@
 	case p.q.class.Idempotency == Deduplicated && w.now > first+p.q.class.DedupWindow:
 		w.t.Errorf("%v: the keyed part %s was sent again %v after it may have run", w.now, p.id, w.now-first)
 	}
-	if !w.set.CopiesAllowed && slices.ContainsFunc(p.attempts, func(a *wAttempt) bool { return a.out }) {
+	if !w.settings.CopiesAllowed && slices.ContainsFunc(p.attempts, func(a *modelAttempt) bool { return a.inFlight }) {
 		w.t.Errorf("%v: two attempts of %s are out", w.now, p.id)
 	}
 }
 
 // checkCold holds the sends against this aggregator's share of what the server can do: 60 parts a second when warm.
-func (w *world) checkCold(s *wServer) {
+func (w *ruleChecker) checkColdBudget(s *modelServer) {
 	s.cold = append(s.cold, w.now)
-	n := within(s.cold, w.now-w.set.ColdBudgetWindow)
-	age := max(0, (w.now-s.started-w.set.ColdBudgetWindow).Seconds()) / w.set.WarmupTime.Seconds()
-	share := w.set.WarmupStartShare + (1-w.set.WarmupStartShare)*age
-	limit := w.set.ColdBudgetFactor * share * 60 * w.set.ColdBudgetWindow.Seconds() / float64(w.set.Aggregators)
+	n := countSince(s.cold, w.now-w.settings.ColdBudgetWindow)
+	age := max(0, (w.now-s.started-w.settings.ColdBudgetWindow).Seconds()) / w.settings.WarmupTime.Seconds()
+	share := w.settings.WarmupStartShare + (1-w.settings.WarmupStartShare)*age
+	limit := w.settings.ColdBudgetFactor * share * 60 * w.settings.ColdBudgetWindow.Seconds() / float64(w.settings.Aggregators)
 	if float64(n) > limit {
-		w.t.Errorf("%v: %d parts in %v to a cold server, budget %.1f", w.now, n, w.set.ColdBudgetWindow, limit)
+		w.t.Errorf("%v: %d parts in %v to a cold server, budget %.1f", w.now, n, w.settings.ColdBudgetWindow, limit)
 	}
 }
 
-func within(times []time.Duration, from time.Duration) int {
+func countSince(times []time.Duration, from time.Duration) int {
 	n := 0
 	for _, t := range times {
 		if t >= from {
@@ -348,14 +350,14 @@
 	return n
 }
 
-func (w *world) jitter(most int) time.Duration {
+func (w *ruleChecker) randomDelay(most int) time.Duration {
 	return time.Duration(1+w.rng.IntN(most)) * ms
 }
 
 // answer schedules the attempt's outcome: soon, late, at its time-out, twice or never.
-func (w *world) answer(p *wPart, n int, s *wServer, a Send) {
+func (w *ruleChecker) scheduleOutcome(p *modelPart, n int, s *modelServer, a Send) {
 	e := AttemptDone{Part: p.id, Attempt: n, Server: a.Server, Outcome: OK}
-	d := w.jitter(300)
+	d := w.randomDelay(300)
 	stop := a.StopAt
 	if stop == 0 {
 		stop = p.q.end
@@ -364,122 +366,122 @@
 	case s.down || r == 0:
 		e.Outcome, d = TimedOut, max(stop-w.now, ms)
 	case r < 4:
-		e.Outcome, d = []Outcome{Failed, Full, ConnectFailed, Reset, NotSent}[w.rng.IntN(5)], w.jitter(250)
+		e.Outcome, d = []Outcome{Failed, Full, ConnectFailed, Reset, NotSent}[w.rng.IntN(5)], w.randomDelay(250)
 	case r == 4:
-		d = max(min(w.jitter(3000), stop-w.now), ms)
+		d = max(min(w.randomDelay(3000), stop-w.now), ms)
 	case r == 5:
-		w.deliver(max(stop-w.now, ms), lostOutcome{part: p.id, n: n})
+		w.schedule(max(stop-w.now, ms), lostOutcome{part: p.id, n: n})
 		return
 	}
 	d = max(min(d, stop-w.now), ms)
 	e.Latency = d
-	w.deliver(d, e)
+	w.schedule(d, e)
 	if w.rng.IntN(10) == 0 {
-		w.deliver(d+w.jitter(100), e)
+		w.schedule(d+w.randomDelay(100), e)
 	}
 }
 
-func (w *world) arrive() {
-	w.next++
-	class := w.rng.IntN(len(w.set.Classes))
-	id, number := fmt.Sprintf("q%d", w.next), int64(w.next)
+func (w *ruleChecker) addQuery() {
+	w.nextID++
+	class := w.rng.IntN(len(w.settings.Classes))
+	id, number := fmt.Sprintf("q%d", w.nextID), int64(w.nextID)
 	n := 1 + w.rng.IntN(6)
-	w.deliver(0, QueryArrived{ID: id, Number: number, Class: class, Left: w.jitter(4000), Tenant: w.rng.IntN(2)})
+	w.schedule(0, QueryArrived{ID: id, Number: number, Class: class, Left: w.randomDelay(4000), Tenant: w.rng.IntN(2)})
 	shard := w.rng.IntN(6)
 	for i := range n {
-		w.deliver(0, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: number, Shard: (shard + i) % 6,
+		w.schedule(0, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: number, Shard: (shard + i) % 6,
 			Weight: 1 / float64(n)})
 	}
 	if w.rng.IntN(40) == 0 {
-		w.deliver(w.jitter(2000), ClientGone{Query: id})
+		w.schedule(w.randomDelay(2000), ClientGone{Query: id})
 	}
 }
 
-func (w *world) trouble() {
-	s := w.servers[w.names[w.rng.IntN(len(w.names))]]
+func (w *ruleChecker) injectFault() {
+	s := w.servers[w.serverIDs[w.rng.IntN(len(w.serverIDs))]]
 	switch w.rng.IntN(6) {
 	case 0:
 		s.down = !s.down
 	case 1:
 		s.stopping = true
-		w.deliver(0, w.list(false))
+		w.schedule(0, w.list(false))
 	case 2:
 		s.started, s.stopping, s.down, s.cold = w.now, false, false, nil
-		w.deliver(0, w.list(w.rng.IntN(2) == 0))
+		w.schedule(0, w.list(w.rng.IntN(2) == 0))
 	case 3:
-		w.deliver(0, WatchFailed{})
+		w.schedule(0, WatchFailed{})
 	case 4:
 		for range 10 {
-			w.arrive()
+			w.addQuery()
 		}
 	case 5:
-		w.deliver(0, ProbeDone{Server: "nobody"})
+		w.schedule(0, ProbeDone{Server: "nobody"})
 	}
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 50 * time.Second, servers: map[string]*wServer{},
-		queries: map[string]*wQuery{}, numbers: map[int64]*wQuery{}, parts: map[string]*wPart{}}
-	w.set = testSettings()
-	w.set.Cells, w.set.CellsPerShard = 3, 2
-	w.set.Classes = append(w.set.Classes, Class{Name: "enough", Idempotency: Idempotent, LatencyTarget: time.Second,
+func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
+	w := &ruleChecker{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 50 * time.Second, servers: map[string]*modelServer{},
+		queries: map[string]*modelQuery{}, queriesByNumber: map[int64]*modelQuery{}, parts: map[string]*modelPart{}}
+	w.settings = testSettings()
+	w.settings.Cells, w.settings.CellsPerShard = 3, 2
+	w.settings.Classes = append(w.settings.Classes, Class{Name: "enough", Idempotency: Idempotent, LatencyTarget: time.Second,
 		Deadline: 3 * time.Second, RequiredWeight: 0.6, Value: 2, LateValue: 0.3})
-	w.set.Tenants = []Tenant{{Allowance: 4}, {Allowance: 4}}
-	w.set.WatchDiscovery, w.set.ListRefreshInterval = seed%2 == 0, 10*time.Second
-	w.set.CopiesAllowed = seed%3 != 0
-	w.set.CancelAllowed = seed%5 != 0
+	w.settings.Tenants = []Tenant{{Allowance: 4}, {Allowance: 4}}
+	w.settings.WatchDiscovery, w.settings.ListRefreshInterval = seed%2 == 0, 10*time.Second
+	w.settings.CopiesAllowed = seed%3 != 0
+	w.settings.CancelAllowed = seed%5 != 0
 	for i := range 6 {
 		n := fmt.Sprintf("s%d", i)
-		w.names = append(w.names, n)
-		w.servers[n] = &wServer{cell: i % 3}
+		w.serverIDs = append(w.serverIDs, n)
+		w.servers[n] = &modelServer{cell: i % 3}
 	}
-	w.m = New(w.set, seed)
-	w.deliver(0, w.list(true))
+	w.machine = New(w.settings, seed)
+	w.schedule(0, w.list(true))
 	return w
 }
 
-func (w *world) run(length time.Duration) {
-	for end := w.now + length; w.now < end; w.now += w.set.Tick {
+func (w *ruleChecker) run(length time.Duration) {
+	for end := w.now + length; w.now < end; w.now += w.settings.Tick {
 		if w.rng.IntN(12) == 0 {
-			w.arrive()
+			w.addQuery()
 		}
 		if w.rng.IntN(400) == 0 {
-			w.trouble()
+			w.injectFault()
 		}
 		w.step()
 	}
-	for end := w.now + 8*time.Second; w.now < end; w.now += w.set.Tick {
+	for end := w.now + 8*time.Second; w.now < end; w.now += w.settings.Tick {
 		w.step()
 	}
-	w.deliver(0, TimerFired{}) // what is overdue is given up at the next step, whatever brings it
+	w.schedule(0, TimerFired{}) // what is overdue is given up at the next step, whatever brings it
 	w.step()
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newWorld(t, seed)
+			w := newRuleChecker(t, seed)
 			w.run(40 * time.Second)
 			for _, q := range w.queries {
-				if !q.over {
+				if !q.closed {
 					t.Errorf("query %s was lost", q.id)
 				}
 			}
-			if w.finals < 100 || w.sends < 300 || len(w.further) < 20 {
-				t.Errorf("%d finals, %d sends, %d further attempts: the day tests too little", w.finals, w.sends, len(w.further))
+			if w.finals < 100 || w.sends < 300 || len(w.extraAttempts) < 20 {
+				t.Errorf("%d finals, %d sends, %d further attempts: the day tests too little", w.finals, w.sends, len(w.extraAttempts))
 			}
-			if n := len(w.m.parts) + len(w.m.queries) + len(w.m.queriesByID) + len(w.m.active); n != 0 {
+			if n := len(w.machine.parts) + len(w.machine.queries) + len(w.machine.queriesByID) + len(w.machine.active); n != 0 {
 				t.Errorf("%d queries and parts are still held", n)
 			}
 		})
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	first, again := newWorld(t, 11), newWorld(t, 11)
+func TestStepIsDeterministic(t *testing.T) {
+	first, again := newRuleChecker(t, 11), newRuleChecker(t, 11)
 	first.run(20 * time.Second)
 	again.run(20 * time.Second)
-	if !reflect.DeepEqual(first.log, again.log) {
+	if !reflect.DeepEqual(first.actions, again.actions) {
 		t.Errorf("the same events led to other actions")
 	}
 }
--- a/decide/seldom_test.go
+++ b/decide/seldom_test.go
@@ -7,11 +7,11 @@
 )
 
 // seldom is one aggregator of many: it meets each of 30 servers about once in 1.5 s.
-func seldom(t *testing.T) *rig {
+func newSparseHarness(t *testing.T) *harness {
 	set := testSettings()
 	set.Aggregators, set.Cells, set.CellsPerShard, set.RetryBudgetWindow, set.ProbesAllowed = 80, 30, 2, 0, true
 	set.Classes[0].LatencyTarget = 400 * ms
-	r := newRig(t, set)
+	r := newHarness(t, set)
 	l := ServerListUpdate{Full: true}
 	for c := range set.Cells {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%02d", c), Cell: c})
@@ -21,7 +21,7 @@
 }
 
 // ask hands in one part for the shard.
-func (r *rig) ask(shard int) string {
+func (r *harness) queryShard(shard int) string {
 	r.queries++
 	id := fmt.Sprintf("q%d", r.queries)
 	r.step(QueryArrived{ID: id, Number: int64(r.queries), Left: 4 * time.Second},
@@ -32,7 +32,7 @@
 // live lets time go by in which every server but the silent one answers within 40 ms, 20
 // parts a second come, and probes of the silent one come to nothing. It returns how many
 // parts and probes went to that.
-func (r *rig) live(length time.Duration, silent string) (parts, probes int) {
+func (r *harness) runTraffic(length time.Duration, silent string) (parts, probes int) {
 	type answer struct {
 		at   time.Duration
 		part string
@@ -62,7 +62,7 @@
 	for i := 0; i < int(length/(5*ms)); i++ {
 		r.now += 5 * ms
 		if i%10 == 0 {
-			r.ask((r.queries * 7) % r.m.settings.Cells)
+			r.queryShard((r.queries * 7) % r.m.settings.Cells)
 			see(r.actions)
 		}
 		see(r.step(TimerFired{Token: "due"}))
@@ -82,12 +82,12 @@
 // TestSilentServerIsKnownThoughCopiesAnswerFirst: a copy answered each part of a server
 // that was gone before its silence was long enough, and that had faded when the next part
 // came: it went on getting its share for as long as it was gone.
-func TestSilentServerIsKnownThoughCopiesAnswerFirst(t *testing.T) {
-	r := seldom(t)
-	if parts, _ := r.live(20*time.Second, ""); parts > 0 {
+func TestSilentServerIsDetectedThoughCopiesAnswerFirst(t *testing.T) {
+	r := newSparseHarness(t)
+	if parts, _ := r.runTraffic(20*time.Second, ""); parts > 0 {
 		t.Fatal("nobody is silent yet")
 	}
-	parts, probes := r.live(20*time.Second, "s07")
+	parts, probes := r.runTraffic(20*time.Second, "s07")
 	if parts > 6 {
 		t.Errorf("a server that answers nothing got %d parts in 20s, its share is about 13", parts)
 	}
@@ -99,15 +99,15 @@
 
 // TestVerdictEndsSoonAfterItsCause: however often trials failed, a server that answers
 // again has its share again within restMost and a few parts.
-func TestVerdictEndsSoonAfterItsCause(t *testing.T) {
-	r := seldom(t)
-	r.live(20*time.Second, "")
-	r.live(20*time.Second, "s07")
+func TestSuspicionEndsSoonAfterRecovery(t *testing.T) {
+	r := newSparseHarness(t)
+	r.runTraffic(20*time.Second, "")
+	r.runTraffic(20*time.Second, "s07")
 	if s := r.m.servers["s07"]; s.unresponsive {
-		r.pass(2 * maxTrialPause) // its probe, which is answered now
+		r.advance(2 * maxTrialPause) // its probe, which is answered now
 		r.step(ProbeDone{Server: "s07", Outcome: OK})
 	}
-	r.live(12*time.Second, "")
+	r.runTraffic(12*time.Second, "")
 	if s := r.m.servers["s07"]; r.m.isSuspect(s) || s.failureShare > singleTryFailureShare {
 		t.Errorf("still doubted %v after it was back: failing share %.2f, silent %v", 12*time.Second, s.failureShare, r.m.silence(s))
 	}
@@ -115,7 +115,7 @@
 
 // TestColdServerThatAloneHoldsASliceGetsPartsButNotAll: eighty aggregators start in one
 // moment, know nothing of what servers bear, and all need it.
-func TestColdServerThatAloneHoldsASliceGetsPartsButNotAll(t *testing.T) {
+func TestColdOnlyHolderOfAShardIsNotOverloaded(t *testing.T) {
 	const n = 80
 	set := testSettings()
 	set.Aggregators, set.Tick, set.ColdBudgetWindow, set.ColdBudgetFactor, set.WarmupStartShare = n, ms, time.Second, 3, 0.32
@@ -146,7 +146,7 @@
 	}
 	most := 0
 	for i, at := range sends {
-		most = max(most, within(sends[:i+1], at-set.ColdBudgetWindow))
+		most = max(most, countSince(sends[:i+1], at-set.ColdBudgetWindow))
 	}
 	// What a cold server of 100 parts a second may be sent in its first second.
 	if limit := 96; most > limit {
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -8,10 +8,10 @@
 )
 
 // shared is a rig with three shards, each held in two of three zones, and the zones' shares.
-func shared(t *testing.T, shares ...float64) *rig {
+func newZoneHarness(t *testing.T, shares ...float64) *harness {
 	set := testSettings()
 	set.Cells, set.CellsPerShard, set.Zone, set.MaxOpen = 3, 2, 0, 0
-	r := newRig(t, set)
+	r := newHarness(t, set)
 	l := ServerListUpdate{Full: true}
 	for i := range 3 {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%d", i), Zone: i, Cell: i})
@@ -22,7 +22,7 @@
 
 // spread has many queries for a shard answered and returns what share of its parts went to
 // each zone.
-func (r *rig) spread(shard, n int) (to [3]float64) {
+func (r *harness) zoneSplit(shard, n int) (to [3]float64) {
 	for range n {
 		r.queries++
 		id := fmt.Sprintf("q%d", r.queries)
@@ -32,8 +32,8 @@
 			to[s.Server[1]-'0']++
 		}
 		r.now += 5 * ms
-		r.done(id+".0", 0, OK, 5*ms)
-		r.pass(5 * ms)
+		r.finish(id+".0", 0, OK, 5*ms)
+		r.advance(5 * ms)
 	}
 	for z := range to {
 		to[z] /= float64(n)
@@ -42,32 +42,32 @@
 }
 
 // TestAZoneGetsItsShare, evenly over any run of parts, and no more by copies.
-func TestAZoneGetsItsShare(t *testing.T) {
+func TestZoneGetsItsShareOfParts(t *testing.T) {
 	for _, share := range []float64{0.05, 0.12, 0.25, 0.45, 0.7} {
-		r := shared(t, share, 1, 1)
+		r := newZoneHarness(t, share, 1, 1)
 		for _, n := range []int{100, 400} {
 			// Shard 0 is held in zones 0 and 1; zone 0 is near, and would get all.
-			if got := r.spread(0, n); math.Abs(got[0]-share) > 0.03 {
+			if got := r.zoneSplit(0, n); math.Abs(got[0]-share) > 0.03 {
 				t.Errorf("share %v: zone 0 got %v of %d parts", share, got[0], n)
 			}
 		}
 	}
-	if got := shared(t, 1, 1, 1).spread(0, 100); got[0] < 0.9 {
+	if got := newZoneHarness(t, 1, 1, 1).zoneSplit(0, 100); got[0] < 0.9 {
 		t.Errorf("with whole shares zone 0, which is near, got %v", got[0])
 	}
 }
 
 // TestWhatNobodyElseHoldsIsAskedThere whatever the zone's share is.
-func TestWhatNobodyElseHoldsIsAskedThere(t *testing.T) {
-	r := shared(t, 1, 0.05, 0.05)
-	if got := r.spread(1, 200); got[1]+got[2] < 1 { // held in zones 1 and 2 alone
+func TestOnlyHolderGetsPartsBeyondItsZoneShare(t *testing.T) {
+	r := newZoneHarness(t, 1, 0.05, 0.05)
+	if got := r.zoneSplit(1, 200); got[1]+got[2] < 1 { // held in zones 1 and 2 alone
 		t.Errorf("parts that zones 1 and 2 alone hold: %v", got)
 	}
-	if got := r.spread(0, 200); math.Abs(got[1]-0) > 0.1 || got[0] < 0.9 {
+	if got := r.zoneSplit(0, 200); math.Abs(got[1]-0) > 0.1 || got[0] < 0.9 {
 		t.Errorf("parts that zones 0 and 1 hold: %v", got)
 	}
 	r.step(ServerListUpdate{Servers: []Server{{ID: "s0", Zone: 0, Cell: 0, State: Deleted}}})
-	if got := r.spread(0, 200); got[1] < 1 {
+	if got := r.zoneSplit(0, 200); got[1] < 1 {
 		t.Errorf("parts that zone 1 alone holds now: %v", got)
 	}
 }
--- a/decide/symptom_test.go
+++ b/decide/symptom_test.go
@@ -8,47 +8,47 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestLatePartGetsOneCopyAndTheTwinIsCancelled(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms)
+func TestLatePartGetsOneCopyAndTheOtherAttemptIsCancelled(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms)
 	_, parts := r.query(0, 1)
 	p := parts[0]
-	r.pass(30 * ms)
+	r.advance(30 * ms)
 	if len(r.sent[p]) != 1 {
 		t.Fatalf("%d sends before the p90, want 1", len(r.sent[p]))
 	}
-	r.pass(100 * ms)
+	r.advance(100 * ms)
 	if len(r.sent[p]) != 2 || r.sent[p][0].Server == r.sent[p][1].Server {
 		t.Fatalf("sends %v, want one copy on the other replica", r.sent[p])
 	}
-	actions := r.done(p, 1, OK, 50*ms)
-	if c, ok := has[Cancel](actions); !ok || c.Attempt != 0 {
+	actions := r.finish(p, 1, OK, 50*ms)
+	if c, ok := findAction[Cancel](actions); !ok || c.Attempt != 0 {
 		t.Errorf("actions %v, want the first attempt cancelled", actions)
 	}
-	if a, ok := has[Answer](actions); !ok || !a.Whole {
+	if a, ok := findAction[Answer](actions); !ok || !a.Whole {
 		t.Errorf("actions %v, want a whole answer", actions)
 	}
 }
 
-func TestBeforeAnyAnswerTheTriggerIsHalfTheAim(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms) // tokens; then both servers start anew
+func TestCopyDelayBeforeAnyAnswerIsHalfTheLatencyTarget(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms) // tokens; then both servers start anew
 	l := listOf("a", "b")
 	l.Servers[0].Started, l.Servers[1].Started = 1*ms, 1*ms
 	r.step(l)
 	_, parts := r.query(0, 1)
-	r.pass(490 * ms)
+	r.advance(490 * ms)
 	if len(r.sent[parts[0]]) != 1 {
 		t.Fatalf("copied before half the aim")
 	}
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	if len(r.sent[parts[0]]) != 2 {
 		t.Fatalf("not copied at half the aim")
 	}
 }
 
 func TestPartsOfAQueryGoToOneOffset(t *testing.T) {
-	r := newRig(t, testSettings(), "c", "a", "b")
+	r := newHarness(t, testSettings(), "c", "a", "b")
 	_, parts := r.query(0, 4)
 	for _, p := range parts {
 		if r.sent[p][0].Server != r.sent[parts[0]][0].Server {
@@ -65,11 +65,11 @@
 func TestErrorsAndRefusalsAreNoLatencySamples(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 1
-	r := newRig(t, set, "a")
+	r := newHarness(t, set, "a")
 	for range 3 {
 		_, parts := r.query(0, 1)
-		r.done(parts[0], 0, Failed, ms)
-		r.pass(4 * time.Second)
+		r.finish(parts[0], 0, Failed, ms)
+		r.advance(4 * time.Second)
 	}
 	s := r.m.servers["a"]
 	if !s.fillSketch.IsEmpty() || !s.readSketch.IsEmpty() {
@@ -77,52 +77,52 @@
 	}
 }
 
-func TestUnsafePartIsSentAgainOnlyWhenItNeverRan(t *testing.T) {
+func TestNonIdempotentPartIsSentAgainOnlyIfItNeverRan(t *testing.T) {
 	for o, again := range map[Outcome]bool{Failed: false, TimedOut: false, Reset: false, Full: true, ConnectFailed: true} {
-		r := newRig(t, testSettings(), "a", "b")
+		r := newHarness(t, testSettings(), "a", "b")
 		_, parts := r.query(1, 1)
-		actions := r.done(parts[0], 0, o, ms)
-		r.pass(300 * ms)
+		actions := r.finish(parts[0], 0, o, ms)
+		r.advance(300 * ms)
 		if got := len(r.sent[parts[0]]) > 1; got != again {
 			t.Errorf("after outcome %d sent again: %v, want %v", o, got, again)
 		}
-		if _, refused := has[Refuse](actions); refused {
+		if _, refused := findAction[Refuse](actions); refused {
 			t.Errorf("outcome %d: refused though it may have run", o)
 		}
-		if _, failed := has[Fail](actions); failed == again {
+		if _, failed := findAction[Fail](actions); failed == again {
 			t.Errorf("outcome %d: failed at once %v, want %v", o, failed, !again)
 		}
 	}
 }
 
-func TestKeyedPartIsNotRepeatedAfterItsMemorySpan(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestDeduplicatedPartIsNotRepeatedAfterItsDedupWindow(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	_, parts := r.query(2, 1) // no tokens yet: no copy
-	r.pass(1100 * ms)
+	r.advance(1100 * ms)
 	before := len(r.sent[parts[0]])
-	r.done(parts[0], 0, TimedOut, 1100*ms)
-	r.pass(time.Second)
+	r.finish(parts[0], 0, TimedOut, 1100*ms)
+	r.advance(time.Second)
 	if len(r.sent[parts[0]]) != before {
 		t.Errorf("sent again after the memory span")
 	}
 }
 
-func TestStoppingServerGetsNothingNewAfterItsWindow(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestStoppingServerGetsNoPartsAfterItsWindow(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Stopping}}})
-	r.pass(850 * ms) // of a grace of a second
+	r.advance(850 * ms) // of a grace of a second
 	for range 10 {
 		_, parts := r.query(0, 1)
 		if r.sent[parts[0]][0].Server != "b" {
 			t.Fatalf("sent to a stopping server")
 		}
-		r.done(parts[0], 0, OK, 10*ms)
+		r.finish(parts[0], 0, OK, 10*ms)
 	}
 }
 
-func TestColdServerGetsItsBudgetOnly(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(40, 40*ms)
+func TestColdServerStaysWithinItsBudget(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(40, 40*ms)
 	r.step(ServerListUpdate{Servers: []Server{{ID: "a", Started: r.now - ms}}})
 	cold := 0
 	for end := r.now + 2*time.Second; r.now < end; {
@@ -131,7 +131,7 @@
 			cold++
 		}
 		r.now += 20 * ms
-		r.done(parts[0], 0, OK, 20*ms)
+		r.finish(parts[0], 0, OK, 20*ms)
 	}
 	// A warm server bears up to 20 parts a second: 2 x (0.2 to 0.36) of that for 2 s.
 	if cold == 0 || cold > 28 {
@@ -141,25 +141,25 @@
 
 // A server whose attempts were all cancelled while it was silent must be tried again: refusals that rest on a silence
 // that nothing renews would feed themselves.
-func TestSilenceWithNothingOutFades(t *testing.T) {
-	r := newRig(t, testSettings(), "a")
+func TestSilenceWithNothingInFlightFades(t *testing.T) {
+	r := newHarness(t, testSettings(), "a")
 	r.query(0, 1)
-	r.pass(1100 * ms) // the query ends at its aim, its attempt is cancelled
+	r.advance(1100 * ms) // the query ends at its aim, its attempt is cancelled
 	r.step(AttemptDone{Part: "q1.0", Attempt: 0, Server: "a", Outcome: Cancelled})
 	s := r.m.servers["a"]
 	s.lastSilence = 3 * time.Second
 	if !r.m.isSuspect(s) {
 		t.Fatalf("not a suspect after %v of silence", r.m.silence(s))
 	}
-	r.pass(2 * time.Second)
+	r.advance(2 * time.Second)
 	if r.m.isSuspect(s) {
 		t.Errorf("still a suspect, silent for %v", r.m.silence(s))
 	}
 }
 
 // Times left of first tries differ by milliseconds; a query is not to be taken for a later try because of that.
-func TestUnevenTimeLeftIsNoLaterTry(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestTimeoutJitterIsNotTakenForALaterTry(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	for i, left := range []time.Duration{3004 * ms, 3001 * ms} {
 		r.step(QueryArrived{ID: "x" + string(rune('0'+i)), Number: int64(900 + i), Left: left},
 			PartArrived{ID: "y" + string(rune('0'+i)), Number: int64(900 + i), Weight: 1})
@@ -170,9 +170,9 @@
 }
 
 // Later tries come with what is left of the deadline, be it less than a first try's time or more.
-func TestLaterTryThatIsPastItsAimIsNotBegun(t *testing.T) {
+func TestLaterTryPastItsLatencyTargetIsNotStarted(t *testing.T) {
 	for _, late := range []time.Duration{1500 * ms, 2800 * ms} {
-		r := newRig(t, testSettings(), "a", "b")
+		r := newHarness(t, testSettings(), "a", "b")
 		for i, left := range []time.Duration{2000 * ms, late, 2000 * ms} {
 			id := string(rune('0' + i))
 			r.step(QueryArrived{ID: "x" + id, Number: int64(900 + i), Left: left},
@@ -187,19 +187,19 @@
 	}
 }
 
-func TestShortAnswerComesJustBeforeTheAim(t *testing.T) {
-	r := newRig(t, testSettings(), "a")
+func TestPartialAnswerComesJustBeforeTheLatencyTarget(t *testing.T) {
+	r := newHarness(t, testSettings(), "a")
 	_, parts := r.query(3, 2)
 	r.now += 50 * ms
-	r.done(parts[0], 0, OK, 50*ms)
-	r.pass(900 * ms)
-	if _, ok := has[Answer](r.actions); ok {
+	r.finish(parts[0], 0, OK, 50*ms)
+	r.advance(900 * ms)
+	if _, ok := findAction[Answer](r.actions); ok {
 		t.Fatalf("answered before the aim was near")
 	}
 	answered := false
 	for range 10 {
-		r.pass(5 * ms)
-		if a, ok := has[Answer](r.actions); ok {
+		r.advance(5 * ms)
+		if a, ok := findAction[Answer](r.actions); ok {
 			answered = true
 			if a.Whole {
 				t.Errorf("a short answer was marked whole")
@@ -211,25 +211,25 @@
 	}
 }
 
-func TestSecondStepIsWholeOnlyWhenAllPartsAreIn(t *testing.T) {
-	r := newRig(t, testSettings(), "a")
+func TestSecondStepIsCompleteOnlyWithAllParts(t *testing.T) {
+	r := newHarness(t, testSettings(), "a")
 	id, parts := r.query(4, 1)
-	if a, ok := has[Answer](r.done(parts[0], 0, OK, 20*ms)); !ok || !a.Whole {
+	if a, ok := findAction[Answer](r.finish(parts[0], 0, OK, 20*ms)); !ok || !a.Whole {
 		t.Fatalf("the first step was not answered whole")
 	}
 	r.now += 5 * ms
 	r.step(PartArrived{ID: "f0", Number: 1, Weight: 0.5}, PartArrived{ID: "f1", Number: 1, Weight: 0.5})
-	if _, ok := has[Answer](r.done("f0", 0, OK, 20*ms)); ok {
+	if _, ok := findAction[Answer](r.finish("f0", 0, OK, 20*ms)); ok {
 		t.Errorf("answered with a part of the second step missing")
 	}
-	if a, ok := has[Answer](r.done("f1", 0, OK, 20*ms)); !ok || !a.Whole || a.Query != id {
+	if a, ok := findAction[Answer](r.finish("f1", 0, OK, 20*ms)); !ok || !a.Whole || a.Query != id {
 		t.Errorf("the second step was not answered whole")
 	}
 }
 
-func TestQuickFailuresDoNotDrawTraffic(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms)
+func TestQuickFailuresDoNotAttractTraffic(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms)
 	bad := 0
 	for range 40 {
 		_, parts := r.query(0, 1)
@@ -237,26 +237,26 @@
 		for n := 0; n < len(r.sent[parts[0]]); n++ {
 			if r.sent[parts[0]][n].Server == "a" {
 				bad++
-				r.done(parts[0], n, Failed, ms)
+				r.finish(parts[0], n, Failed, ms)
 			} else {
-				r.done(parts[0], n, OK, 40*ms)
+				r.finish(parts[0], n, OK, 40*ms)
 			}
 		}
-		r.pass(50 * ms)
+		r.advance(50 * ms)
 	}
 	if bad > 10 {
 		t.Errorf("%d sends went to the failing server, want trials only", bad)
 	}
 }
 
-func TestListIsAskedForAgainWithGrowingPauses(t *testing.T) {
+func TestListIsRequestedAgainWithGrowingPauses(t *testing.T) {
 	set := testSettings()
 	set.WatchDiscovery, set.ListRefreshInterval = true, 10*time.Second
-	r := newRig(t, set, "a")
+	r := newHarness(t, set, "a")
 	watched := 0
 	for range 20 { // the first call is spread over a little time
 		r.now += 5 * ms
-		watched += count[Watch](r.step(TimerFired{Token: "due"}))
+		watched += countActions[Watch](r.step(TimerFired{Token: "due"}))
 	}
 	if watched != 1 {
 		t.Fatalf("%d subscriptions at the start", watched)
@@ -265,7 +265,7 @@
 	r.step(WatchFailed{})
 	for end := r.now + 60*time.Second; r.now < end; {
 		r.now += 5 * ms
-		if count[Watch](r.step(TimerFired{Token: "due"})) == 1 {
+		if countActions[Watch](r.step(TimerFired{Token: "due"})) == 1 {
 			asked = append(asked, r.now)
 			r.step(WatchFailed{})
 		}
@@ -275,33 +275,33 @@
 	}
 }
 
-func TestOddInputIsNeitherACrashNorASend(t *testing.T) {
+func TestInvalidInputCausesNeitherPanicNorSend(t *testing.T) {
 	m := New(Settings{}, 0)
 	m.Step(-1, []Event{AttemptDone{Part: "none"}, ClientGone{Query: "none"}, TimerFired{}, ProbeDone{}, WatchFailed{},
 		PartArrived{ID: "p", Number: 9}, StreamStarted{}, PeerMessage{}, nil})
 	actions := m.Step(-2, []Event{QueryArrived{ID: "q", Class: 3}})
-	if _, ok := has[Fail](actions); !ok {
+	if _, ok := findAction[Fail](actions); !ok {
 		t.Errorf("a query of an unknown class got %v, want a final answer", actions)
 	}
 	set := testSettings()
 	set.Cells, set.CellsPerShard = 0, 0
-	r := newRig(t, set, "a")
+	r := newHarness(t, set, "a")
 	_, parts := r.query(0, 1)
 	r.step(ServerListUpdate{Full: true})
-	r.done(parts[0], 0, OK, -ms)
+	r.finish(parts[0], 0, OK, -ms)
 	r.step(AttemptDone{Part: parts[0], Attempt: 0, Outcome: OK}, AttemptDone{Part: parts[0], Attempt: -1})
 	id, _ := r.query(0, 1)
-	r.pass(5 * time.Second)
+	r.advance(5 * time.Second)
 	if r.m.queriesByID[id] != nil || len(r.m.parts) != 0 || len(r.m.active) != 0 {
 		t.Errorf("state is left after the queries ended")
 	}
 }
 
 // An outcome that never comes must not hold the attempt, or the silence that it stands for, for good.
-func TestLostOutcomesAreGivenUp(t *testing.T) {
-	r := newRig(t, testSettings(), "a")
+func TestAttemptsWithLostOutcomesExpire(t *testing.T) {
+	r := newHarness(t, testSettings(), "a")
 	r.query(0, 2)
-	r.pass(8 * time.Second)
+	r.advance(8 * time.Second)
 	s := r.m.servers["a"]
 	if s.inFlight != 0 || s.calls != 0 || len(r.m.parts) != 0 {
 		t.Errorf("%d attempts, %d calls and %d parts are left", s.inFlight, s.calls, len(r.m.parts))
@@ -310,13 +310,13 @@
 
 // After a general stall every holder has been silent. With nothing out, the next query is the trial, and is not
 // refused on the strength of the old silence.
-func TestQueriesAreBegunAgainRightAfterAStall(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms)
+func TestQueriesAreStartedAgainRightAfterAStall(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms)
 	_, parts := r.query(0, 1)
-	r.pass(1100 * ms)
+	r.advance(1100 * ms)
 	for n := range r.sent[parts[0]] {
-		r.done(parts[0], n, Cancelled, 1100*ms)
+		r.finish(parts[0], n, Cancelled, 1100*ms)
 	}
 	for _, s := range r.m.servers {
 		s.trialAt = r.now + time.Hour // not as a due trial
@@ -329,10 +329,10 @@
 // Messages get lost: the copy as well as the first attempt. A part whose attempts were overtaken on their servers is
 // sent once more.
 func TestPartWithLostAttemptsIsSentAgain(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b", "c")
-	r.warm(30, 40*ms)
+	r := newHarness(t, testSettings(), "a", "b", "c")
+	r.warmUp(30, 40*ms)
 	_, lost := r.query(0, 1)
-	r.pass(100 * ms)
+	r.advance(100 * ms)
 	if len(r.sent[lost[0]]) != 2 {
 		t.Fatalf("%d sends, want a copy", len(r.sent[lost[0]]))
 	}
@@ -342,11 +342,11 @@
 			_, parts := r.query(0, 1)
 			ids = append(ids, parts[0])
 		}
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		for _, p := range ids {
-			r.done(p, 0, OK, 20*ms)
+			r.finish(p, 0, OK, 20*ms)
 		}
-		r.pass(60 * ms)
+		r.advance(60 * ms)
 	}
 	if n := len(r.sent[lost[0]]); n != 3 {
 		t.Errorf("%d sends of a part whose attempts were overtaken, want 3", n)
@@ -354,24 +354,24 @@
 }
 
 // A server that stays slow fills its own sketch; its trigger must still leave the copy time.
-func TestSlowServersTriggerIsCapped(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms)
+func TestCopyDelayOfSlowServersIsCapped(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms)
 	for range 20 {
 		r.m.servers["a"].observe(r.now, 900*ms)
 		r.m.servers["b"].observe(r.now, 900*ms)
 	}
 	_, parts := r.query(0, 1)
-	r.pass(520 * ms)
+	r.advance(520 * ms)
 	if len(r.sent[parts[0]]) != 2 {
 		t.Errorf("%d sends at half the aim, want a copy", len(r.sent[parts[0]]))
 	}
 }
 
 // A part leaves its offset only for a holder that is clearly better, and then it does.
-func TestPartLeavesASlowServerForAQuickOne(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms)
+func TestPartAvoidsASlowServer(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms)
 	r.m.servers["a"].latency = 0.8
 	for range 5 {
 		_, parts := r.query(0, 1)
@@ -379,39 +379,39 @@
 			t.Fatalf("sent to the server that would use most of the time")
 		}
 		r.now += 40 * ms
-		r.done(parts[0], 0, OK, 40*ms)
+		r.finish(parts[0], 0, OK, 40*ms)
 	}
 }
 
 // No copies where the other holder has no advantage.
-func TestNoCopyOnAnEquallySlowTwin(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(20, 40*ms)
+func TestNoCopyToAnEquallySlowHolder(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(20, 40*ms)
 	_, parts := r.query(0, 1)
 	for _, s := range r.m.servers {
 		s.latency = 0.4
 	}
 	copyTokens := r.m.copyTokens
-	r.pass(300 * ms)
+	r.advance(300 * ms)
 	if len(r.sent[parts[0]]) != 1 || r.m.copyTokens < copyTokens {
 		t.Errorf("copied to a holder that is as slow")
 	}
 }
 
 // A silent holder whose trial is due lets one query through, even with a lost attempt out.
-func TestOneLostMessageDoesNotRefuseAShard(t *testing.T) {
-	r := newRig(t, testSettings(), "a")
-	r.warm(20, 40*ms)
+func TestOneLostMessageDoesNotMakeAShardUnavailable(t *testing.T) {
+	r := newHarness(t, testSettings(), "a")
+	r.warmUp(20, 40*ms)
 	r.query(0, 1)
-	r.pass(800 * ms)
+	r.advance(800 * ms)
 	r.m.servers["a"].unansweredSince = r.now - 3*time.Second
 	if _, parts := r.query(0, 1); len(r.sent[parts[0]]) != 1 {
 		t.Errorf("refused though the holder's trial is due")
 	}
 }
 
-func TestAllHoldersSuspectStillServes(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestShardWithOnlySuspectsIsServed(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	for _, s := range r.m.servers {
 		s.failureShare = 1
 		s.trialAt = r.now + time.Hour
@@ -422,11 +422,11 @@
 }
 
 // Tenants over their share are refused before others when time is short.
-func TestOverShareTenantIsRefusedFirst(t *testing.T) {
+func TestTenantOverItsAllowanceIsRefusedFirst(t *testing.T) {
 	set := testSettings()
 	set.Tenants, set.OverAllowanceValue = []Tenant{{Allowance: 100}, {Allowance: 0.2}}, 0.1
-	r := newRig(t, set, "a", "b")
-	r.warm(20, 40*ms)
+	r := newHarness(t, set, "a", "b")
+	r.warmUp(20, 40*ms)
 	for _, s := range r.m.servers {
 		s.latency = 0.85
 	}
@@ -442,8 +442,8 @@
 }
 
 // Whatever fails, further attempts stay within their budget.
-func TestFurtherAttemptsStayWithinTheBudget(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b", "c")
+func TestRetriesStayWithinTheBudget(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b", "c")
 	taken, further := 0, 0
 	for range 60 {
 		_, parts := r.query(0, 1)
@@ -452,7 +452,7 @@
 			if n > 0 {
 				further++
 			}
-			r.done(parts[0], n, Full, ms)
+			r.finish(parts[0], n, Full, ms)
 		}
 		if limit := 5 + 0.2*float64(taken); float64(further) > limit {
 			t.Fatalf("%d further attempts after %d queries and parts", further, taken)
@@ -465,13 +465,13 @@
 
 // A suspect is passed over even where the sound holder has more of our calls out; short of that, failures count as
 // calls.
-func TestFailingServerIsPassedOver(t *testing.T) {
+func TestFailingServerIsAvoided(t *testing.T) {
 	for _, c := range []struct {
 		failureShare float64
 		busy         int
 	}{{0.9, 6}, {0.4, 1}} {
-		r := newRig(t, testSettings(), "a", "b")
-		r.warm(20, 40*ms)
+		r := newHarness(t, testSettings(), "a", "b")
+		r.warmUp(20, 40*ms)
 		a, b := r.m.servers["a"], r.m.servers["b"]
 		a.failureShare, a.trialAt, b.calls = c.failureShare, r.now+time.Hour, c.busy
 		if _, parts := r.query(0, 1); r.sent[parts[0]][0].Server != "b" {
@@ -481,26 +481,26 @@
 }
 
 // A short answer is not given where a late whole one earns more.
-func TestShortAnswerWaitsWhereLateOnesEarnMore(t *testing.T) {
+func TestPartialAnswerWaitsWhereLateOnesAreWorthMore(t *testing.T) {
 	set := testSettings()
 	set.Classes[3].LateValue = 0.8
-	r := newRig(t, set, "a")
+	r := newHarness(t, set, "a")
 	_, parts := r.query(3, 2)
-	r.done(parts[0], 0, OK, 50*ms)
+	r.finish(parts[0], 0, OK, 50*ms)
 	for range 300 {
-		r.pass(5 * ms)
-		if _, ok := has[Answer](r.actions); ok {
+		r.advance(5 * ms)
+		if _, ok := findAction[Answer](r.actions); ok {
 			t.Fatalf("a short answer worth 0.45 was given, a late one earns 0.8")
 		}
 	}
-	if a, ok := has[Answer](r.done(parts[1], 0, OK, time.Second)); !ok || !a.Whole {
+	if a, ok := findAction[Answer](r.finish(parts[1], 0, OK, time.Second)); !ok || !a.Whole {
 		t.Errorf("no whole answer when the last part came")
 	}
 }
 
 // A slow server's attempts are cancelled before they are answered; their ages must keep later parts away from it.
-func TestServerKnownOnlyByCancelledAttemptsIsLeft(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestServerKnownOnlyByCancelledAttemptsIsAvoided(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	slow := ""
 	for range 12 {
 		_, parts := r.query(0, 1)
@@ -509,14 +509,14 @@
 			slow = first
 		}
 		if first != slow {
-			r.pass(50 * ms)
-			r.done(parts[0], 0, OK, 50*ms)
+			r.advance(50 * ms)
+			r.finish(parts[0], 0, OK, 50*ms)
 			continue
 		}
-		r.pass(600 * ms)
+		r.advance(600 * ms)
 		if len(r.sent[parts[0]]) > 1 {
-			r.done(parts[0], 1, OK, 50*ms)
-			r.done(parts[0], 0, Cancelled, 600*ms)
+			r.finish(parts[0], 1, OK, 50*ms)
+			r.finish(parts[0], 0, Cancelled, 600*ms)
 		}
 	}
 	n := 0
@@ -525,8 +525,8 @@
 		if r.sent[parts[0]][0].Server == slow {
 			n++
 		} else {
-			r.pass(50 * ms)
-			r.done(parts[0], 0, OK, 50*ms)
+			r.advance(50 * ms)
+			r.finish(parts[0], 0, OK, 50*ms)
 		}
 	}
 	if n > 1 {
@@ -535,25 +535,25 @@
 }
 
 // What was learned of a server minutes ago must not keep parts away from it.
-func TestOldSlownessOfAServerFades(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(8, 50*ms)
+func TestOldLatencyOfAServerFades(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(8, 50*ms)
 	m, a := r.m, r.m.servers["a"]
 	a.latency, a.sampledAt = 2, m.now
 	fresh := m.expectedDelay(a)
-	r.pass(40 * time.Second)
+	r.advance(40 * time.Second)
 	if old := m.expectedDelay(a); fresh < 1 || old > 0.2 {
 		t.Errorf("expected delay %.2f s at first, %.2f s after 40 s", fresh, old)
 	}
 }
 
 // The last answers of a query are its slowest; the mean over all servers must not be theirs alone.
-func TestMeanOfAllServersIsNotThatOfTheLastAnswers(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestOverallMeanLatencyCoversAllAnswers(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	_, parts := r.query(0, 20)
 	for i, p := range parts {
 		r.now += 20 * ms
-		r.done(p, 0, OK, time.Duration(i+1)*20*ms)
+		r.finish(p, 0, OK, time.Duration(i+1)*20*ms)
 	}
 	if got := r.m.latency(); got < 0.15 || got > 0.25 {
 		t.Errorf("mean %.3f s of answers between 0.02 and 0.40 s", got)
@@ -561,17 +561,17 @@
 }
 
 // One part of many is left, no token is at hand and the other holder is quick: the query must not fail for it.
-func TestLastPartIsSentAgainWithoutAToken(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(8, 50*ms)
+func TestLastPartIsCopiedWithoutAToken(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(8, 50*ms)
 	_, parts := r.query(0, 8)
-	r.pass(50 * ms)
+	r.advance(50 * ms)
 	for _, p := range parts[1:] {
-		r.done(p, 0, OK, 50*ms)
+		r.finish(p, 0, OK, 50*ms)
 	}
 	for range 100 {
 		r.m.copyTokens = 0
-		r.pass(5 * ms)
+		r.advance(5 * ms)
 	}
 	if n := len(r.sent[parts[0]]); n != 2 {
 		t.Errorf("%d attempts of the last part after half the aim, want 2", n)
@@ -580,21 +580,21 @@
 
 // Idle connections are dropped unseen: after one was reset, others that were idle as long are closed before use, and
 // the server is not blamed.
-func TestIdleConnectionsAreNotUsedAfterOneBroke(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(8, 50*ms)
-	r.pass(2 * time.Second)
+func TestIdleConnectionsAreClosedAfterOneBroke(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(8, 50*ms)
+	r.advance(2 * time.Second)
 	_, parts := r.query(0, 1)
-	r.done(parts[0], 0, Reset, 2*ms)
+	r.finish(parts[0], 0, Reset, 2*ms)
 	if s := r.m.servers[r.sent[parts[0]][0].Server]; s.failureShare > 0 {
 		t.Errorf("a server is blamed for a dropped connection")
 	}
-	r.pass(100 * ms)
-	r.done(parts[0], 1, OK, 50*ms)
-	r.pass(2 * time.Second)
+	r.advance(100 * ms)
+	r.finish(parts[0], 1, OK, 50*ms)
+	r.advance(2 * time.Second)
 	r.query(0, 1)
-	c, closed := has[CloseIdle](r.actions)
-	s, sent := has[Send](r.actions)
+	c, closed := findAction[CloseIdle](r.actions)
+	s, sent := findAction[Send](r.actions)
 	if !closed || !sent || c.Server != s.Server {
 		t.Errorf("closed %v, sent %v", c, s)
 	}
@@ -602,47 +602,47 @@
 
 // A connection that breaks while it is in use says nothing of how long one may rest: those that were in use a moment ago
 // go on. Each new one makes its first part wait for a handshake, past the answer of its query if copies are quicker.
-func TestAConnectionInUseIsNotClosedBeforeASend(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(8, 50*ms)
+func TestConnectionInUseIsNotClosedBeforeASend(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(8, 50*ms)
 	_, parts := r.query(0, 1)
-	r.pass(2 * ms)
-	r.done(parts[0], 0, OK, 2*ms)
-	r.pass(4 * ms)
+	r.advance(2 * ms)
+	r.finish(parts[0], 0, OK, 2*ms)
+	r.advance(4 * ms)
 	_, parts = r.query(0, 1)
 	if idle := r.m.inFlight[len(r.m.inFlight)-1].idle; idle <= 0 || idle > 70*ms {
 		t.Fatalf("the connection had rested for %v", idle)
 	}
-	r.done(parts[0], 0, Reset, 2*ms)
-	r.pass(100 * ms)
-	r.done(parts[0], 1, OK, 50*ms)
+	r.finish(parts[0], 0, Reset, 2*ms)
+	r.advance(100 * ms)
+	r.finish(parts[0], 1, OK, 50*ms)
 	for range 20 {
-		r.pass(40 * ms)
+		r.advance(40 * ms)
 		_, parts := r.query(0, 1)
-		if c, closed := has[CloseIdle](r.actions); closed {
+		if c, closed := findAction[CloseIdle](r.actions); closed {
 			t.Fatalf("%v though it was in use 40 ms before", c)
 		}
-		r.pass(2 * ms)
-		r.done(parts[0], 0, OK, 2*ms)
+		r.advance(2 * ms)
+		r.finish(parts[0], 0, OK, 2*ms)
 	}
 }
 
 // Dropped connections may give no reset: what is sent on an idle one is lost, what is sent on a new one answered.
-func TestSilentLossOnIdleConnectionsIsTold(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b", "c")
-	r.warm(3, 50*ms)
+func TestSilentLossOnIdleConnectionsIsDetected(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b", "c")
+	r.warmUp(3, 50*ms)
 	lost, closed := 0, 0
 	for range 10 {
-		r.pass(3 * time.Second)
+		r.advance(3 * time.Second)
 		_, parts := r.query(0, 1)
-		closes := count[CloseIdle](r.actions)
+		closes := countActions[CloseIdle](r.actions)
 		closed += closes
 		if closes == 0 && r.m.inFlight[len(r.m.inFlight)-1].idle > 0 {
 			lost++
 			continue
 		}
-		r.pass(50 * ms)
-		r.done(parts[0], 0, OK, 50*ms)
+		r.advance(50 * ms)
+		r.finish(parts[0], 0, OK, 50*ms)
 	}
 	if closed < 4 {
 		t.Errorf("%d sends lost, idle connections closed %d times", lost, closed)
@@ -651,23 +651,23 @@
 
 // Sending again without a token must stop where it does not answer first: everything is slow, and more load makes it
 // worse.
-func TestSendingAgainStopsWhereItDoesNotHelp(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(8, 50*ms)
+func TestForcedCopiesStopWhereTheyDoNotHelp(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(8, 50*ms)
 	again := 0
 	for range 20 {
 		_, parts := r.query(0, 8)
 		r.m.copyTokens = 0
 		for _, p := range parts[1:] {
-			r.done(p, 0, OK, 50*ms)
+			r.finish(p, 0, OK, 50*ms)
 		}
 		for range 130 {
 			r.m.copyTokens = 0
-			r.pass(5 * ms)
+			r.advance(5 * ms)
 		}
 		again += len(r.sent[parts[0]]) - 1
 		for range len(r.sent[parts[0]]) {
-			r.done(parts[0], 0, OK, 650*ms)
+			r.finish(parts[0], 0, OK, 650*ms)
 		}
 	}
 	if again < 1 || again > 4 {
@@ -676,34 +676,34 @@
 }
 
 // Two steps have to fit before the aim: a query whose first step alone would use most of the time is not begun.
-func TestTwoStepQueryIsBegunOnlyIfBothStepsFit(t *testing.T) {
+func TestTwoStepQueryIsStartedOnlyIfBothStepsFit(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
 		begun   bool
 	}{{200 * ms, true}, {600 * ms, false}} {
-		r := newRig(t, testSettings(), "a", "b")
-		r.warm(8, c.latency)
+		r := newHarness(t, testSettings(), "a", "b")
+		r.warmUp(8, c.latency)
 		r.query(4, 1)
-		if _, sent := has[Send](r.actions); sent != c.begun {
+		if _, sent := findAction[Send](r.actions); sent != c.begun {
 			t.Errorf("answers take %v: begun %v, want %v", c.latency, sent, c.begun)
 		}
 		r.query(0, 1)
-		if _, sent := has[Send](r.actions); !sent {
+		if _, sent := findAction[Send](r.actions); !sent {
 			t.Errorf("answers take %v: a query of one step was not begun", c.latency)
 		}
 	}
 }
 
 // A slow path loses attempts on new connections as well: closing idle ones must end, as it only adds handshakes.
-func TestClosingIdleConnectionsEndsWhereNewOnesAreLostToo(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b", "c")
-	r.warm(3, 50*ms)
+func TestIdleConnectionsAreKeptWhereNewOnesAreLostToo(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b", "c")
+	r.warmUp(3, 50*ms)
 	closes := make([]int, 2)
 	for i := range 24 {
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 		r.query(0, 1)
-		closes[i/12] += count[CloseIdle](r.actions)
-		r.pass(time.Second)
+		closes[i/12] += countActions[CloseIdle](r.actions)
+		r.advance(time.Second)
 	}
 	if closes[1] > 4 {
 		t.Errorf("idle connections closed %d times, then %d times", closes[0], closes[1])
@@ -711,37 +711,37 @@
 }
 
 // A time left far under the aim is a client's patience, not a later try: worth beginning while answers are quick.
-func TestHastyClientsAreServedWhileAnswersAreQuick(t *testing.T) {
+func TestShortTimeoutsAreServedWhileAnswersAreQuick(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
 		begun   bool
 	}{{50 * ms, true}, {300 * ms, false}} {
-		r := newRig(t, testSettings(), "a", "b")
-		r.warm(8, c.latency)
+		r := newHarness(t, testSettings(), "a", "b")
+		r.warmUp(8, c.latency)
 		r.step(QueryArrived{ID: "hasty", Number: 99, Left: 300 * ms}, PartArrived{ID: "hasty.0", Number: 99, Weight: 1})
-		if _, sent := has[Send](r.actions); sent != c.begun {
+		if _, sent := findAction[Send](r.actions); sent != c.begun {
 			t.Errorf("answers take %v: begun %v, want %v", c.latency, sent, c.begun)
 		}
 	}
 }
 
 // The last token goes to the query that gets nothing without its last part, not to one that can be answered short.
-func TestQueryThatCanBeAnsweredShortIsCopiedLast(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b", "c")
-	r.warm(12, 50*ms)
+func TestQueryThatCanBeAnsweredPartiallyIsCopiedLast(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b", "c")
+	r.warmUp(12, 50*ms)
 	_, some := r.query(3, 4)
 	_, all := r.query(0, 4)
-	r.done(some[0], 0, OK, 50*ms)
-	r.done(some[1], 0, OK, 50*ms)
-	r.done(some[2], 0, OK, 50*ms)
-	r.done(all[0], 0, OK, 50*ms)
-	r.done(all[1], 0, OK, 50*ms)
+	r.finish(some[0], 0, OK, 50*ms)
+	r.finish(some[1], 0, OK, 50*ms)
+	r.finish(some[2], 0, OK, 50*ms)
+	r.finish(all[0], 0, OK, 50*ms)
+	r.finish(all[1], 0, OK, 50*ms)
 	for range 100 {
 		if len(r.sent[some[3]])+len(r.sent[all[2]])+len(r.sent[all[3]]) > 3 {
 			break
 		}
 		r.m.copyTokens, r.m.tokensRefilledAt = 1, r.now
-		r.pass(5 * ms)
+		r.advance(5 * ms)
 	}
 	if len(r.sent[some[3]]) > 1 || len(r.sent[all[2]])+len(r.sent[all[3]]) != 3 {
 		t.Errorf("attempts: %d where a short answer is possible, %d and %d where not, want one copy there", len(r.sent[some[3]]),
@@ -751,11 +751,11 @@
 
 // A server that takes parts and answers none must not get its share of real parts again each time that the
 // last one there is called off; a probe finds out when it is back.
-func TestSilentServersAreProbedNotTried(t *testing.T) {
+func TestSilentServersAreProbedNotSentParts(t *testing.T) {
 	set := testSettings()
 	set.ProbesAllowed, set.RetryBudgetWindow = true, 0
-	r := newRig(t, set, "a", "b")
-	r.warm(20, 40*ms)
+	r := newHarness(t, set, "a", "b")
+	r.warmUp(20, 40*ms)
 	toA, probes := 0, 0
 	see := func(actions []Action) { // what b and the callers do at once; a never says anything
 		for _, action := range actions {
@@ -764,13 +764,13 @@
 				probes++
 				r.step(ProbeDone{Server: action.Server, Outcome: TimedOut})
 			case Cancel:
-				r.done(action.Part, action.Attempt, Cancelled, 0)
+				r.finish(action.Part, action.Attempt, Cancelled, 0)
 			case Send:
 				if action.Server == "b" {
 					n := len(r.sent[action.Part]) - 1
-					for _, a := range r.done(action.Part, n, OK, 5*ms) {
+					for _, a := range r.finish(action.Part, n, OK, 5*ms) {
 						if c, ok := a.(Cancel); ok {
-							r.done(c.Part, c.Attempt, Cancelled, 0)
+							r.finish(c.Part, c.Attempt, Cancelled, 0)
 						}
 					}
 				}
@@ -782,7 +782,7 @@
 		first := r.sent[parts[0]][0].Server
 		see(r.actions)
 		for range 20 {
-			r.pass(5 * ms)
+			r.advance(5 * ms)
 			see(r.actions)
 		}
 		if first == "a" {
@@ -799,16 +799,16 @@
 }
 
 // Nobody may be kept waiting past half of his time for a query that no server has seen.
-func TestQueryThatNobodySawEndsAtHalfItsTime(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
+func TestQueryThatNoServerSawEndsAfterHalfItsTime(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
 	r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Deleted}, {ID: "b", State: Deleted}}})
 	began := r.now
 	_, parts := r.query(2, 1) // of a class that earns after its aim
 	for range 400 {
-		if _, ok := has[Refuse](r.actions); ok {
+		if _, ok := findAction[Refuse](r.actions); ok {
 			break
 		}
-		r.pass(5 * ms)
+		r.advance(5 * ms)
 	}
 	if len(r.sent[parts[0]]) > 0 || r.now-began > 2*time.Second {
 		t.Errorf("refused after %v of 4 s, with %d sends", r.now-began, len(r.sent[parts[0]]))
@@ -819,7 +819,7 @@
 // server takes its share, unless it turns parts away.
 func TestDrainingServerTakesItsShareWithinTheWindow(t *testing.T) {
 	for _, takes := range []bool{true, false} {
-		r := newRig(t, testSettings(), "a", "b")
+		r := newHarness(t, testSettings(), "a", "b")
 		r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Stopping}}})
 		toA := 0
 		for range 20 {
@@ -830,10 +830,10 @@
 					o = Full
 				}
 			}
-			r.done(parts[0], 0, o, 5*ms)
-			r.pass(30 * ms)
+			r.finish(parts[0], 0, o, 5*ms)
+			r.advance(30 * ms)
 			if o == Full {
-				r.done(parts[0], 1, OK, 5*ms)
+				r.finish(parts[0], 1, OK, 5*ms)
 			}
 		}
 		if takes && toA < 5 || !takes && toA > 2 {
@@ -845,33 +845,33 @@
 func TestTiesAreBrokenByZone(t *testing.T) {
 	set := testSettings()
 	set.Zone = 1
-	r := newRig(t, set, "a", "b")
+	r := newHarness(t, set, "a", "b")
 	r.step(ServerListUpdate{Full: true, Servers: []Server{{ID: "a", Zone: 2}, {ID: "b", Zone: 1}}})
 	for i := range 20 {
 		_, parts := r.query(0, 1)
 		if got := r.sent[parts[0]][0].Server; got != "b" {
 			t.Errorf("query %d went to %s, in another zone, though both were idle", i, got)
 		}
-		r.done(parts[0], 0, OK, 5*ms)
-		r.pass(100 * ms)
+		r.finish(parts[0], 0, OK, 5*ms)
+		r.advance(100 * ms)
 	}
 }
 
 // Over a long day servers are replaced by new ones and queries come and go: nothing may stay of those that went.
-func TestNothingStaysOfWhatWent(t *testing.T) {
+func TestFinishedStateIsRemoved(t *testing.T) {
 	set := testSettings()
 	set.ProbesAllowed = true
-	r := newRig(t, set, "s0")
+	r := newHarness(t, set, "s0")
 	for i := range 300 {
 		next := Server{ID: fmt.Sprintf("s%d", i+1), Started: r.now}
 		r.step(ServerListUpdate{Servers: []Server{{ID: fmt.Sprintf("s%d", i), State: Deleted}, next}})
 		_, parts := r.query(i%2, 1)
 		if len(r.sent[parts[0]]) > 0 && i%3 > 0 { // every third is lost
-			r.done(parts[0], 0, OK, 5*ms)
+			r.finish(parts[0], 0, OK, 5*ms)
 		}
-		r.pass(100 * ms)
+		r.advance(100 * ms)
 	}
-	r.pass(10 * time.Second)
+	r.advance(10 * time.Second)
 	r.step(ServerListUpdate{})
 	m := r.m
 	got := []int{len(m.servers), len(m.sortedServers), len(m.queries), len(m.queriesByID), len(m.active), len(m.parts), len(m.inFlight)}
@@ -883,9 +883,9 @@
 // TestIdleServersThatLookTooSlowAreTried guards against a wave of refusals that
 // holds itself up: once all holders of a shard look too slow, nothing is sent to
 // them, so nothing shows that they are quick again.
-func TestIdleServersThatLookTooSlowAreTried(t *testing.T) {
-	r := newRig(t, testSettings(), "a", "b")
-	r.warm(40, 20*ms)
+func TestIdleServersThatLookTooSlowAreRetried(t *testing.T) {
+	r := newHarness(t, testSettings(), "a", "b")
+	r.warmUp(40, 20*ms)
 	for _, s := range r.m.servers { // a stall that is over: the answers that came of it were late
 		s.latency, s.depth, s.sampledAt = 2, 1, r.now
 	}
@@ -894,14 +894,14 @@
 		q, parts := r.query(0, 1)
 		if len(r.sent[parts[0]]) == 0 {
 			refused++
-			if _, ok := has[Refuse](r.actions); !ok {
+			if _, ok := findAction[Refuse](r.actions); !ok {
 				t.Fatalf("%s was neither sent nor refused", q)
 			}
 		} else {
 			r.now += 20 * ms
-			r.done(parts[0], 0, OK, 20*ms)
+			r.finish(parts[0], 0, OK, 20*ms)
 		}
-		r.pass(100 * ms)
+		r.advance(100 * ms)
 	}
 	if refused > 25 {
 		t.Errorf("%d of 40 queries refused over 4 s by servers that answer within 20 ms", refused)
@@ -914,14 +914,14 @@
 // TestAFleetOfColdServersIsSentWhatItBears replaces all servers at once by cold ones, as
 // after an outage: what is sent to each is known from before, or learned from what they
 // answer, and stays within the rule all the same.
-func TestAFleetOfColdServersIsSentWhatItBears(t *testing.T) {
+func TestFleetOfColdServersIsUsedWithinItsBudget(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprintf("known before %v", known), func(t *testing.T) {
 			set := testSettings()
 			set.ColdBudgetWindow, set.ColdBudgetFactor, set.WarmupStartShare = time.Second, 3, 0.32
-			r := newRig(t, set, "a", "b")
+			r := newHarness(t, set, "a", "b")
 			if known {
-				r.warm(400, 5*ms) // some 18 a second, 9 for each
+				r.warmUp(400, 5*ms) // some 18 a second, 9 for each
 			}
 			l := listOf("c", "d")
 			for i := range l.Servers {
@@ -937,9 +937,9 @@
 					served++
 					sent[list[0].Server] = append(sent[list[0].Server], r.now)
 					r.now += 5 * ms
-					r.done(parts[0], 0, OK, 5*ms)
+					r.finish(parts[0], 0, OK, 5*ms)
 				}
-				r.pass(50 * ms)
+				r.advance(50 * ms)
 			}
 			least := 90 // of some 110; one a second and server would be 12
 			if !known {
@@ -968,16 +968,16 @@
 
 // TestAnswersLeaveTimeForTheWayToTheClient: where ticks are as short as 1 ms, an answer
 // that left two of them before its aim came to the client after it.
-func TestAnswersLeaveTimeForTheWayToTheClient(t *testing.T) {
+func TestAnswersLeaveTimeToReachTheClient(t *testing.T) {
 	const way = 5 * ms // to the client, and our own turn
 	for _, tick := range []time.Duration{ms, 5 * ms, 10 * ms} {
 		set := testSettings()
 		set.Tick = tick
-		r := newRig(t, set, "a")
+		r := newHarness(t, set, "a")
 		start := r.now
 		_, parts := r.query(3, 2) // half of it may be answered
-		r.done(parts[0], 0, OK, 20*ms)
-		for count[Answer](r.actions) == 0 && r.now < start+2*time.Second {
+		r.finish(parts[0], 0, OK, 20*ms)
+		for countActions[Answer](r.actions) == 0 && r.now < start+2*time.Second {
 			r.now += ms
 			r.step(TimerFired{Token: "due"})
 		}
@@ -990,21 +990,21 @@
 // TestSecondStepGetsTheTimeOfSlowAnswersOfLate: the time kept for a second step went by
 // the mean. While some servers are swamped, that says little of the slowest part, which
 // then comes after the aim.
-func TestSecondStepGetsTheTimeOfSlowAnswersOfLate(t *testing.T) {
+func TestSecondStepGetsTheTimeOfSlowAnswers(t *testing.T) {
 	set := testSettings()
 	set.Classes = append(set.Classes, Class{Name: "report", Idempotency: Idempotent, LatencyTarget: time.Second,
 		Deadline: 4 * time.Second, Value: 1, MinWeight: 0.5, PartialValue: 0.9, SecondStepParts: 2})
-	r := newRig(t, set, "a")
+	r := newHarness(t, set, "a")
 	for range 200 { // one part in five finds a server that is swamped
-		r.warm(4, 20*ms)
-		r.warm(1, 300*ms)
+		r.warmUp(4, 20*ms)
+		r.warmUp(1, 300*ms)
 	}
 	start := r.now
 	_, parts := r.query(len(set.Classes)-1, 4)
 	for _, p := range parts[:3] {
-		r.done(p, 0, OK, 20*ms)
+		r.finish(p, 0, OK, 20*ms)
 	}
-	for count[Answer](r.actions) == 0 && r.now < start+2*time.Second {
+	for countActions[Answer](r.actions) == 0 && r.now < start+2*time.Second {
 		r.now += 5 * ms
 		r.step(TimerFired{Token: "due"})
 	}
--- a/decide/trouble_test.go
+++ b/decide/trouble_test.go
@@ -16,9 +16,9 @@
 )
 
 // unanswered fails the test for each query that had its time and got no answer.
-func (f *fleet) unanswered() {
+func (f *fleetSimulation) checkAllAnswered() {
 	f.t.Helper()
-	for id, came := range f.asked {
+	for id, came := range f.openQueries {
 		if f.now > came+4*time.Second {
 			f.t.Errorf("%s came %v ago and has no answer", id, f.now-came)
 		}
@@ -27,30 +27,30 @@
 
 // replace has a machine vanish without a word and one with another id begin in its place, cold; all hear of
 // both after a while.
-func (f *fleet) replace(cell int, late time.Duration) {
+func (f *fleetSimulation) replaceServer(cell int, late time.Duration) {
 	old := f.server(cell)
 	old.State = Deleted
 	f.silent[old.ID] = true
-	f.ids[cell] = fmt.Sprintf("%s.%d", old.ID[:4], f.now/time.Millisecond)
-	f.started[f.ids[cell]] = f.now
-	f.tell(late, old)
-	f.tell(late, f.server(cell))
-	f.gone[old.ID] = f.now + late
+	f.serverIDs[cell] = fmt.Sprintf("%s.%d", old.ID[:4], f.now/time.Millisecond)
+	f.started[f.serverIDs[cell]] = f.now
+	f.announce(late, old)
+	f.announce(late, f.server(cell))
+	f.goneAt[old.ID] = f.now + late
 }
 
-func TestSixInTenServersAreReplacedWhilePartsAreOut(t *testing.T) {
-	f := newFleet(t, 1, manyAggregators, manyServers)
+func TestSixInTenServersAreReplacedWithPartsInFlight(t *testing.T) {
+	f := newFleetSimulation(t, 1, manyAggregators, manyServers)
 	f.run(10 * time.Second)
 	first := f.now
 	for step := range 60 { // two of 200 at a time, over 7 s
 		for k := range 2 {
-			f.replace((step*2+k)*5/3%manyServers, 2*time.Second)
+			f.replaceServer((step*2+k)*5/3%manyServers, 2*time.Second)
 		}
 		f.run(7 * time.Second / 60)
 	}
 	f.run(12 * time.Second)
-	f.unanswered()
-	before, during, after := f.share(first-5*time.Second, 4*time.Second), f.share(first, 9*time.Second), f.share(first+10*time.Second, 6*time.Second)
+	f.checkAllAnswered()
+	before, during, after := f.answeredShare(first-5*time.Second, 4*time.Second), f.answeredShare(first, 9*time.Second), f.answeredShare(first+10*time.Second, 6*time.Second)
 	t.Logf("answered in time: %.2f before, %.2f in the 9 s, %.2f after", before, during, after)
 	// Most queries touch a cell both of whose holders are gone and not listed yet, so little can be had in the 9 s.
 	if before < 0.95 || after < 0.85 {
@@ -61,15 +61,15 @@
 // A third of 200 servers is cold at once, and hundreds of windows of each are looked at: on most
 // seeds one of them is over the limit by chance alone, so what the rule leaves to chance is left
 // here, too, on four seeds.
-func TestAZoneVanishesAndReturnsColdUnderTheSameIDs(t *testing.T) {
+func TestZoneFailsAndReturnsColdWithTheSameIDs(t *testing.T) {
 	for seed := range uint64(4) {
-		aZoneVanishes(t, seed)
+		testZoneRestart(t, seed)
 	}
 }
 
-func aZoneVanishes(t *testing.T, seed uint64) {
-	f := newFleet(t, seed, manyAggregators, manyServers)
-	f.chance = true
+func testZoneRestart(t *testing.T, seed uint64) {
+	f := newFleetSimulation(t, seed, manyAggregators, manyServers)
+	f.allowChance = true
 	f.run(10 * time.Second)
 	dark := f.now
 	for c := 0; c < manyServers; c += 3 {
@@ -77,11 +77,11 @@
 	}
 	f.run(5 * time.Second)
 	for c := 0; c < manyServers; c += 3 {
-		f.restart(c)
+		f.restartCold(c)
 	}
 	f.run(12 * time.Second)
-	f.unanswered()
-	dim, back := f.share(dark, 5*time.Second), f.share(dark+7*time.Second, 8*time.Second)
+	f.checkAllAnswered()
+	dim, back := f.answeredShare(dark, 5*time.Second), f.answeredShare(dark+7*time.Second, 8*time.Second)
 	t.Logf("answered in time: %.2f while the zone is dark, %.2f once it is back", dim, back)
 	// An aggregator that meets a server once in 46 s can't learn in 5 s that it is gone, nor copy a third of its parts:
 	// little is served meanwhile. What counts here is the return: all of it, and nobody pushed over.
@@ -90,29 +90,29 @@
 	}
 }
 
-func TestMostAggregatorsComeBackWithAStaleList(t *testing.T) {
-	f := newFleet(t, 3, manyAggregators, manyServers)
+func TestMostAggregatorsRestartWithAStaleList(t *testing.T) {
+	f := newFleetSimulation(t, 3, manyAggregators, manyServers)
 	stale := f.list()
 	f.run(10 * time.Second)
 	for c := 0; c < manyServers; c += 5 {
-		f.replace(c, 0)
+		f.replaceServer(c, 0)
 	}
 	f.run(2 * time.Second)
 	for i := range manyAggregators * 7 / 10 {
-		f.modules[i] = nil
+		f.machines[i] = nil
 	}
-	clear(f.asked) // whoever was killed answers nothing, and its clients are told so
+	clear(f.openQueries) // whoever was killed answers nothing, and its clients are told so
 	f.run(time.Second)
-	again, named := f.now, len(f.gone)
+	again, named := f.now, len(f.goneAt)
 	// A list that is told counts from when it is told: whoever starts with an old one has not been told yet.
-	clear(f.gone)
+	clear(f.goneAt)
 	for i := range manyAggregators * 7 / 10 {
-		f.begin(i, stale)
-		f.later(3*time.Second+time.Duration(i)*10*ms, i, f.list())
+		f.startAggregator(i, stale)
+		f.schedule(3*time.Second+time.Duration(i)*10*ms, i, f.list())
 	}
 	f.run(12 * time.Second)
-	f.unanswered()
-	early, late := f.share(again, 3*time.Second), f.share(again+7*time.Second, 4*time.Second)
+	f.checkAllAnswered()
+	early, late := f.answeredShare(again, 3*time.Second), f.answeredShare(again+7*time.Second, 4*time.Second)
 	t.Logf("%d servers gone; answered in time: %.2f with old lists, %.2f with new ones", named, early, late)
 	if early < 0.8 || late < 0.95 {
 		t.Errorf("answered in time: %.2f with old lists, %.2f with new ones", early, late)
