--- a/cmd/kiteloft/ending.go
+++ b/cmd/kiteloft/ending.go
@@ -96,7 +96,7 @@
 	e.core.After(lingerOn, func() {
 		e.core.OnIdle(func() {
 			e.core.After(lingerOn, func() {
-				process := gate.Process{Open: e.core.OpenCount(), Clients: e.front.Clients(), Now: e.core.Now(), Last: e.kill - lastBefore}
+				process := gate.Process{Open: e.core.OpenCount(), Clients: e.front.Clients(), Now: e.core.Now(), WaitUntil: e.kill - lastBefore}
 				if gate.End(process) != gate.Allowed {
 					e.quietly()
 					return
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -632,7 +632,7 @@
 // CheckWritten checks an attempt that has just been written against the rules, and counts and
 // logs a violation. Told is the time left that the node was sent.
 func (c *Core) CheckWritten(a *Attempt, told time.Duration) {
-	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.ReadClock()), Told: told})
+	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.ReadClock()), SentTimeLeft: told})
 	if verdict != gate.Allowed {
 		c.audit.Violations++
 		c.guard(a.p.q, verdict.String(), "VIOLATION: an attempt at node "+a.Node.ID+" left too late")
@@ -650,14 +650,14 @@
 	// An attempt that was allowed once stays with its node, even if the list has changed
 	// since. A node that has left the list is treated as one that drains.
 	m, listed := c.members[a.Node.ID]
-	f := gate.Attempt{Now: now, RequestOver: q.over, StepOver: a.p.second != q.second, Stop: a.stop, Number: a.n,
+	f := gate.Attempt{Now: now, RequestOver: q.over, StepOver: a.p.second != q.second, Deadline: a.stop, EarlierAttempts: a.n,
 		Listed: a.begun || listed, Withheld: c.barred[a.Node.ID], HoldsShard: a.begun || c.holds(m, a.p.shard),
-		Effect: q.class.Idempotency, RepeatWindow: q.class.DedupWindow}
-	f.DrainedAt, f.IsDraining = c.told[a.Node.ID]
+		ClassIdempotency: q.class.Idempotency, RepeatWindow: q.class.DedupWindow}
+	f.DrainingSince, f.IsDraining = c.told[a.Node.ID]
 	// Attempts are in the order in which they were sent: the first that may have run counts.
 	for _, other := range a.p.attempts {
 		if other != a && (!other.over || !other.neverRan) {
-			f.MayHaveRun, f.FirstRun = true, other.sent
+			f.MayHaveRun, f.FirstSentAt = true, other.sent
 			break
 		}
 	}
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -398,7 +398,7 @@
 				k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
 			}
 		}
-		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, Unread: !c.half && !c.conn.InputDrained()})
+		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, UnreadBytes: !c.half && !c.conn.InputDrained()})
 		switch rests := may == gate.Allowed && c.conn.Flushed(); {
 		case rests && (f.closing || c.half):
 			c.conn.Close(transport.LocalDone)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -416,9 +416,9 @@
 
 // mayEnd tells whether the connection may be ended without a further answer.
 func (c *client) mayEnd() bool {
-	state := gate.Connection{Open: c.open != nil, Partial: c.partial()}
+	state := gate.Connection{Open: c.open != nil, PartialRequest: c.partial()}
 	// The system is asked last.
-	state.Unread = !state.Open && !state.Partial && !c.conn.InputDrained()
+	state.UnreadBytes = !state.Open && !state.PartialRequest && !c.conn.InputDrained()
 	return !c.closing && gate.Close(state) == gate.Allowed
 }
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -27,7 +27,7 @@
 // Verdict is the result of a check: Allowed, or the reason why not.
 type Verdict uint8
 
-// The verdicts.
+// The verdictCount.
 const (
 	Allowed         Verdict = iota
 	RequestOver             // the request has its final answer, or its client has left
@@ -44,19 +44,19 @@
 	RequestPartial          // a request on the connection has been received in part
 	BytesUnread             // bytes from the client have not been parsed
 	LateDeadline            // a server was sent more time than its client had left
-	verdicts                // number of verdicts
+	verdictCount            // number of verdicts
 )
 
-var names = [verdicts]string{"allowed", "request-over", "step-over", "out-of-time", "too-many-attempts", "not-listed",
+var verdictNames = [verdictCount]string{"allowed", "request-over", "step-over", "out-of-time", "too-many-attempts", "not-listed",
 	"withheld", "draining", "wrong-shard", "unsafe-repeat", "service-ended", "request-open", "request-partial",
 	"bytes-unread", "late-deadline"}
 
 // String returns the name that logs use.
 func (v Verdict) String() string {
-	if v >= verdicts {
+	if v >= verdictCount {
 		return "unknown"
 	}
-	return names[v]
+	return verdictNames[v]
 }
 
 // Unexpected reports whether the verdict shows a fault in the decision module's state: it
@@ -71,20 +71,20 @@
 
 // Attempt describes an attempt at the instant in which its first byte would be written.
 type Attempt struct {
-	Now          time.Duration
-	RequestOver  bool               // the request has its final answer, or its client has left
-	StepOver     bool               // a later step of the request has begun
-	Stop         time.Duration      // when it times out
-	Number       int                // earlier attempts of the part
-	Listed       bool               // the server is on the list
-	Withheld     bool               // the server is kept out of use
-	HoldsShard   bool               // the server holds the part's shard
-	IsDraining   bool               // the server drains, or has left the list
-	DrainedAt    time.Duration      // if IsDraining: when the notice of that came
-	Effect       decide.Idempotency // whether the request may run more than once
-	MayHaveRun   bool               // an earlier attempt of the part may have run, or may yet
-	FirstRun     time.Duration      // if MayHaveRun: when the first such attempt was sent
-	RepeatWindow time.Duration      // how long servers drop a repeat of the same key
+	Now              time.Duration
+	RequestOver      bool               // the request has its final answer, or its client has left
+	StepOver         bool               // a later step of the request has begun
+	Deadline         time.Duration      // when it times out
+	EarlierAttempts  int                // earlier attempts of the part
+	Listed           bool               // the server is on the list
+	Withheld         bool               // the server is kept out of use
+	HoldsShard       bool               // the server holds the part's shard
+	IsDraining       bool               // the server drains, or has left the list
+	DrainingSince    time.Duration      // if IsDraining: when the notice of that came
+	ClassIdempotency decide.Idempotency // whether the request may run more than once
+	MayHaveRun       bool               // an earlier attempt of the part may have run, or may yet
+	FirstSentAt      time.Duration      // if MayHaveRun: when the first such attempt was sent
+	RepeatWindow     time.Duration      // how long servers drop a repeat of the same key
 }
 
 // Attempt checks whether an attempt may be written.
@@ -96,26 +96,26 @@
 		return StepOver
 	case !a.Listed:
 		return NotListed
-	case a.Stop <= a.Now:
+	case a.Deadline <= a.Now:
 		return OutOfTime
-	case l.MaxAttempts > 0 && a.Number >= l.MaxAttempts:
+	case l.MaxAttempts > 0 && a.EarlierAttempts >= l.MaxAttempts:
 		return TooManyAttempts
 	case a.Withheld:
 		return Withheld
-	case a.IsDraining && a.Now > a.DrainedAt+max(0, l.DrainGrace-DrainMargin):
+	case a.IsDraining && a.Now > a.DrainingSince+max(0, l.DrainGrace-DrainMargin):
 		return Draining
 	case !a.HoldsShard:
 		return WrongShard
 	}
-	return repeat(a)
+	return checkRepeat(a)
 }
 
-// repeat checks whether an attempt may be made, given that earlier ones may have run.
-func repeat(a Attempt) Verdict {
+// checkRepeat checks whether an attempt may be made, given that earlier ones may have run.
+func checkRepeat(a Attempt) Verdict {
 	switch {
-	case !a.MayHaveRun || a.Effect == decide.Idempotent:
+	case !a.MayHaveRun || a.ClassIdempotency == decide.Idempotent:
 		return Allowed
-	case a.Effect == decide.Deduplicated && a.Now < a.FirstRun+a.RepeatWindow:
+	case a.ClassIdempotency == decide.Deduplicated && a.Now < a.FirstSentAt+a.RepeatWindow:
 		return Allowed
 	}
 	return UnsafeRepeat
@@ -124,16 +124,16 @@
 // Written describes an attempt just after its bytes were handed to the kernel.
 type Written struct {
 	Attempt
-	Told time.Duration // time left that the server was sent
+	SentTimeLeft time.Duration // time left that the server was sent
 }
 
 // Written checks after the fact whether an attempt was written later than the rules allow.
 // It returns the rule that was broken, or Allowed. It prevents nothing.
 func (l Limits) Written(w Written) Verdict {
 	switch {
-	case w.IsDraining && w.Now > w.DrainedAt+l.DrainGrace:
+	case w.IsDraining && w.Now > w.DrainingSince+l.DrainGrace:
 		return Draining
-	case w.Told > w.Stop-w.Now+deadlineSlack:
+	case w.SentTimeLeft > w.Deadline-w.Now+deadlineSlack:
 		return LateDeadline
 	}
 	return Allowed
@@ -149,9 +149,9 @@
 
 // Connection describes a client's connection at the instant in which it would be closed.
 type Connection struct {
-	Open    bool // a request on it has not been answered
-	Partial bool // a request has been received in part
-	Unread  bool // received bytes have not been parsed, or not been read from the socket
+	Open           bool // a request on it has not been answered
+	PartialRequest bool // a request has been received in part
+	UnreadBytes    bool // received bytes have not been parsed, or not been read from the socket
 }
 
 // Close checks whether a connection may be closed without a further answer. Every request
@@ -160,9 +160,9 @@
 	switch {
 	case c.Open:
 		return RequestOpen
-	case c.Partial:
+	case c.PartialRequest:
 		return RequestPartial
-	case c.Unread:
+	case c.UnreadBytes:
 		return BytesUnread
 	}
 	return Allowed
@@ -170,10 +170,10 @@
 
 // Process describes the process after it was told to end and has closed its listeners.
 type Process struct {
-	Open    int // requests and parts that have not been answered
-	Clients int // connections on which a request may have been read
-	Now     time.Duration
-	Last    time.Duration // when to stop waiting for clients to close their connections
+	Open      int // requests and parts that have not been answered
+	Clients   int // connections on which a request may have been read
+	Now       time.Duration
+	WaitUntil time.Duration // when to stop waiting for clients to close their connections
 }
 
 // End checks whether the process may end.
@@ -181,7 +181,7 @@
 	switch {
 	case p.Open > 0:
 		return RequestOpen
-	case p.Clients > 0 && p.Now < p.Last:
+	case p.Clients > 0 && p.Now < p.WaitUntil:
 		return BytesUnread
 	}
 	return Allowed
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -13,9 +13,9 @@
 	window = time.Second
 )
 
-// sound returns an attempt that breaks no rule.
-func sound() Attempt {
-	return Attempt{Now: now, Stop: now + time.Second, Listed: true, HoldsShard: true, RepeatWindow: window}
+// validAttempt returns an attempt that breaks no rule.
+func validAttempt() Attempt {
+	return Attempt{Now: now, Deadline: now + time.Second, Listed: true, HoldsShard: true, RepeatWindow: window}
 }
 
 func TestAttempt(t *testing.T) {
@@ -29,26 +29,30 @@
 		{"for a request that is over", func(a *Attempt) { a.RequestOver = true }, RequestOver},
 		{"for an earlier step", func(a *Attempt) { a.StepOver = true }, StepOver},
 		{"to a server that is not listed", func(a *Attempt) { a.Listed = false }, NotListed},
-		{"when its time is up", func(a *Attempt) { a.Stop = now }, OutOfTime},
-		{"one more than the settings allow", func(a *Attempt) { a.Number = 3 }, TooManyAttempts},
-		{"the last that they allow", func(a *Attempt) { a.Number = 2 }, Allowed},
+		{"when its time is up", func(a *Attempt) { a.Deadline = now }, OutOfTime},
+		{"one more than the settings allow", func(a *Attempt) { a.EarlierAttempts = 3 }, TooManyAttempts},
+		{"the last that they allow", func(a *Attempt) { a.EarlierAttempts = 2 }, Allowed},
 		{"to a server that is kept unused", func(a *Attempt) { a.Withheld = true }, Withheld},
 		{"to a server without the shard", func(a *Attempt) { a.HoldsShard = false }, WrongShard},
-		{"to a server that drains", func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-time.Second }, Allowed},
+		{"to a server that drains", func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-time.Second }, Allowed},
 		{"to one whose grace would end while we are held up",
-			func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-grace+MaxProcessPause }, Draining},
-		{"just before that", func(a *Attempt) { a.IsDraining, a.DrainedAt = true, now-grace+DrainMargin }, Allowed},
-		{"again, what may be repeated", func(a *Attempt) { a.MayHaveRun, a.FirstRun = true, now-time.Minute }, Allowed},
+			func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-grace+MaxProcessPause }, Draining},
+		{"just before that", func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-grace+DrainMargin }, Allowed},
+		{"again, what may be repeated", func(a *Attempt) { a.MayHaveRun, a.FirstSentAt = true, now-time.Minute }, Allowed},
 		{"again, within the window",
-			func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now-window+1, decide.Deduplicated }, Allowed},
+			func(a *Attempt) {
+				a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now-window+1, decide.Deduplicated
+			}, Allowed},
 		{"again, after the window",
-			func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now-window, decide.Deduplicated }, UnsafeRepeat},
-		{"again, what may run once", func(a *Attempt) { a.MayHaveRun, a.FirstRun, a.Effect = true, now, decide.NonIdempotent }, UnsafeRepeat},
-		{"again, what never ran", func(a *Attempt) { a.Effect = decide.NonIdempotent }, Allowed},
+			func(a *Attempt) {
+				a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now-window, decide.Deduplicated
+			}, UnsafeRepeat},
+		{"again, what may run once", func(a *Attempt) { a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now, decide.NonIdempotent }, UnsafeRepeat},
+		{"again, what never ran", func(a *Attempt) { a.ClassIdempotency = decide.NonIdempotent }, Allowed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := sound()
+			a := validAttempt()
 			if tt.change(&a); limits.Attempt(a) != tt.want {
 				t.Errorf("got %v, want %v", limits.Attempt(a), tt.want)
 			}
@@ -56,11 +60,11 @@
 	}
 }
 
-// TestAShortGraceIsNoGrace checks that nothing is sent to a draining server if the grace is
+// TestGraceWithinMargin checks that nothing is sent to a draining server if the grace is
 // no longer than the margin for a stalled process.
-func TestAShortGraceIsNoGrace(t *testing.T) {
-	a := sound()
-	a.IsDraining, a.DrainedAt = true, now-1
+func TestGraceWithinMargin(t *testing.T) {
+	a := validAttempt()
+	a.IsDraining, a.DrainingSince = true, now-1
 	if got := (Limits{DrainGrace: DrainMargin}).Attempt(a); got != Draining {
 		t.Errorf("got %v", got)
 	}
@@ -68,19 +72,19 @@
 
 func TestWritten(t *testing.T) {
 	limits := Limits{DrainGrace: grace}
-	late := sound()
-	late.IsDraining, late.DrainedAt = true, now-grace-1
+	late := validAttempt()
+	late.IsDraining, late.DrainingSince = true, now-grace-1
 	inTime := late
-	inTime.DrainedAt = now - grace
+	inTime.DrainingSince = now - grace
 	tests := []struct {
 		name string
 		w    Written
 		want Verdict
 	}{
-		{"in time", Written{Attempt: inTime, Told: time.Second}, Allowed},
-		{"after the grace", Written{Attempt: late, Told: time.Second}, Draining},
-		{"with the slack", Written{Attempt: sound(), Told: time.Second + deadlineSlack}, Allowed},
-		{"with too long a deadline", Written{Attempt: sound(), Told: time.Second + deadlineSlack + 1}, LateDeadline},
+		{"in time", Written{Attempt: inTime, SentTimeLeft: time.Second}, Allowed},
+		{"after the grace", Written{Attempt: late, SentTimeLeft: time.Second}, Draining},
+		{"with the slack", Written{Attempt: validAttempt(), SentTimeLeft: time.Second + deadlineSlack}, Allowed},
+		{"with too long a deadline", Written{Attempt: validAttempt(), SentTimeLeft: time.Second + deadlineSlack + 1}, LateDeadline},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -91,7 +95,7 @@
 	}
 }
 
-func TestTakeCloseAndEnd(t *testing.T) {
+func TestAdmitCloseAndEnd(t *testing.T) {
 	tests := []struct {
 		name      string
 		got, want Verdict
@@ -99,20 +103,20 @@
 		{"a request", Admit(false), Allowed},
 		{"a request after the end", Admit(true), ServiceEnded},
 		{"a connection that rests", Close(Connection{}), Allowed},
-		{"one with a request open", Close(Connection{Open: true, Unread: true}), RequestOpen},
-		{"one with half a request", Close(Connection{Partial: true}), RequestPartial},
-		{"one with bytes unread", Close(Connection{Unread: true}), BytesUnread},
+		{"one with a request open", Close(Connection{Open: true, UnreadBytes: true}), RequestOpen},
+		{"one with half a request", Close(Connection{PartialRequest: true}), RequestPartial},
+		{"one with bytes unread", Close(Connection{UnreadBytes: true}), BytesUnread},
 		{"a process with nothing left", End(Process{}), Allowed},
-		{"one with a request open", End(Process{Open: 1, Now: 2, Last: 1}), RequestOpen},
-		{"one with clients", End(Process{Clients: 1, Now: 1, Last: 2}), BytesUnread},
-		{"one with clients and no time", End(Process{Clients: 1, Now: 2, Last: 2}), Allowed},
+		{"one with a request open", End(Process{Open: 1, Now: 2, WaitUntil: 1}), RequestOpen},
+		{"one with clients", End(Process{Clients: 1, Now: 1, WaitUntil: 2}), BytesUnread},
+		{"one with clients and no time", End(Process{Clients: 1, Now: 2, WaitUntil: 2}), Allowed},
 	}
 	for _, tt := range tests {
 		if tt.got != tt.want {
 			t.Errorf("%s: got %v, want %v", tt.name, tt.got, tt.want)
 		}
 	}
-	for v := range verdicts {
+	for v := range verdictCount {
 		if v.String() == "" {
 			t.Errorf("verdict %d has no name", v)
 		}
