--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,7 @@
 	go test ./internal/segments -fuzz FuzzRead -fuzztime 20s
 	go test ./internal/fleet/link -fuzz FuzzDecode -fuzztime 20s
 	go test ./internal/fleet/link -fuzz FuzzOpen -fuzztime 20s
-	go test ./internal/fleet/accord -fuzz FuzzWord -fuzztime 20s
+	go test ./internal/fleet/accord -fuzz FuzzMessage -fuzztime 20s
 	go test ./internal/fleet/survey -fuzz FuzzReport -fuzztime 20s
 
 # What a query costs in the core and in the platform's front, without sockets.
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -25,11 +25,11 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	tickTime = 100 * time.Millisecond // of the Raft node and of everything periodic in this package
-	askTime  = 5 * time.Second        // until an operator's request fails
-	askAgain = 700 * time.Millisecond // between two attempts of it, through another voter
-	mostAsks = 64                     // operators' requests that wait at one mixer
-	newsKey  = "accord/stage"         // key of the announcement of a new revision
+	tickInterval         = 100 * time.Millisecond // of the Raft node and of everything periodic in this package
+	requestTimeout       = 5 * time.Second        // until an operator's request fails
+	requestRetryInterval = 700 * time.Millisecond // between two attempts of it, through another voter
+	maxPendingRequests   = 64                     // operators' requests that wait at one mixer
+	revisionKey          = "accord/stage"         // key of the announcement of a new revision
 )
 
 // Core is what this package needs of the core: a clock and timers. After and Post run fn on
@@ -64,19 +64,19 @@
 	// to show which conflicts leases prevent.
 	IgnoreLeases bool
 
-	files files // nil: files in Directory
+	persistence persistence // nil: files in Directory
 }
 
 // persistence is what a mixer stores across restarts.
-type files interface {
-	// Known returns the stored agreed state, or the zero State.
-	Known() version.State
-	// Keep stores an encoded agreed state.
-	Keep(state []byte)
-	// Open opens the voter's log, or creates it.
-	Open() (disk, loaded, error)
-	// Aside renames the voter's log so that Open creates another one.
-	Aside() error
+type persistence interface {
+	// LoadState returns the stored agreed state, or the zero State.
+	LoadState() version.State
+	// SaveState stores an encoded agreed state.
+	SaveState(state []byte)
+	// OpenLog opens the voter's log, or creates it.
+	OpenLog() (disk, savedLog, error)
+	// SetLogAside renames the voter's log so that OpenLog creates another one.
+	SetLogAside() error
 }
 
 // ActiveRules are the rules that a mixer follows now.
@@ -91,11 +91,11 @@
 // Participant is a mixer's part in the agreement. Its methods must be called on the core's
 // goroutine, apart from New.
 type Participant struct {
-	core  Core
-	fleet Fleet
-	c     Config
-	log   zerolog.Logger
-	rng   *rand.Rand
+	core   Core
+	fleet  Fleet
+	config Config
+	log    zerolog.Logger
+	rng    *rand.Rand
 
 	// OnChange is called with the rules that this mixer follows, whenever they change.
 	OnChange func(ActiveRules)
@@ -104,88 +104,88 @@
 	// Order executes an operator's order on a zone, at the leader; nil: not supported.
 	Order func(zone, order, why string, done func(error))
 
-	lease  *version.Lease
-	acts   ActiveRules
-	begun  bool
-	since  time.Duration // when active last changed
-	voters []string      // as last reported
-	leader string        // as last reported; "": unknown
-	target int           // index into voters of the one to ask while no leader is known
-	misses int           // requests to the leader since its last answer
-	asks   map[uint64]*asking
-	seat   *seat // nil: this mixer is not a voter
-	hellos map[string]hello
-	wanted map[string]bool // mixers that were invited to become voters
-	helloA time.Duration
-	ready  func() // called once when there are rules to follow
-	ended  bool
+	lease       *version.Lease
+	active      ActiveRules
+	initialized bool
+	activeSince time.Duration // when active last changed
+	voters      []string      // as last reported
+	leader      string        // as last reported; "": unknown
+	nextVoter   int           // index into voters of the one to ask while no leader is known
+	unanswered  int           // requests to the leader since its last answer
+	requests    map[uint64]*pendingRequest
+	replica     *replica // nil: this mixer is not a voter
+	hellos      map[string]hello
+	invited     map[string]bool // mixers that were invited to become voters
+	nextHelloAt time.Duration
+	onReady     func() // called once when there are rules to follow
+	closed      bool
 }
 
 // hello is a voter's announcement of its replica before it has a log, or the answer to one.
 type hello struct {
-	seat    uint64
-	founded bool
-	stage   uint64
-	state   []byte
-	at      time.Duration
+	replica    uint64
+	hasLog     bool
+	revision   uint64
+	state      []byte
+	receivedAt time.Duration
 }
 
 // pendingRequest is an operator's request that waits for its answer.
-type asking struct {
-	body  []byte
-	again int
-	done  func([]byte)
+type pendingRequest struct {
+	body     []byte
+	attempts int
+	done     func([]byte)
 }
 
 // New returns a Participant that is idle until Start. It opens the storage, so that an
 // unusable directory is reported before clients are served. A voter needs a directory.
-func New(core Core, fleet Fleet, c Config, log zerolog.Logger) (*Participant, error) {
-	a := &Participant{core: core, fleet: fleet, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), voters: slices.Clone(c.Voters),
-		asks: map[uint64]*asking{}, hellos: map[string]hello{}, wanted: map[string]bool{}}
-	if c.files == nil && c.Directory != "" {
-		if err := os.MkdirAll(c.Directory, 0o755); err != nil {
+func New(core Core, fleet Fleet, config Config, log zerolog.Logger) (*Participant, error) {
+	a := &Participant{core: core, fleet: fleet, config: config, log: log, rng: rand.New(rand.NewPCG(config.Seed, config.Instance)), voters: slices.Clone(config.Voters),
+		requests: map[uint64]*pendingRequest{}, hellos: map[string]hello{}, invited: map[string]bool{}}
+	if config.persistence == nil && config.Directory != "" {
+		if err := os.MkdirAll(config.Directory, 0o755); err != nil {
 			return nil, err
 		}
-		a.c.files = newFolder(core, c.Directory, log)
+		a.config.persistence = newDirectory(core, config.Directory, log)
 	}
 	known := version.State{}
-	if a.c.files != nil {
-		known = a.c.files.Known()
+	if a.config.persistence != nil {
+		known = a.config.persistence.LoadState()
 	}
-	a.lease = version.NewLease(c.Name, c.Instance, c.LeaseDuration, known, c.ParseRules)
-	if slices.Contains(c.Voters, c.Name) {
-		if a.c.files == nil {
+	a.lease = version.NewLease(config.Name, config.Instance, config.LeaseDuration, known, config.ParseRules)
+	if slices.Contains(config.Voters, config.Name) {
+		if a.config.persistence == nil {
 			return nil, errors.New("a voter needs a directory")
 		}
-		if err := a.takeSeat(); err != nil {
+		if err := a.openReplica(); err != nil {
 			return nil, err
 		}
 	}
 	return a, nil
 }
 
-func (a *Participant) takeSeat() error {
-	d, l, err := a.c.files.Open()
+func (a *Participant) openReplica() error {
+	d, l, err := a.config.persistence.OpenLog()
 	if err != nil {
 		return fmt.Errorf("the voters' log: %w", err)
 	}
-	a.seat = newSeat(a, d, l)
+	a.replica = newReplica(a, d, l)
 	return nil
 }
 
 // replaceReplica gives up a replica whose log conflicts with the agreed one, sets its file
 // aside and opens a new replica.
-func (a *Participant) reseat() {
-	if a.ended {
+func (a *Participant) replaceReplica() {
+	if a.closed {
 		return
 	}
-	if a.seat.led != nil {
-		a.seat.led.end()
+	if a.replica.leadership != nil {
+		a.replica.leadership.end()
 	}
-	a.seat.disk.Close()
-	err := a.c.files.Aside()
+	a.replica.disk.Close()
+	err := a.config.persistence.SetLogAside()
 	if err == nil {
-		err = a.takeSeat()
+		err = a.openReplica()
 	}
 	if err != nil {
 		a.log.Error().Err(err).Msg("accord: no new replica could be opened; this mixer does not vote")
@@ -194,7 +194,7 @@
 
 // Start starts the timers. It must be called on the core's goroutine.
 func (a *Participant) Start() {
-	a.log.Info().Strs("voters", a.c.Voters).Bool("votes", a.seat != nil).Uint64("stage", a.lease.State().Revision).
+	a.log.Info().Strs("voters", a.config.Voters).Bool("votes", a.replica != nil).Uint64("stage", a.lease.State().Revision).
 		Uint64("version", a.lease.State().InForce().Number).Msg("accord: started")
 	a.Refresh()
 	a.tick()
@@ -204,28 +204,28 @@
 // otherwise with its first lease, and after two lease durations at the latest, so that the
 // mixer also serves when no voter can be reached.
 func (a *Participant) Ready(fn func()) {
-	if a.ready = fn; a.lease.State().Revision > 0 || a.acts.Leased {
-		a.isReady()
+	if a.onReady = fn; a.lease.State().Revision > 0 || a.active.Leased {
+		a.signalReady()
 		return
 	}
-	a.core.After(2*a.c.LeaseDuration, a.isReady)
+	a.core.After(2*a.config.LeaseDuration, a.signalReady)
 }
 
-func (a *Participant) isReady() {
-	if fn := a.ready; fn != nil {
-		a.ready = nil
+func (a *Participant) signalReady() {
+	if fn := a.onReady; fn != nil {
+		a.onReady = nil
 		fn()
 	}
 }
 
 // newID returns a random number that no other mixer has drawn, never 0.
-func (a *Participant) draw() uint64 { return a.rng.Uint64()>>1 | 1 }
+func (a *Participant) newID() uint64 { return a.rng.Uint64()>>1 | 1 }
 
 // Leader returns the name of the voters' leader as far as this mixer knows, or "".
 func (a *Participant) Leader() string {
-	switch s := a.seat; {
-	case s != nil && s.led != nil:
-		return a.c.Name
+	switch s := a.replica; {
+	case s != nil && s.leadership != nil:
+		return a.config.Name
 	case s != nil && s.lead != 0:
 		return s.nameOf(s.lead)
 	}
@@ -238,34 +238,34 @@
 	now := a.core.Now()
 	rules, leased := a.lease.ActiveRules(now)
 	st := a.lease.State()
-	if a.c.IgnoreLeases {
-		rules, leased = a.loose(), true
+	if a.config.IgnoreLeases {
+		rules, leased = a.latestRules(), true
 	}
-	if a.begun && leased == a.acts.Leased && st.Revision == a.acts.Revision {
+	if a.initialized && leased == a.active.Leased && st.Revision == a.active.Revision {
 		return
 	}
-	a.begun = true
-	if a.acts.Leased != leased {
+	a.initialized = true
+	if a.active.Leased != leased {
 		line := a.log.Info()
 		if !leased {
 			line = a.log.Warn()
 		}
 		line.Bool("lease", leased).Uint64("stage", st.Revision).Uint64("version", st.InForce().Number).Msg("accord: the lease was gained or lost")
 	}
-	a.acts, a.since = ActiveRules{rules, st.Revision, st.InForce().Number, leased, st.Plan}, now
+	a.active, a.activeSince = ActiveRules{rules, st.Revision, st.InForce().Number, leased, st.Plan}, now
 	if a.OnChange != nil {
-		a.OnChange(a.acts)
+		a.OnChange(a.active)
 	}
 	if leased {
-		a.isReady()
+		a.signalReady()
 	}
 }
 
 // AgreedState returns the latest agreed state that this mixer knows. At the leader it is
 // complete.
 func (a *Participant) AgreedState() version.State {
-	if a.seat != nil && a.seat.agreed.State.Revision > a.lease.State().Revision {
-		return a.seat.agreed.State
+	if a.replica != nil && a.replica.replicatedState.State.Revision > a.lease.State().Revision {
+		return a.replica.replicatedState.State
 	}
 	return a.lease.State()
 }
@@ -273,21 +273,21 @@
 // SetZonePlan proposes a zone plan, at the leader. Its number seq must be one more than
 // that of the plan that it replaces. Done is called once, with nil if the plan was agreed.
 func (a *Participant) SetZonePlan(seq uint64, plan, why string, done func(error)) {
-	if a.seat == nil || a.seat.led == nil || !a.seat.led.sure {
-		done(errNoLead)
+	if a.replica == nil || a.replica.leadership == nil || !a.replica.leadership.confirmed {
+		done(errNoLeader)
 		return
 	}
-	a.seat.propose(version.Command{Kind: version.SetZonePlan, Seq: seq, Plan: plan, Why: why}, func(_ uint64, err error) { done(err) })
+	a.replica.propose(version.Command{Kind: version.SetZonePlan, Seq: seq, Plan: plan, Why: why}, func(_ uint64, err error) { done(err) })
 }
 
 // latestRules returns the rules of the latest document that this mixer has received.
-func (a *Participant) loose() version.Rules {
+func (a *Participant) latestRules() version.Rules {
 	st := a.lease.State()
 	text := st.Old.Text
 	if st.Phase != version.PhaseSteady {
 		text = st.New.Text
 	}
-	rules, err := a.c.ParseRules(text)
+	rules, err := a.config.ParseRules(text)
 	if err != nil {
 		a.log.Error().Err(err).Msg("accord: a version can't be applied")
 	}
@@ -295,151 +295,153 @@
 }
 
 func (a *Participant) tick() {
-	if a.ended {
+	if a.closed {
 		return
 	}
 	now := a.core.Now()
 	a.Refresh()
-	if a.seat != nil {
-		a.seat.tick()
-		a.greet(now)
+	if a.replica != nil {
+		a.replica.tick()
+		a.sendHellos(now)
 	}
-	a.renew()
-	a.core.After(tickTime, a.tick)
+	a.renewLease()
+	a.core.After(tickInterval, a.tick)
 }
 
 // renewLease requests a lease if one is due.
-func (a *Participant) renew() {
+func (a *Participant) renewLease() {
 	r, due := a.lease.NextRequest(a.core.Now())
 	if !due {
 		return
 	}
-	a.misses++
-	a.toLeader(renewal(r), a.misses)
+	a.unanswered++
+	a.sendToLeader(leaseRequestMessage(r), a.unanswered)
 }
 
 // sendToLeader sends a message to the leader, or through another voter if no leader is
 // known or it has not answered two attempts.
-func (a *Participant) toLeader(w word, try int) {
-	w.who = a.c.Name
-	if a.seat != nil && a.seat.led != nil {
-		a.lead(a.c.Name, w)
+func (a *Participant) sendToLeader(w message, try int) {
+	w.requester = a.config.Name
+	if a.replica != nil && a.replica.leadership != nil {
+		a.lead(a.config.Name, w)
 		return
 	}
 	a.leader = a.Leader()
 	to := a.leader
-	if to == "" || to == a.c.Name || try > 2 {
-		list := slices.DeleteFunc(slices.Clone(a.voters), func(n string) bool { return n == a.c.Name })
+	if to == "" || to == a.config.Name || try > 2 {
+		list := slices.DeleteFunc(slices.Clone(a.voters), func(n string) bool { return n == a.config.Name })
 		if len(list) == 0 {
 			return
 		}
-		a.target++
-		to = list[(a.target+int(a.c.Instance%1024))%len(list)]
+		a.nextVoter++
+		to = list[(a.nextVoter+int(a.config.Instance%1024))%len(list)]
 	}
-	a.say(to, w)
+	a.sendMessage(to, w)
 }
 
-func (a *Participant) say(to string, w word) { a.fleet.Say(to, w.encode()) }
+func (a *Participant) sendMessage(to string, w message) { a.fleet.Say(to, w.encode()) }
 
 // Word handles a message from another mixer. Malformed messages are ignored.
 func (a *Participant) Word(from string, body []byte) {
-	w, err := decode(body)
-	if err != nil || a.ended {
+	w, err := decodeMessage(body)
+	if err != nil || a.closed {
 		return
 	}
 	switch w.kind {
 	case kindRaft:
-		if a.seat != nil {
-			a.seat.receive(from, w.body)
+		if a.replica != nil {
+			a.replica.receive(from, w.body)
 		}
-	case kindRenew, kindAsk:
-		if w.who == "" {
-			w.who = from
+	case kindLeaseRequest, kindRequest:
+		if w.requester == "" {
+			w.requester = from
 		}
 		switch {
-		case a.seat == nil:
-		case a.seat.led != nil:
+		case a.replica == nil:
+		case a.replica.leadership != nil:
 			a.lead(from, w)
-		case w.who == from: // the sender can't reach the leader, or does not know it
-			if to := a.seat.nameOf(a.seat.lead); to != "" && to != a.c.Name {
-				a.say(to, w)
+		case w.requester == from: // the sender can't reach the leader, or does not know it
+			if to := a.replica.nameOf(a.replica.lead); to != "" && to != a.config.Name {
+				a.sendMessage(to, w)
 			}
 		}
-	case kindGrant, kindAnswer:
-		if w.who != a.c.Name {
-			a.say(w.who, w)
+	case kindLeaseGrant, kindAnswer:
+		if w.requester != a.config.Name {
+			a.sendMessage(w.requester, w)
 			return
 		}
-		a.answered(w)
-	case kindCheck:
-		_, err := a.c.ParseRules(string(w.body))
-		back := word{kind: kindChecked, id: w.id, flag: err == nil}
+		a.handleReply(w)
+	case kindValidate:
+		_, err := a.config.ParseRules(string(w.body))
+		back := message{kind: kindValidated, id: w.id, flag: err == nil}
 		if err != nil {
-			back.why = err.Error()
+			back.reason = err.Error()
 		}
-		a.say(from, back)
-	case kindChecked:
-		if a.seat != nil && a.seat.led != nil {
-			a.seat.led.checked(from, w)
+		a.sendMessage(from, back)
+	case kindValidated:
+		if a.replica != nil && a.replica.leadership != nil {
+			a.replica.leadership.handleValidated(from, w)
 		}
 	case kindHello:
-		a.met(from, hello{w.seat, w.flag, w.stage, w.body, a.core.Now()})
-	case kindFound:
-		if a.seat != nil {
-			a.seat.found(w.body)
+		a.handleHello(from, hello{w.replica, w.flag, w.revision, w.body, a.core.Now()})
+	case kindBootstrap:
+		if a.replica != nil {
+			a.replica.bootstrap(w.body)
 		}
 	case kindInvite:
-		a.invited()
+		a.handleInvite()
 	}
 }
 
-// handleAsLeader handles a request at the leader. Through is the mixer that delivered it.
-func (a *Participant) lead(through string, w word) {
-	back := func(w word) {
-		if through == a.c.Name {
-			a.answered(w)
+// lead handles a request at the leader. Through is the mixer that delivered it.
+func (a *Participant) lead(through string, w message) {
+	back := func(w message) {
+		if through == a.config.Name {
+			a.handleReply(w)
 		} else {
-			a.say(through, w)
+			a.sendMessage(through, w)
 		}
 	}
-	if w.kind == kindRenew {
-		if g, ok := a.seat.led.grant(w.request()); ok {
+	if w.kind == kindLeaseRequest {
+		if g, ok := a.replica.leadership.grantLease(w.leaseRequest()); ok {
 			back(g)
 		}
 		return
 	}
-	reply := func(text []byte) { back(word{kind: kindAnswer, id: w.id, who: w.who, body: text, leader: a.c.Name}) }
-	l := a.seat.led
-	if text, came := l.done[w.id]; came { // a retry: each request is executed once
+	reply := func(text []byte) {
+		back(message{kind: kindAnswer, id: w.id, requester: w.requester, body: text, leader: a.config.Name})
+	}
+	l := a.replica.leadership
+	if text, came := l.answers[w.id]; came { // a retry: each request is executed once
 		if text != nil {
 			reply(text)
 		}
 		return
 	}
-	l.remember(w.id, nil)
-	l.answer(w.body, func(text []byte) {
+	l.recordAnswer(w.id, nil)
+	l.handleRequest(w.body, func(text []byte) {
 		if text == nil { // undecided: the sender retries
-			delete(l.done, w.id)
+			delete(l.answers, w.id)
 			return
 		}
-		l.remember(w.id, text)
+		l.recordAnswer(w.id, text)
 		reply(text)
 	})
 }
 
 // handleReply handles a lease or an answer from the leader.
-func (a *Participant) answered(w word) {
+func (a *Participant) handleReply(w message) {
 	if w.leader != "" {
 		a.leader = w.leader
 	}
 	if w.kind == kindAnswer {
-		if k := a.asks[w.id]; k != nil {
-			delete(a.asks, w.id)
+		if k := a.requests[w.id]; k != nil {
+			delete(a.requests, w.id)
 			k.done(w.body)
 		}
 		return
 	}
-	a.misses = 0
+	a.unanswered = 0
 	if len(w.members) > 0 {
 		a.voters = w.members
 	}
@@ -451,24 +453,24 @@
 			return
 		}
 	}
-	if st.Revision != w.stage {
+	if st.Revision != w.revision {
 		return // granted for a state that this mixer does not have
 	}
 	refused, _ := a.lease.RefusedVersion()
-	if a.lease.HandleGrant(a.core.Now(), version.LeaseGrant{Seq: w.id, TTL: w.left, State: st}) {
+	if a.lease.HandleGrant(a.core.Now(), version.LeaseGrant{Seq: w.id, TTL: w.ttl, State: st}) {
 		if n, why := a.lease.RefusedVersion(); n != 0 && n != refused {
 			a.log.Error().Uint64("version", n).Str("why", why).Msg("accord: this mixer can't apply a version")
 		}
-		a.keep()
+		a.saveState()
 		a.Refresh()
-		a.renew() // reports the new revision at once
+		a.renewLease() // reports the new revision at once
 		return
 	}
 	a.Refresh()
 }
 
-func (a *Participant) keep() {
-	if a.c.files == nil {
+func (a *Participant) saveState() {
+	if a.config.persistence == nil {
 		return
 	}
 	text, err := json.Marshal(a.lease.State())
@@ -476,18 +478,18 @@
 		a.log.Error().Err(err).Msg("accord: a state could not be encoded") // a bug
 		return
 	}
-	a.c.files.Keep(text)
+	a.config.persistence.SaveState(text)
 }
 
 // handleAgreed takes the replicated state of this mixer's own replica, which may be newer
 // than the state of the lease.
-func (a *Participant) heard(g agreed) {
+func (a *Participant) handleAgreed(g replicatedState) {
 	if len(g.Peers) > 0 {
-		a.voters = a.seat.voters()
+		a.voters = a.replica.voters()
 	}
 	now := a.core.Now()
-	if a.seat.led != nil && g.State.Revision > a.lease.State().Revision {
-		a.fleet.Announce(newsKey, fmt.Appendf(nil, "%d", g.State.Revision))
+	if a.replica.leadership != nil && g.State.Revision > a.lease.State().Revision {
+		a.fleet.Announce(revisionKey, fmt.Appendf(nil, "%d", g.State.Revision))
 	}
 	a.lease.ExpediteRenewal(g.State.Revision, now)
 }
@@ -496,22 +498,22 @@
 // is renewed at once. Other keys are ignored.
 func (a *Participant) News(key string, body []byte) {
 	var stage uint64
-	if key != newsKey {
+	if key != revisionKey {
 		return
 	}
 	if _, err := fmt.Sscanf(string(body), "%d", &stage); err != nil {
 		return
 	}
 	a.lease.ExpediteRenewal(stage, a.core.Now())
-	a.renew()
+	a.renewLease()
 }
 
 // Leave gives up the lease and closes the storage. The Participant can't be used after it.
 func (a *Participant) Leave() {
-	a.toLeader(renewal(a.lease.Release()), 0)
-	a.ended = true
-	if a.seat != nil {
-		a.seat.gone = true
-		a.seat.disk.Close()
+	a.sendToLeader(leaseRequestMessage(a.lease.Release()), 0)
+	a.closed = true
+	if a.replica != nil {
+		a.replica.abandoned = true
+		a.replica.disk.Close()
 	}
 }
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -10,25 +10,25 @@
 )
 
 // newLeasedCluster returns a cluster in which all mixers have a lease.
-func begun(t testing.TB, seed uint64, mixers, voters int) *world {
+func newLeasedCluster(t testing.TB, seed uint64, mixers, voters int) *cluster {
 	t.Helper()
-	w := newWorld(t, seed, mixers, voters)
+	w := newCluster(t, seed, mixers, voters)
 	w.startAll()
-	w.until("all have a lease", 10*time.Second, func() bool { return w.all(0) })
+	w.until("all have a lease", 10*time.Second, func() bool { return w.allFollow(0) })
 	return w
 }
 
-func TestAVersionTakesEffectEverywhere(t *testing.T) {
-	w := begun(t, 1, 7, 3)
+func TestVersionTakesEffectEverywhere(t *testing.T) {
+	w := newLeasedCluster(t, 1, 7, 3)
 	x, ok := w.propose(5, 0)
 	if !ok || x.Number != 1 {
 		t.Fatalf("%+v", x)
 	}
-	t.Logf("a version: all mixers follow it after %v", w.until("all mixers follow it", 5*time.Second, func() bool { return w.all(1) }))
-	if got := w.must(6, Request{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.PhaseSteady {
+	t.Logf("a version: all mixers follow it after %v", w.until("all mixers follow it", 5*time.Second, func() bool { return w.allFollow(1) }))
+	if got := w.mustAsk(6, Request{Op: OpShow}); got.State.Old.Number != 1 || got.State.Phase != version.PhaseSteady {
 		t.Errorf("%+v", got.State)
 	}
-	if got := w.must(2, Request{Op: OpVersions}); len(got.Holders) != 7 || got.Holders[3].Version != 1 || !got.Holders[0].Votes {
+	if got := w.mustAsk(2, Request{Op: OpVersions}); len(got.Holders) != 7 || got.Holders[3].Version != 1 || !got.Holders[0].Votes {
 		t.Errorf("%+v", got.Holders)
 	}
 	if got, ok := w.ask(4, Request{Op: OpPropose, Version: version.Version{BaseNumber: 0, Mark: "x", Text: "{}"}}); ok || !strings.Contains(got.Error, "the latest is 1") {
@@ -40,25 +40,25 @@
 	if got, _ := w.ask(4, Request{Op: "dance"}); !strings.Contains(got.Error, "dance") {
 		t.Errorf("%+v", got)
 	}
-	w.sound()
+	w.reportViolations()
 }
 
 // TestNoConflictingVersions rolls out versions while processes pause, crash or lose their
 // disks and links fail in one direction or both. At no time may two mixers follow conflicting
 // rules, and no version number may stand for two documents.
-func TestNobodyActsOnTwoVersions(t *testing.T) {
+func TestNoConflictingVersions(t *testing.T) {
 	seeds := uint64(12)
-	if raceOn { // the detector is slow
+	if raceEnabled { // the detector is slow
 		seeds = 2
 	}
 	agreedIn, tried := 0, 0
 	for seed := range seeds {
-		w := begun(t, seed, 7, 3+2*int(seed%2))
-		w.name()
+		w := newLeasedCluster(t, seed, 7, 3+2*int(seed%2))
+		w.enforceFirstVersion()
 		for i := range markers {
-			w.spoil()
-			at := w.rng.IntN(len(w.procs))
-			if w.procs[at].a != nil && w.procs[at].paused <= w.now {
+			w.injectFault()
+			at := w.rng.IntN(len(w.processes))
+			if w.processes[at].participant != nil && w.processes[at].pausedUntil <= w.now {
 				tried++
 				if _, ok := w.propose(at, i); ok {
 					agreedIn++
@@ -67,13 +67,13 @@
 			w.run(time.Duration(w.rng.IntN(3000)) * ms)
 			if i%6 == 5 {
 				w.heal()
-				w.until("all mixers follow one version again", 30*time.Second, func() bool { return w.same() })
+				w.until("all mixers follow one version again", 30*time.Second, func() bool { return w.allFollowOne() })
 			}
 		}
-		if w.sound(); w.apart > 0 {
-			t.Errorf("seed %d: conflicting versions were followed for %v", seed, w.apart)
+		if w.reportViolations(); w.longestConflict > 0 {
+			t.Errorf("seed %d: conflicting versions were followed for %v", seed, w.longestConflict)
 		}
-		if share := float64(w.leased) / float64(w.looks); share < 0.5 {
+		if share := float64(w.leasedObservations) / float64(w.observations); share < 0.5 {
 			t.Errorf("seed %d: mixers had a lease %.0f%% of the time", seed, 100*share)
 		}
 	}
@@ -85,22 +85,22 @@
 
 // TestConflictsWithoutLeases proves that TestNoConflictingVersions can fail: without leases,
 // conflicting versions have to be followed for as long as a lease at least.
-func TestWithoutLeasesTheyDo(t *testing.T) {
+func TestConflictsWithoutLeases(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(2) {
-		w := newWorld(t, seed, 7, 3)
-		w.loose = true
+		w := newCluster(t, seed, 7, 3)
+		w.ignoreLeases = true
 		w.startAll()
 		w.run(5 * time.Second)
 		w.named = true
 		for i := range markers {
-			w.spoil()
-			if at := w.rng.IntN(len(w.procs)); w.procs[at].a != nil && w.procs[at].paused <= w.now {
+			w.injectFault()
+			if at := w.rng.IntN(len(w.processes)); w.processes[at].participant != nil && w.processes[at].pausedUntil <= w.now {
 				w.propose(at, i)
 			}
 			w.run(2 * time.Second)
 		}
-		worst = max(worst, w.apart)
+		worst = max(worst, w.longestConflict)
 	}
 	t.Logf("without leases conflicting versions were followed for %v", worst)
 	if worst < testLease {
@@ -108,51 +108,51 @@
 	}
 }
 
-// same reports whether all running mixers follow one version under a lease.
-func (w *world) same() bool {
+// allFollowOne reports whether all running mixers follow one version under a lease.
+func (w *cluster) allFollowOne() bool {
 	number := uint64(0)
-	for _, p := range w.procs {
-		if p.a != nil {
-			number = max(number, p.acts.VersionNumber)
+	for _, p := range w.processes {
+		if p.participant != nil {
+			number = max(number, p.active.VersionNumber)
 		}
 	}
-	return w.all(number)
+	return w.allFollow(number)
 }
 
 // heal ends all faults and starts the processes that are dead.
-func (w *world) heal() {
-	clear(w.cut)
+func (w *cluster) heal() {
+	clear(w.cutLinks)
 	w.loss, w.delay = 0, 4*ms
-	for i, p := range w.procs {
-		p.slow, p.full = 2*ms, false
-		if p.a == nil {
+	for i, p := range w.processes {
+		p.writeDuration, p.writesFail = 2*ms, false
+		if p.participant == nil {
 			w.start(i)
 		}
 	}
 }
 
 // injectFault adds a random fault, or ends some.
-func (w *world) spoil() {
-	i, j := w.rng.IntN(len(w.procs)), w.rng.IntN(len(w.procs))
-	p := w.procs[i]
+func (w *cluster) injectFault() {
+	i, j := w.rng.IntN(len(w.processes)), w.rng.IntN(len(w.processes))
+	p := w.processes[i]
 	switch w.rng.IntN(9) {
 	case 0:
-		p.paused = w.now + time.Duration(w.rng.IntN(10_000))*ms
+		p.pausedUntil = w.now + time.Duration(w.rng.IntN(10_000))*ms
 	case 1:
-		w.cut[[2]string{p.name, w.procs[j].name}] = true
+		w.cutLinks[[2]string{p.name, w.processes[j].name}] = true
 	case 2: // each link of one process fails in one direction
-		for _, x := range w.procs {
+		for _, x := range w.processes {
 			if w.rng.IntN(2) == 0 {
-				w.cut[[2]string{p.name, x.name}] = true
+				w.cutLinks[[2]string{p.name, x.name}] = true
 			} else {
-				w.cut[[2]string{x.name, p.name}] = true
+				w.cutLinks[[2]string{x.name, p.name}] = true
 			}
 		}
 	case 3:
-		if p.a != nil {
+		if p.participant != nil {
 			w.kill(i)
 			w.after(time.Duration(100+w.rng.IntN(4000))*ms, func() {
-				if p.a == nil {
+				if p.participant == nil {
 					w.start(i)
 				}
 			})
@@ -160,61 +160,61 @@
 	case 4:
 		w.loss = w.rng.Float64() * 0.3
 	case 5:
-		p.slow = 2 * time.Second
+		p.writeDuration = 2 * time.Second
 	case 6:
-		p.full = true
+		p.writesFail = true
 	case 7: // a process that does not lead loses its disk; with five voters, the others can add its new replica
-		if lead := w.leader(); p.a != nil && lead >= 0 && i != lead && len(w.voters) > 3 {
+		if lead := w.leader(); p.participant != nil && lead >= 0 && i != lead && len(w.voters) > 3 {
 			w.kill(i)
-			p.disk, p.known = loaded{}, version.State{}
+			p.disk, p.storedState = savedLog{}, version.State{}
 			w.after(500*ms, func() {
-				if p.a == nil {
+				if p.participant == nil {
 					w.start(i)
 				}
 			})
 		}
 	default:
-		clear(w.cut)
+		clear(w.cutLinks)
 		w.loss = 0
-		p.slow, p.full = 2*ms, false
+		p.writeDuration, p.writesFail = 2*ms, false
 	}
 }
 
 // TestVoterLosesItsDisk: a voter of three that has lost its disk has to join with a new
 // replica as a learner and then vote again, and its old replica has to be removed. Until
 // then the other two have no voter to spare, and nothing may break.
-func TestAVoterThatLostItsDisk(t *testing.T) {
-	w := begun(t, 3, 5, 3)
+func TestVoterLosesItsDisk(t *testing.T) {
+	w := newLeasedCluster(t, 3, 5, 3)
 	for i := range 3 {
 		if _, ok := w.propose(4, i); !ok {
 			t.Fatal("not agreed")
 		}
-		w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(uint64(i + 1)) })
+		w.until("all mixers follow it", 10*time.Second, func() bool { return w.allFollow(uint64(i + 1)) })
 	}
 	lost := (w.leader() + 1) % 3
-	old := w.procs[lost].a.seat.id
+	old := w.processes[lost].participant.replica.id
 	w.kill(lost)
-	w.procs[lost].disk, w.procs[lost].known = loaded{}, version.State{}
+	w.processes[lost].disk, w.processes[lost].storedState = savedLog{}, version.State{}
 	w.run(time.Second)
 	w.start(lost)
 	took := w.until("it votes again", 15*time.Second, func() bool {
-		s := w.procs[w.leader()].a.seat
-		return len(s.conf.GetVoters()) == 3 && len(s.conf.GetLearners()) == 0 && !slices.Contains(s.conf.GetVoters(), old)
+		s := w.processes[w.leader()].participant.replica
+		return len(s.confState.GetVoters()) == 3 && len(s.confState.GetLearners()) == 0 && !slices.Contains(s.confState.GetVoters(), old)
 	})
 	t.Logf("a voter that lost its disk votes again after %v", took)
 	if _, ok := w.propose(lost, 3); !ok {
 		t.Error("not agreed through the new replica")
 	}
-	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(4) })
-	w.sound()
+	w.until("all mixers follow it", 10*time.Second, func() bool { return w.allFollow(4) })
+	w.reportViolations()
 }
 
 // TestVotersChange: an operator adds a voter and removes another one.
-func TestAnotherVoter(t *testing.T) {
-	w := begun(t, 4, 5, 3)
-	w.must(2, Request{Op: OpAddVoter, Name: "n4"})
+func TestVotersChange(t *testing.T) {
+	w := newLeasedCluster(t, 4, 5, 3)
+	w.mustAsk(2, Request{Op: OpAddVoter, Name: "n4"})
 	w.until("n4 votes", 10*time.Second, func() bool { x, ok := w.ask(1, Request{Op: OpShow}); return ok && slices.Contains(x.Voters, "n4") })
-	w.must(2, Request{Op: OpRemoveVoter, Name: "n0"})
+	w.mustAsk(2, Request{Op: OpRemoveVoter, Name: "n0"})
 	w.until("n0 does not", 10*time.Second, func() bool {
 		x, ok := w.ask(1, Request{Op: OpShow})
 		return ok && !slices.Contains(x.Voters, "n0") && len(x.Voters) == 3
@@ -224,17 +224,17 @@
 	if _, ok := w.propose(3, 0); !ok {
 		t.Error("not agreed by the new voters")
 	}
-	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(1) })
+	w.until("all mixers follow it", 10*time.Second, func() bool { return w.allFollow(1) })
 	if x, ok := w.ask(1, Request{Op: OpAddVoter, Name: "n9"}); ok || !strings.Contains(x.Error, "n9 is not there") {
 		t.Errorf("%+v", x)
 	}
-	w.sound()
+	w.reportViolations()
 }
 
 // TestRefusalIsFinal: a refused proposal has to stay refused when it is retried late, through
 // another mixer and at a leader that has not handled it before.
-func TestWhatWasRefusedStaysRefused(t *testing.T) {
-	w := begun(t, 9, 6, 3)
+func TestRefusalIsFinal(t *testing.T) {
+	w := newLeasedCluster(t, 9, 6, 3)
 	if x, ok := w.propose(5, 0); !ok {
 		t.Fatalf("%+v", x)
 	}
@@ -242,15 +242,15 @@
 	if x, ok := w.ask(4, q); ok || !strings.Contains(x.Error, "on its way") {
 		t.Fatalf("%+v", x)
 	}
-	w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(1) })
+	w.until("all mixers follow it", 10*time.Second, func() bool { return w.allFollow(1) })
 	w.kill(w.leader())
 	w.until("another leads", 20*time.Second, func() bool { return w.leader() >= 0 })
 	if x, ok := w.ask(5, q); ok || !strings.Contains(x.Error, "on its way") {
 		t.Errorf("accepted after its author was told of the refusal: %+v", x)
 	}
 	q.Version.Mark = "anew"
-	if x := w.must(5, q); x.Number != 2 {
+	if x := w.mustAsk(5, q); x.Number != 2 {
 		t.Errorf("%+v", x)
 	}
-	w.sound()
+	w.reportViolations()
 }
--- a/internal/fleet/accord/ask.go
+++ b/internal/fleet/accord/ask.go
@@ -63,8 +63,8 @@
 	Zones stdjson.RawMessage `json:"zones,omitempty"`
 }
 
-func (a *Participant) encode(x Response) []byte {
-	x.LeaseMS = a.c.LeaseDuration.Milliseconds()
+func (a *Participant) encodeResponse(x Response) []byte {
+	x.LeaseMS = a.config.LeaseDuration.Milliseconds()
 	text, err := json.Marshal(x)
 	if err != nil {
 		a.log.Error().Err(err).Msg("accord: an answer could not be encoded") // a bug
@@ -76,7 +76,7 @@
 // leader where needed. Answer is called once with the encoded Response.
 func (a *Participant) Asked(body []byte, answer func([]byte)) {
 	fail := func(format string, args ...any) {
-		answer(a.encode(Response{Mixer: a.c.Name, Error: fmt.Sprintf(format, args...)}))
+		answer(a.encodeResponse(Response{Mixer: a.config.Name, Error: fmt.Sprintf(format, args...)}))
 	}
 	var q Request
 	switch err := json.Unmarshal(body, &q); {
@@ -84,39 +84,39 @@
 		fail("the request can't be read: %v", err)
 		return
 	case q.Op == OpLocal:
-		answer(a.encode(a.local()))
+		answer(a.encodeResponse(a.localStatus()))
 		return
 	case q.Op == OpLocalZones:
-		answer(a.encode(Response{Mixer: a.c.Name, Leader: a.leader, Zones: a.zones()}))
+		answer(a.encodeResponse(Response{Mixer: a.config.Name, Leader: a.leader, Zones: a.zoneReport()}))
 		return
-	case len(a.asks) >= mostAsks:
+	case len(a.requests) >= maxPendingRequests:
 		fail("too many requests wait")
 		return
 	}
-	id := a.draw()
-	k := &asking{body: body, done: answer}
-	a.asks[id] = k
-	a.core.After(askTime, func() {
-		if a.asks[id] == k {
-			delete(a.asks, id)
-			answer(a.encode(Response{Mixer: a.c.Name, OutcomeUnknown: true, Error: "no answer from the leader of the voters"}))
+	id := a.newID()
+	k := &pendingRequest{body: body, done: answer}
+	a.requests[id] = k
+	a.core.After(requestTimeout, func() {
+		if a.requests[id] == k {
+			delete(a.requests, id)
+			answer(a.encodeResponse(Response{Mixer: a.config.Name, OutcomeUnknown: true, Error: "no answer from the leader of the voters"}))
 		}
 	})
-	a.ask(id, k)
+	a.sendRequest(id, k)
 }
 
-func (a *Participant) ask(id uint64, k *asking) {
-	if a.asks[id] != k {
+func (a *Participant) sendRequest(id uint64, k *pendingRequest) {
+	if a.requests[id] != k {
 		return
 	}
-	k.again++
-	a.toLeader(word{kind: kindAsk, id: id, body: k.body}, k.again)
-	if a.asks[id] == k {
-		a.core.After(askAgain, func() { a.ask(id, k) })
+	k.attempts++
+	a.sendToLeader(message{kind: kindRequest, id: id, body: k.body}, k.attempts)
+	if a.requests[id] == k {
+		a.core.After(requestRetryInterval, func() { a.sendRequest(id, k) })
 	}
 }
 
-func (a *Participant) zones() []byte {
+func (a *Participant) zoneReport() []byte {
 	if a.Zones == nil {
 		return nil
 	}
@@ -124,31 +124,31 @@
 }
 
 // localStatus returns what this mixer itself knows and follows.
-func (a *Participant) local() Response {
+func (a *Participant) localStatus() Response {
 	now := a.core.Now()
 	refuses, why := a.lease.RefusedVersion()
-	return Response{Mixer: a.c.Name, Leader: a.leader, State: a.lease.State(), Voters: a.voters, Holders: []Holder{{Name: a.c.Name, Revision: a.acts.Revision,
-		Leased: a.acts.Leased, RemainingMS: max(0, a.lease.ExpiresAt()-now).Milliseconds(), SinceMS: (now - a.since).Milliseconds(),
-		RefusedVersion: refuses, Why: why, Version: a.acts.VersionNumber, Votes: a.seat != nil}}}
+	return Response{Mixer: a.config.Name, Leader: a.leader, State: a.lease.State(), Voters: a.voters, Holders: []Holder{{Name: a.config.Name, Revision: a.active.Revision,
+		Leased: a.active.Leased, RemainingMS: max(0, a.lease.ExpiresAt()-now).Milliseconds(), SinceMS: (now - a.activeSince).Milliseconds(),
+		RefusedVersion: refuses, Why: why, Version: a.active.VersionNumber, Votes: a.replica != nil}}}
 }
 
 // handleRequest executes an operator's request at the leader. Done gets the encoded
 // response, or nil if the outcome is undecided and the sender should retry.
-func (l *lead) answer(body []byte, done func([]byte)) {
+func (l *lead) handleRequest(body []byte, done func([]byte)) {
 	a, s := l.s.a, l.s
-	x := Response{Mixer: a.c.Name, Leader: a.c.Name}
+	x := Response{Mixer: a.config.Name, Leader: a.config.Name}
 	reply := func(err error) {
 		// These errors don't tell whether the request was executed: an earlier attempt at it may
 		// have succeeded, here or at another leader. A retry with its idempotency key finds out.
-		if slices.Contains([]error{errUnsure, errBusy, errNoLead, version.ErrTooManyRefusals}, err) {
+		if slices.Contains([]error{errOutcomeUnknown, errBusy, errNoLeader, version.ErrTooManyRefusals}, err) {
 			done(nil)
 			return
 		}
 		if err != nil {
 			x.Error = err.Error()
 		}
-		x.State, x.Voters = s.agreed.State, s.voters()
-		done(a.encode(x))
+		x.State, x.Voters = s.replicatedState.State, s.voters()
+		done(a.encodeResponse(x))
 	}
 	var q Request
 	if err := json.Unmarshal(body, &q); err != nil {
@@ -157,26 +157,26 @@
 	}
 	switch q.Op {
 	case OpShow:
-		l.surely(reply)
+		l.linearizableRead(reply)
 	case OpVersions:
-		l.surely(func(err error) {
+		l.linearizableRead(func(err error) {
 			x.Holders = l.holders()
 			reply(err)
 		})
 	case OpZones:
-		x.Zones = a.zones()
-		l.surely(reply)
+		x.Zones = a.zoneReport()
+		l.linearizableRead(reply)
 	case OpPropose:
 		l.propose(q.Version, func(n uint64, err error) { x.Number = n; reply(err) })
 	case OpWithdraw:
 		s.propose(version.Command{Kind: version.Withdraw, Number: q.Number, Why: q.Why}, func(n uint64, err error) { x.Number = n; reply(err) })
 	case OpAddVoter:
-		reply(l.add(q.Name))
+		reply(l.addVoter(q.Name))
 	case OpRemoveVoter:
-		reply(l.remove(q.Name))
+		reply(l.removeVoter(q.Name))
 	case OpZoneOrder:
 		if a.Order == nil {
-			reply(fmt.Errorf("%s has no plan for zones", a.c.Name))
+			reply(fmt.Errorf("%s has no plan for zones", a.config.Name))
 			return
 		}
 		a.Order(q.Name, q.Order, q.Why, reply)
@@ -188,7 +188,7 @@
 // holders returns all live mixers and all holders of leases, by name.
 func (l *lead) holders() (list []Holder) {
 	now, voters := l.s.a.core.Now(), l.s.voters()
-	st := l.s.agreed.State
+	st := l.s.replicatedState.State
 	for _, h := range l.g.Holders(now) {
 		x := Holder{Name: h.Name, Revision: h.Revision, Leased: true, RemainingMS: (h.ExpiresAt - now).Milliseconds(), SinceMS: (now - h.ReportedAt).Milliseconds(),
 			RefusedVersion: h.RefusedVersion, Why: h.Why, Votes: slices.Contains(voters, h.Name)}
@@ -206,7 +206,7 @@
 	return list
 }
 
-func (l *lead) add(name string) error {
+func (l *lead) addVoter(name string) error {
 	a := l.s.a
 	if slices.Contains(l.s.voters(), name) {
 		return nil
@@ -214,21 +214,21 @@
 	if !slices.Contains(a.fleet.Live(), name) {
 		return fmt.Errorf("%s is not there", name)
 	}
-	a.wanted[name] = true
-	a.say(name, word{kind: kindInvite})
+	a.invited[name] = true
+	a.sendMessage(name, message{kind: kindInvite})
 	return nil
 }
 
-func (l *lead) remove(name string) error {
+func (l *lead) removeVoter(name string) error {
 	voters := l.s.voters()
 	if len(voters) == 1 {
 		return fmt.Errorf("%s is the only voter", voters[0])
 	}
-	delete(l.s.a.wanted, name)
-	for _, x := range l.s.agreed.Peers {
+	delete(l.s.a.invited, name)
+	for _, x := range l.s.replicatedState.Peers {
 		if x.Name == name {
-			err := l.s.change(pb.ConfChangeRemoveNode, x)
-			l.s.drive()
+			err := l.s.proposePeerChange(pb.ConfChangeRemoveNode, x)
+			l.s.processReady()
 			return err
 		}
 	}
--- a/internal/fleet/accord/disk.go
+++ b/internal/fleet/accord/disk.go
@@ -18,20 +18,20 @@
 )
 
 // directory implements persistence with files in a mixer's directory.
-type folder struct {
+type directory struct {
 	core  Core
 	path  string
 	state *keep.File
 	log   zerolog.Logger
 }
 
-func newFolder(core Core, path string, log zerolog.Logger) *folder {
-	return &folder{core, path, keep.New(filepath.Join(path, stateFile), "what is agreed", log), log}
+func newDirectory(core Core, path string, log zerolog.Logger) *directory {
+	return &directory{core, path, keep.New(filepath.Join(path, stateFile), "what is agreed", log), log}
 }
 
-// Known implements persistence. A file that can't be read is renamed with the suffix
+// LoadState implements persistence. A file that can't be read is renamed with the suffix
 // ".bad"; the mixer then has no state until its first lease.
-func (f *folder) Known() (s version.State) {
+func (f *directory) LoadState() (s version.State) {
 	path := filepath.Join(f.path, stateFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -47,11 +47,11 @@
 	return version.State{}
 }
 
-// Keep implements persistence.
-func (f *folder) Keep(state []byte) { f.state.Put(state) }
+// SaveState implements persistence.
+func (f *directory) SaveState(state []byte) { f.state.Put(state) }
 
-// Open implements persistence.
-func (f *folder) Open() (disk, loaded, error) {
+// OpenLog implements persistence.
+func (f *directory) OpenLog() (disk, savedLog, error) {
 	path := filepath.Join(f.path, logFile)
 	s, l, damaged, err := openStore(path)
 	if damaged != nil {
@@ -63,8 +63,8 @@
 	return newFileDisk(f.core, s), l, nil
 }
 
-// Aside implements persistence.
-func (f *folder) Aside() error {
+// SetLogAside implements persistence.
+func (f *directory) SetLogAside() error {
 	path := filepath.Join(f.path, logFile)
 	if err := os.Rename(path, path+".bad"); !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -72,35 +72,35 @@
 	return nil
 }
 
-// storeWriter writes to a store on a goroutine of its own, one batch at a time.
+// fileDisk writes to a store on a goroutine of its own, one batch at a time.
 type fileDisk struct {
 	core Core
 	s    *store
-	next chan job
+	jobs chan saveJob
 }
 
-type job struct {
+type saveJob struct {
 	b    batch
 	done func(error)
 }
 
 func newFileDisk(core Core, s *store) *fileDisk {
-	d := &fileDisk{core, s, make(chan job, 1)}
+	d := &fileDisk{core, s, make(chan saveJob, 1)}
 	go d.run()
 	return d
 }
 
 func (d *fileDisk) run() {
-	for j := range d.next {
-		time.Sleep(writeTakes)
+	for j := range d.jobs {
+		time.Sleep(writeDelay)
 		err := d.s.Save(j.b)
 		d.core.Post(func() { j.done(err) })
 	}
 	_ = d.s.Close() // nothing is left to be written
 }
 
-// Save implements logWriter. It never blocks, as a replica saves one batch at a time.
-func (d *fileDisk) Save(b batch, done func(error)) { d.next <- job{b, done} }
+// Save implements disk. It never blocks, as a replica saves one batch at a time.
+func (d *fileDisk) Save(b batch, done func(error)) { d.jobs <- saveJob{b, done} }
 
-// Close implements logWriter.
-func (d *fileDisk) Close() { close(d.next) }
+// Close implements disk.
+func (d *fileDisk) Close() { close(d.jobs) }
--- a/internal/fleet/accord/found.go
+++ b/internal/fleet/accord/found.go
@@ -17,44 +17,44 @@
 // it joins as a learner and then replaces the old replica.
 
 // sendHellos announces this mixer's replica to the other voters until there is a log.
-func (a *Participant) greet(now time.Duration) {
-	if a.seat.rn != nil || now < a.helloA {
+func (a *Participant) sendHellos(now time.Duration) {
+	if a.replica.node != nil || now < a.nextHelloAt {
 		return
 	}
-	a.helloA = now + helloTime
-	w := word{kind: kindHello, seat: a.seat.id, stage: a.lease.State().Revision}
-	if w.stage > 0 {
+	a.nextHelloAt = now + helloInterval
+	w := message{kind: kindHello, replica: a.replica.id, revision: a.lease.State().Revision}
+	if w.revision > 0 {
 		if text, err := json.Marshal(a.lease.State()); err == nil {
 			w.body = text
 		}
 	}
 	for _, name := range a.voters {
-		if name != a.c.Name {
-			a.say(name, w)
+		if name != a.config.Name {
+			a.sendMessage(name, w)
 		}
 	}
-	a.tryFound(now)
+	a.tryBootstrap(now)
 }
 
 // tryBootstrap begins the log if this is the first voter by name and no voter has a log.
-func (a *Participant) tryFound(now time.Duration) {
-	if a.seat.saving || a.seat.gone || slices.Min(a.c.Voters) != a.c.Name {
+func (a *Participant) tryBootstrap(now time.Duration) {
+	if a.replica.saving || a.replica.abandoned || slices.Min(a.config.Voters) != a.config.Name {
 		return
 	}
-	g := agreed{State: a.lease.State(), Peers: []Peer{{a.seat.id, a.c.Name}}}
-	for _, name := range a.c.Voters {
-		if name == a.c.Name {
+	g := replicatedState{State: a.lease.State(), Peers: []Peer{{a.replica.id, a.config.Name}}}
+	for _, name := range a.config.Voters {
+		if name == a.config.Name {
 			continue
 		}
 		h, ok := a.hellos[name]
-		if !ok || h.founded || now-h.at > helloLasts {
+		if !ok || h.hasLog || now-h.receivedAt > helloLifetime {
 			return
 		}
-		g.Peers = append(g.Peers, Peer{h.seat, name})
+		g.Peers = append(g.Peers, Peer{h.replica, name})
 		// A fleet that has lost all of its logs continues from the latest state that any of
 		// its voters has stored.
 		var st version.State
-		if h.stage > g.State.Revision && json.Unmarshal(h.state, &st) == nil {
+		if h.revision > g.State.Revision && json.Unmarshal(h.state, &st) == nil {
 			g.State = st
 		}
 	}
@@ -67,32 +67,32 @@
 		a.log.Error().Err(err).Msg("accord: the bootstrap state could not be encoded") // a bug
 		return
 	}
-	a.seat.found(text)
+	a.replica.bootstrap(text)
 }
 
 // handleHello handles another voter's hello. A voter with a log answers that it has one, or
 // with the bootstrap state if the sender's replica is part of it.
-func (a *Participant) met(from string, h hello) {
-	if len(a.hellos) < maxMembers || a.hellos[from].seat != 0 {
+func (a *Participant) handleHello(from string, h hello) {
+	if len(a.hellos) < maxMembers || a.hellos[from].replica != 0 {
 		a.hellos[from] = h
 	}
-	if a.seat == nil || a.seat.rn == nil || h.founded {
+	if a.replica == nil || a.replica.node == nil || h.hasLog {
 		return
 	}
-	var g agreed
-	if a.seat.founding != nil && json.Unmarshal(a.seat.founding, &g) == nil && slices.Contains(g.Peers, Peer{h.seat, from}) {
-		a.say(from, word{kind: kindFound, body: a.seat.founding})
+	var g replicatedState
+	if a.replica.bootstrapState != nil && json.Unmarshal(a.replica.bootstrapState, &g) == nil && slices.Contains(g.Peers, Peer{h.replica, from}) {
+		a.sendMessage(from, message{kind: kindBootstrap, body: a.replica.bootstrapState})
 		return
 	}
-	a.say(from, word{kind: kindHello, seat: a.seat.id, flag: true, stage: a.lease.State().Revision})
+	a.sendMessage(from, message{kind: kindHello, replica: a.replica.id, flag: true, revision: a.lease.State().Revision})
 }
 
 // handleInvite opens a replica, as an operator wants this mixer to become a voter.
-func (a *Participant) invited() {
-	if a.seat != nil || a.c.files == nil {
+func (a *Participant) handleInvite() {
+	if a.replica != nil || a.config.persistence == nil {
 		return
 	}
-	if err := a.takeSeat(); err != nil {
+	if err := a.openReplica(); err != nil {
 		a.log.Error().Err(err).Msg("accord: this mixer can't become a voter")
 	}
 }
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -14,27 +14,27 @@
 // These tests check that proposals and reads by operators are linearizable: each must appear
 // to happen at one time between its request and its answer.
 
-type asks struct {
+type operationInput struct {
 	propose bool
 	from    uint64
 }
 
-type hears struct {
-	number uint64 // of the version proposed, or the latest read
-	failed bool   // refused as based on an old version; number is the latest one
-	unsure bool
+type operationOutput struct {
+	number         uint64 // of the version proposed, or the latest read
+	failed         bool   // refused as based on an old version; number is the latest one
+	outcomeUnknown bool
 }
 
-// register models the number of the latest version, which begins at first.
-func register(first uint64) porcupine.Model {
+// registerModel models the number of the latest version, which begins at first.
+func registerModel(first uint64) porcupine.Model {
 	return (&porcupine.NondeterministicModel{
 		Init: func() []any { return []any{first} },
 		Step: func(state, input, output any) []any {
-			latest, in, out := state.(uint64), input.(asks), output.(hears)
+			latest, in, out := state.(uint64), input.(operationInput), output.(operationOutput)
 			switch {
-			case out.unsure && in.from == latest: // it may have been executed
+			case out.outcomeUnknown && in.from == latest: // it may have been executed
 				return []any{latest, latest + 1}
-			case out.unsure:
+			case out.outcomeUnknown:
 				return []any{latest}
 			case !in.propose, out.failed:
 				if out.number == latest {
@@ -51,7 +51,7 @@
 
 // operator sends one request after another to random mixers.
 type operator struct {
-	w    *world
+	w    *cluster
 	id   int
 	ops  *[]porcupine.Operation
 	last uint64
@@ -60,14 +60,14 @@
 
 func (o *operator) next() {
 	w := o.w
-	at := w.rng.IntN(len(w.procs))
+	at := w.rng.IntN(len(w.processes))
 	pause := func() { w.after(time.Duration(w.rng.IntN(800))*ms, o.next) }
-	if w.procs[at].a == nil || w.procs[at].paused > w.now {
+	if w.processes[at].participant == nil || w.processes[at].pausedUntil > w.now {
 		pause()
 		return
 	}
 	o.n++
-	in := asks{propose: w.rng.IntN(2) == 0, from: o.last}
+	in := operationInput{propose: w.rng.IntN(2) == 0, from: o.last}
 	q := Request{Op: OpShow}
 	if in.propose {
 		q = Request{Op: OpPropose, Version: version.Version{BaseNumber: in.from, Mark: fmt.Sprintf("%d-%d", o.id, o.n), Text: document(o.n % markers)}}
@@ -80,7 +80,7 @@
 		}
 		over = true
 		pause()
-		out := hears{number: x.State.Latest}
+		out := operationOutput{number: x.State.Latest}
 		back := w.now
 		var latest, other uint64
 		switch {
@@ -88,7 +88,7 @@
 			if !in.propose {
 				return // a read without an answer proves nothing
 			}
-			out.unsure, back = true, w.now+time.Hour // it may still be executed
+			out.outcomeUnknown, back = true, w.now+time.Hour // it may still be executed
 		case x.Error == "" && in.propose:
 			out.number = x.Number
 		case x.Error != "":
@@ -104,11 +104,11 @@
 			o.last = max(o.last, out.number, x.State.Latest)
 		}
 		*o.ops = append(*o.ops, porcupine.Operation{ClientId: o.id, Input: in, Call: int64(begun), Output: out, Return: int64(back)})
-		if out.unsure {
+		if out.outcomeUnknown {
 			o.id += 100 // a client of its own, as it has no further request open
 		}
 	}
-	w.procs[at].a.Asked(body, func(text []byte) {
+	w.processes[at].participant.Asked(body, func(text []byte) {
 		var x Response
 		if err := json.Unmarshal(text, &x); err != nil {
 			w.t.Error(err)
@@ -119,49 +119,49 @@
 }
 
 func TestHistoriesAreLinearizable(t *testing.T) {
-	total, unsure := 0, 0
+	total, outcomeUnknown := 0, 0
 	seeds := uint64(8)
-	if raceOn {
+	if raceEnabled {
 		seeds = 2
 	}
 	for seed := range seeds {
-		w := begun(t, 100+seed, 6, 3)
-		w.name()
+		w := newLeasedCluster(t, 100+seed, 6, 3)
+		w.enforceFirstVersion()
 		var ops []porcupine.Operation
-		first := w.procs[0].a.lease.State().Latest
+		first := w.processes[0].participant.lease.State().Latest
 		for i := range 4 {
 			(&operator{w: w, id: i, ops: &ops}).next()
 		}
 		for range 25 {
-			w.spoil()
+			w.injectFault()
 			w.run(1500 * ms)
 		}
 		w.heal()
 		w.run(15 * time.Second)
 		for _, op := range ops {
-			if op.Output.(hears).unsure {
-				unsure++
+			if op.Output.(operationOutput).outcomeUnknown {
+				outcomeUnknown++
 			}
 		}
 		total += len(ops)
-		if got := porcupine.CheckOperationsTimeout(register(first), ops, 30*time.Second); got != porcupine.Ok {
+		if got := porcupine.CheckOperationsTimeout(registerModel(first), ops, 30*time.Second); got != porcupine.Ok {
 			t.Errorf("seed %d: %v of %d operations", seed, got, len(ops))
 		}
-		w.sound()
+		w.reportViolations()
 	}
-	t.Logf("%d operations under faults, %d of them without an answer", total, unsure)
+	t.Logf("%d operations under faults, %d of them without an answer", total, outcomeUnknown)
 	if total < 30*int(seeds) {
 		t.Errorf("only %d operations", total)
 	}
 }
 
 // TestCheckerFindsStaleRead guards against a model that accepts any history.
-func TestTheCheckerFindsAStaleRead(t *testing.T) {
+func TestCheckerFindsStaleRead(t *testing.T) {
 	ops := []porcupine.Operation{
-		{ClientId: 0, Input: asks{propose: true, from: 1}, Call: 0, Output: hears{number: 2}, Return: 10},
-		{ClientId: 1, Input: asks{}, Call: 20, Output: hears{number: 1}, Return: 30},
+		{ClientId: 0, Input: operationInput{propose: true, from: 1}, Call: 0, Output: operationOutput{number: 2}, Return: 10},
+		{ClientId: 1, Input: operationInput{}, Call: 20, Output: operationOutput{number: 1}, Return: 30},
 	}
-	if porcupine.CheckOperations(register(1), ops) {
+	if porcupine.CheckOperations(registerModel(1), ops) {
 		t.Error("a stale read was not found")
 	}
 }
--- a/internal/fleet/accord/large_test.go
+++ b/internal/fleet/accord/large_test.go
@@ -9,29 +9,29 @@
 // does not vote sends and receives as much at any size, and the leader's rate grows in
 // proportion to the fleet. It also logs how long a version takes to reach all mixers, before and
 // after the leader's crash.
-func TestAFleetOf300(t *testing.T) {
-	if raceOn {
+func TestFleetOf300(t *testing.T) {
+	if raceEnabled {
 		t.Skip("the race detector is slow, and the simulation has one goroutine")
 	}
 	type load struct{ leader, voter, other, bytes float64 } // messages per second, sent and received
 	cost := map[int]load{}
 	for _, size := range []int{9, 300} {
-		w := newWorld(t, uint64(size), size, 5)
-		w.rests = 20 * ms
+		w := newCluster(t, uint64(size), size, 5)
+		w.observeInterval = 20 * ms
 		w.startAll()
-		w.until("all have a lease", 15*time.Second, func() bool { return w.all(0) })
+		w.until("all have a lease", 15*time.Second, func() bool { return w.allFollow(0) })
 		w.run(2 * testLease)
 		const rest = 10
-		was := make([]proc, size)
-		for i, p := range w.procs {
+		was := make([]process, size)
+		for i, p := range w.processes {
 			was[i] = *p
 		}
 		w.run(rest * time.Second)
 		lead := w.leader()
 		of := func(i int) float64 {
-			return float64(w.procs[i].said+w.procs[i].heard-was[i].said-was[i].heard) / rest
+			return float64(w.processes[i].sent+w.processes[i].received-was[i].sent-was[i].received) / rest
 		}
-		l := load{leader: of(lead), voter: of((lead + 1) % 5), bytes: float64(w.procs[lead].bytes-was[lead].bytes) / rest}
+		l := load{leader: of(lead), voter: of((lead + 1) % 5), bytes: float64(w.processes[lead].bytes-was[lead].bytes) / rest}
 		for i := 5; i < size; i++ {
 			l.other = max(l.other, of(i))
 		}
@@ -43,7 +43,7 @@
 		if !ok {
 			t.Fatalf("%+v", x)
 		}
-		took := w.until("all mixers follow it", 10*time.Second, func() bool { return w.all(x.Number) })
+		took := w.until("all mixers follow it", 10*time.Second, func() bool { return w.allFollow(x.Number) })
 		w.named = true
 		w.kill(lead)
 		gone := w.now
@@ -53,11 +53,11 @@
 		if !ok {
 			t.Fatalf("%+v", x)
 		}
-		after := w.until("all mixers follow the next version", 15*time.Second, func() bool { return w.all(x.Number) })
+		after := w.until("all mixers follow the next version", 15*time.Second, func() bool { return w.allFollow(x.Number) })
 		w.start(lead)
-		w.until("the old leader too", 15*time.Second, func() bool { return w.all(x.Number) })
+		w.until("the old leader too", 15*time.Second, func() bool { return w.allFollow(x.Number) })
 		t.Logf("%d mixers: all follow a version after %v; the leader killed: another leads after %v, all follow the next version %v later", size, took, anew, after)
-		w.sound()
+		w.reportViolations()
 	}
 	if a, b := cost[9], cost[300]; b.other > 1.2*a.other || b.leader > 300.0/9*1.2*a.leader {
 		t.Errorf("message rates grow faster than the fleet: %+v at nine, %+v at 300", a, b)
--- a/internal/fleet/accord/lead.go
+++ b/internal/fleet/accord/lead.go
@@ -15,112 +15,112 @@
 )
 
 const (
-	confirmLost = 500 * time.Millisecond // after which an unanswered confirmation of leadership is requested again
-	checkTime   = time.Second            // for the other voters to validate a document
-	proposeTime = 3 * time.Second        // until the outcome of a proposal or read counts as unknown
-	helloTime   = 500 * time.Millisecond // between two hellos, and two checks of the voters
-	helloLasts  = 3 * time.Second        // for which a hello counts
-	mostDone    = 128                    // answers kept for retries
+	confirmationTimeout = 500 * time.Millisecond // after which an unanswered confirmation of leadership is requested again
+	validationTimeout   = time.Second            // for the other voters to validate a document
+	proposeTimeout      = 3 * time.Second        // until the outcome of a proposal or read counts as unknown
+	helloInterval       = 500 * time.Millisecond // between two hellos, and two checks of the voters
+	helloLifetime       = 3 * time.Second        // for which a hello counts
+	maxAnswers          = 128                    // answers kept for retries
 )
 
 var (
 	// These errors never reach an operator: the request is retried.
-	errUnsure = errors.New("it is not known whether that was agreed; ask again with the same mark")
-	errNoLead = errors.New("nobody leads the voters now")
-	errBusy   = errors.New("another document is being checked")
+	errOutcomeUnknown = errors.New("it is not known whether that was agreed; ask again with the same mark")
+	errNoLeader       = errors.New("nobody leads the voters now")
+	errBusy           = errors.New("another document is being checked")
 )
 
-// leadership holds the duties of the voters' leader beyond Raft: it grants leases, moves
-// versions from phase to phase, has documents validated and maintains the replicas.
+// lead holds the duties of the voters' leader beyond Raft: it grants leases, moves versions
+// from phase to phase, has documents validated and maintains the replicas.
 type lead struct {
-	s         *seat
-	g         *version.Granter
-	asked     uint64 // number of the latest confirmation requested
-	askedAt   time.Duration
-	pending   bool
-	confirmed time.Duration // at this time no other leader had been elected
-	sure      bool          // a first confirmation has come: all that was agreed before is known
-	reads     []reading
-	stepping  bool
-	check     *check
-	looked    time.Duration
-	done      map[uint64][]byte // answers to the latest requests by ID; nil: in progress
-	order     []uint64          // keys of done, the oldest first
+	s                   *replica
+	g                   *version.Granter
+	confirmationNumber  uint64 // number of the latest confirmation requested
+	confirmationAskedAt time.Duration
+	confirmationPending bool
+	confirmedAt         time.Duration // at this time no other leader had been elected
+	confirmed           bool          // a first confirmation has come: all that was agreed before is known
+	reads               []pendingRead
+	advancing           bool
+	validation          *validation
+	peersCheckedAt      time.Duration
+	answers             map[uint64][]byte // answers to the latest requests by ID; nil: in progress
+	answerOrder         []uint64          // keys of answers, the oldest first
 }
 
 // pendingRead waits for a confirmation that was requested at or after a time.
-type reading struct {
+type pendingRead struct {
 	at time.Duration
 	do func(error)
 }
 
 // validation is a document that the other voters are validating.
-type check struct {
+type validation struct {
 	id      uint64
-	open    map[string]bool // voters that have not answered yet
+	waiting map[string]bool // voters that have not answered yet
 	passed  func()
 	failed  func(error) // it was not completed
 	refused func(error)
 }
 
-func newLead(s *seat) *lead {
+func newLead(s *replica) *lead {
 	now := s.a.core.Now()
-	return &lead{s: s, g: version.NewGranter(s.a.c.LeaseDuration, s.a.c.TrialDuration, now), done: map[uint64][]byte{}}
+	return &lead{s: s, g: version.NewGranter(s.a.config.LeaseDuration, s.a.config.TrialDuration, now), answers: map[uint64][]byte{}}
 }
 
 // recordAnswer keeps the answer to a request for its retries.
-func (l *lead) remember(id uint64, answer []byte) {
-	if _, known := l.done[id]; !known {
-		if l.order = append(l.order, id); len(l.order) > mostDone { // the entry may be deleted already
-			delete(l.done, l.order[0])
-			l.order = l.order[1:]
+func (l *lead) recordAnswer(id uint64, answer []byte) {
+	if _, known := l.answers[id]; !known {
+		if l.answerOrder = append(l.answerOrder, id); len(l.answerOrder) > maxAnswers { // the entry may be deleted already
+			delete(l.answers, l.answerOrder[0])
+			l.answerOrder = l.answerOrder[1:]
 		}
 	}
-	l.done[id] = answer
+	l.answers[id] = answer
 }
 
 func (l *lead) end() {
 	list := l.reads
 	l.reads = nil
 	for _, r := range list {
-		r.do(errNoLead)
+		r.do(errNoLeader)
 	}
-	if l.check != nil {
-		l.check.failed(errNoLead)
+	if l.validation != nil {
+		l.validation.failed(errNoLeader)
 	}
 }
 
 func (l *lead) tick() {
 	now := l.s.a.core.Now()
-	if !l.pending || now-l.askedAt > confirmLost {
-		l.s.confirms++
-		l.asked, l.askedAt, l.pending = l.s.confirms, now, true
-		l.s.confirm(l.asked)
+	if !l.confirmationPending || now-l.confirmationAskedAt > confirmationTimeout {
+		l.s.confirmations++
+		l.confirmationNumber, l.confirmationAskedAt, l.confirmationPending = l.s.confirmations, now, true
+		l.s.requestConfirmation(l.confirmationNumber)
 	}
-	if l.sure && !l.stepping {
-		if c, ok := l.g.NextCommand(now, l.s.agreed.State); ok {
-			l.stepping = true
-			l.s.propose(c, func(uint64, error) { l.stepping = false })
+	if l.confirmed && !l.advancing {
+		if c, ok := l.g.NextCommand(now, l.s.replicatedState.State); ok {
+			l.advancing = true
+			l.s.propose(c, func(uint64, error) { l.advancing = false })
 		}
 	}
-	if now-l.looked >= helloTime {
-		l.looked = now
-		l.seats()
+	if now-l.peersCheckedAt >= helloInterval {
+		l.peersCheckedAt = now
+		l.reconcilePeers()
 	}
 }
 
 // handleReadState handles a confirmation of leadership: when it was requested, no other
 // leader had been elected.
-func (l *lead) read(r raft.ReadState) {
-	if len(r.RequestCtx) != 8 || binary.BigEndian.Uint64(r.RequestCtx) != l.asked || l.s.applied < r.Index {
+func (l *lead) handleReadState(r raft.ReadState) {
+	if len(r.RequestCtx) != 8 || binary.BigEndian.Uint64(r.RequestCtx) != l.confirmationNumber || l.s.applied < r.Index {
 		return
 	}
-	l.pending, l.sure = false, true
-	l.confirmed = l.askedAt
+	l.confirmationPending, l.confirmed = false, true
+	l.confirmedAt = l.confirmationAskedAt
 	list := l.reads
 	l.reads = nil
 	for _, x := range list {
-		if x.at > l.confirmed {
+		if x.at > l.confirmedAt {
 			l.reads = append(l.reads, x)
 			continue
 		}
@@ -130,34 +130,34 @@
 
 // linearizableRead calls do once this replica certainly knows all that was agreed until
 // now, or with an error after proposeTimeout.
-func (l *lead) surely(do func(error)) {
-	r := reading{l.s.a.core.Now(), do}
+func (l *lead) linearizableRead(do func(error)) {
+	r := pendingRead{l.s.a.core.Now(), do}
 	l.reads = append(l.reads, r)
-	l.s.a.core.After(proposeTime, func() {
-		if i := slices.IndexFunc(l.reads, func(x reading) bool { return x.at == r.at }); i >= 0 {
+	l.s.a.core.After(proposeTimeout, func() {
+		if i := slices.IndexFunc(l.reads, func(x pendingRead) bool { return x.at == r.at }); i >= 0 {
 			x := l.reads[i]
 			l.reads = slices.Delete(l.reads, i, i+1)
-			x.do(errNoLead)
+			x.do(errNoLeader)
 		}
 	})
 }
 
 // grantLease answers a request for a lease, or returns false if none is granted now.
-func (l *lead) grant(r version.LeaseRequest) (word, bool) {
-	if !l.sure {
-		return word{}, false
+func (l *lead) grantLease(r version.LeaseRequest) (message, bool) {
+	if !l.confirmed {
+		return message{}, false
 	}
-	st := l.s.agreed.State
-	g, ok := l.g.Renew(l.s.a.core.Now(), l.confirmed, r, st)
+	st := l.s.replicatedState.State
+	g, ok := l.g.Renew(l.s.a.core.Now(), l.confirmedAt, r, st)
 	if !ok {
-		return word{}, false
+		return message{}, false
 	}
-	w := word{kind: kindGrant, id: g.Seq, who: r.Name, left: g.TTL, stage: st.Revision, leader: l.s.a.c.Name, members: l.s.voters()}
+	w := message{kind: kindLeaseGrant, id: g.Seq, requester: r.Name, ttl: g.TTL, revision: st.Revision, leader: l.s.a.config.Name, members: l.s.voters()}
 	if r.Revision != st.Revision || r.RefusedVersion != 0 {
 		st.Refusals = nil // only the voters need them
 		text, err := json.Marshal(st)
 		if err != nil {
-			return word{}, false
+			return message{}, false
 		}
 		w.body = text
 	}
@@ -165,9 +165,9 @@
 }
 
 // voters returns the sorted names of the voting replicas.
-func (s *seat) voters() (names []string) {
-	for _, x := range s.agreed.Peers {
-		if slices.Contains(s.conf.GetVoters(), x.ID) {
+func (s *replica) voters() (names []string) {
+	for _, x := range s.replicatedState.Peers {
+		if slices.Contains(s.confState.GetVoters(), x.ID) {
 			names = append(names, x.Name)
 		}
 	}
@@ -179,20 +179,20 @@
 // voter rejects is refused; voters that do not answer in time are passed over.
 func (l *lead) propose(v version.Version, done func(number uint64, err error)) {
 	a := l.s.a
-	if _, err := a.c.ParseRules(v.Text); err != nil {
-		l.refuse(v, fmt.Errorf("%s: %w", a.c.Name, err), done)
+	if _, err := a.config.ParseRules(v.Text); err != nil {
+		l.refuse(v, fmt.Errorf("%s: %w", a.config.Name, err), done)
 		return
 	}
-	if l.check != nil {
+	if l.validation != nil {
 		done(0, errBusy)
 		return
 	}
 	now := a.core.Now()
-	k := &check{id: a.draw(), open: map[string]bool{}}
-	k.failed = func(err error) { l.check = nil; done(0, err) }
-	k.refused = func(err error) { l.check = nil; l.refuse(v, err, done) }
+	k := &validation{id: a.newID(), waiting: map[string]bool{}}
+	k.failed = func(err error) { l.validation = nil; done(0, err) }
+	k.refused = func(err error) { l.validation = nil; l.refuse(v, err, done) }
 	k.passed = func() {
-		l.check = nil
+		l.validation = nil
 		var names []string
 		live := a.fleet.Live()
 		for _, h := range l.g.Holders(now) {
@@ -204,19 +204,19 @@
 		v.Canaries = version.PickCanaries(v.Mark, slices.Compact(names), func(n string) bool { return slices.Contains(voters, n) })
 		l.s.propose(version.Command{Kind: version.Propose, Version: v}, done)
 	}
-	l.check = k
+	l.validation = k
 	for _, name := range l.s.voters() {
-		if name != a.c.Name {
-			k.open[name] = true
-			a.say(name, word{kind: kindCheck, id: k.id, body: []byte(v.Text)})
+		if name != a.config.Name {
+			k.waiting[name] = true
+			a.sendMessage(name, message{kind: kindValidate, id: k.id, body: []byte(v.Text)})
 		}
 	}
-	a.core.After(checkTime, func() {
-		if l.check == k { // voters that have not answered are passed over
+	a.core.After(validationTimeout, func() {
+		if l.validation == k { // voters that have not answered are passed over
 			k.passed()
 		}
 	})
-	if len(k.open) == 0 {
+	if len(k.waiting) == 0 {
 		k.passed()
 	}
 }
@@ -228,16 +228,16 @@
 	l.s.propose(version.Command{Kind: version.Refuse, Version: v, Why: why.Error()}, done)
 }
 
-func (l *lead) checked(from string, w word) {
-	k := l.check
-	if k == nil || k.id != w.id || !k.open[from] {
+func (l *lead) handleValidated(from string, w message) {
+	k := l.validation
+	if k == nil || k.id != w.id || !k.waiting[from] {
 		return
 	}
 	if !w.flag {
-		k.refused(fmt.Errorf("%s: %s", from, w.why))
+		k.refused(fmt.Errorf("%s: %s", from, w.reason))
 		return
 	}
-	if delete(k.open, from); len(k.open) == 0 {
+	if delete(k.waiting, from); len(k.waiting) == 0 {
 		k.passed()
 	}
 }
@@ -245,19 +245,19 @@
 // reconcilePeers maintains the replicas, one membership change at a time. A process that has
 // lost its replica joins with a new one as a learner. Once that has caught up, the old
 // replica is removed, and then the learner becomes a voter.
-func (l *lead) seats() {
+func (l *lead) reconcilePeers() {
 	s, now := l.s, l.s.a.core.Now()
-	st := s.rn.Status()
+	st := s.node.Status()
 	named := func(name string) (list []uint64) {
-		for _, x := range s.agreed.Peers {
+		for _, x := range s.replicatedState.Peers {
 			if x.Name == name {
 				list = append(list, x.ID)
 			}
 		}
 		return list
 	}
-	for _, x := range s.agreed.Peers {
-		if !slices.Contains(s.conf.GetLearners(), x.ID) {
+	for _, x := range s.replicatedState.Peers {
+		if !slices.Contains(s.confState.GetLearners(), x.ID) {
 			continue
 		}
 		p := st.Progress[x.ID]
@@ -270,24 +270,24 @@
 				kind, target.ID = pb.ConfChangeRemoveNode, id
 			}
 		}
-		s.changing(s.change(kind, target))
+		s.finishPeerChange(s.proposePeerChange(kind, target))
 		return
 	}
 	for name, h := range s.a.hellos {
 		ours := named(name)
-		if now-h.at > helloLasts || h.founded || slices.Contains(ours, h.seat) || len(ours) == 0 && !s.a.wanted[name] || len(ours) > 1 {
+		if now-h.receivedAt > helloLifetime || h.hasLog || slices.Contains(ours, h.replica) || len(ours) == 0 && !s.a.invited[name] || len(ours) > 1 {
 			continue
 		}
-		s.changing(s.change(pb.ConfChangeAddLearnerNode, Peer{h.seat, name}))
+		s.finishPeerChange(s.proposePeerChange(pb.ConfChangeAddLearnerNode, Peer{h.replica, name}))
 		return
 	}
 }
 
-// afterPeerChange logs why a membership change failed, unless this replica has lost the
+// finishPeerChange logs why a membership change failed, unless this replica has lost the
 // leadership, and drives the replica.
-func (s *seat) changing(err error) {
-	if err != nil && !errors.Is(err, errNoLead) {
+func (s *replica) finishPeerChange(err error) {
+	if err != nil && !errors.Is(err, errNoLeader) {
 		s.a.log.Warn().Err(err).Msg("accord: the voters can't be changed now")
 	}
-	s.drive()
+	s.processReady()
 }
--- a/internal/fleet/accord/race_off_test.go
+++ b/internal/fleet/accord/race_off_test.go
@@ -2,4 +2,4 @@
 
 package accord
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/fleet/accord/race_on_test.go
+++ b/internal/fleet/accord/race_on_test.go
@@ -2,4 +2,4 @@
 
 package accord
 
-const raceOn = true
+const raceEnabled = true
--- a/internal/fleet/accord/seat.go
+++ b/internal/fleet/accord/seat.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	electionTicks = 10
-	beatTicks     = 2
-	maxLog        = 1 << 20         // bytes per message, and of uncommitted entries
-	keepEntries   = 200             // entries after which a snapshot replaces them
-	saveRetry     = time.Second     // between two attempts at a write
-	snapTime      = 2 * time.Second // after which a snapshot that was sent counts as lost
+	electionTicks     = 10
+	heartbeatTicks    = 2
+	maxLogBytes       = 1 << 20         // bytes per message, and of uncommitted entries
+	snapshotEntries   = 200             // entries after which a snapshot replaces them
+	saveRetryInterval = time.Second     // between two attempts at a write
+	snapshotTimeout   = 2 * time.Second // after which a snapshot that was sent counts as lost
 )
 
 // Peer identifies a replica of the log. A process that has lost its disk joins with a new ID.
@@ -29,7 +29,7 @@
 }
 
 // replicatedState is the state that the log's entries build up.
-type agreed struct {
+type replicatedState struct {
 	State version.State `json:"state"`
 	Peers []Peer        `json:"seats"`
 }
@@ -44,31 +44,31 @@
 // what the node asks for in the order that Raft requires: first write to the disk, then
 // send messages, then apply committed entries. The core's goroutine never waits for the
 // disk.
-type seat struct {
-	a        *Participant
-	id       uint64
-	rn       *raft.RawNode // nil: there is no log yet
-	mem      *raft.MemoryStorage
-	disk     disk
-	founding []byte
-	agreed   agreed
-	conf     *pb.ConfState
-	applied  uint64
-	snapped  uint64
-	names    map[uint64]string // mixers by replica ID, of the replicas that sent messages
-	saving   bool              // a batch is being written
-	said     bool              // a failing disk was logged
-	gone     bool              // this replica must not be used any more
-
-	lead uint64
-	led  *lead // nil: another replica leads
-	// confirms counts the confirmations of leadership requested. It is not reset between two
-	// terms of leadership, as the library may answer a request of an earlier one.
-	confirms uint64
-	waiting  map[uint64]func(number uint64, err error)
+type replica struct {
+	a                *Participant
+	id               uint64
+	node             *raft.RawNode // nil: there is no log yet
+	memory           *raft.MemoryStorage
+	disk             disk
+	bootstrapState   []byte
+	replicatedState  replicatedState
+	confState        *pb.ConfState
+	applied          uint64
+	snapshotIndex    uint64
+	peerNames        map[uint64]string // mixers by replica ID, of the replicas that sent messages
+	saving           bool              // a batch is being written
+	writeErrorLogged bool              // a failing disk was logged
+	abandoned        bool              // this replica must not be used any more
+
+	lead       uint64
+	leadership *lead // nil: another replica leads
+	// confirmations counts the confirmations of leadership requested. It is not reset between
+	// two terms of leadership, as the library may answer a request of an earlier one.
+	confirmations uint64
+	waiting       map[uint64]func(number uint64, err error)
 }
 
-// logWriter stores what a replica must not lose.
+// disk stores what a replica must not lose.
 type disk interface {
 	// Save writes a batch and posts done to the core's goroutine when it is durable, or with
 	// an error if it could not be written. One batch may be in progress at a time.
@@ -77,69 +77,69 @@
 }
 
 // newReplica returns the replica that was loaded from a disk.
-func newSeat(a *Participant, d disk, l loaded) *seat {
-	s := &seat{a: a, id: l.seat, disk: d, founding: l.founding, names: map[uint64]string{}, waiting: map[uint64]func(uint64, error){}, conf: &pb.ConfState{}}
+func newReplica(a *Participant, d disk, l savedLog) *replica {
+	s := &replica{a: a, id: l.replica, disk: d, bootstrapState: l.bootstrapState, peerNames: map[uint64]string{}, waiting: map[uint64]func(uint64, error){}, confState: &pb.ConfState{}}
 	if !raft.IsEmptySnap(l.snapshot) || len(l.entries) > 0 || !raft.IsEmptyHardState(l.hard) {
 		s.restore(l)
 	}
 	return s
 }
 
-func (s *seat) restore(l loaded) {
-	s.mem = raft.NewMemoryStorage()
+func (s *replica) restore(l savedLog) {
+	s.memory = raft.NewMemoryStorage()
 	err := errors.New("entries without a snapshot")
 	if !raft.IsEmptySnap(l.snapshot) {
-		if err = s.mem.ApplySnapshot(l.snapshot); err == nil {
-			err = s.take(l.snapshot)
+		if err = s.memory.ApplySnapshot(l.snapshot); err == nil {
+			err = s.applySnapshot(l.snapshot)
 		}
 	} else if len(l.entries) == 0 {
 		err = nil // it has exchanged messages with a leader, but has no entry yet
 	}
 	if err == nil {
-		err = s.mem.SetHardState(l.hard)
+		err = s.memory.SetHardState(l.hard)
 	}
 	if err == nil {
-		err = s.mem.Append(l.entries)
+		err = s.memory.Append(l.entries)
 	}
 	if err != nil {
-		s.fail(fmt.Errorf("the log can't be used: %w", err))
+		s.abandon(fmt.Errorf("the log can't be used: %w", err))
 		return
 	}
-	s.begin()
+	s.startNode()
 }
 
 // applySnapshot replaces the replicated state by a snapshot's.
-func (s *seat) take(snap *pb.Snapshot) error {
-	var a agreed
+func (s *replica) applySnapshot(snap *pb.Snapshot) error {
+	var a replicatedState
 	if err := json.Unmarshal(snap.GetData(), &a); err != nil {
 		return err
 	}
-	s.agreed, s.conf = a, snap.GetMetadata().GetConfState()
+	s.replicatedState, s.confState = a, snap.GetMetadata().GetConfState()
 	s.applied = snap.GetMetadata().GetIndex()
-	s.snapped = s.applied
+	s.snapshotIndex = s.applied
 	return nil
 }
 
 // startNode starts the Raft node on the entries in memory.
-func (s *seat) begin() {
-	if s.mem == nil {
-		s.mem = raft.NewMemoryStorage()
+func (s *replica) startNode() {
+	if s.memory == nil {
+		s.memory = raft.NewMemoryStorage()
 	}
-	rn, err := raft.NewRawNode(&raft.Config{ID: s.id, ElectionTick: electionTicks, HeartbeatTick: beatTicks, Storage: storage{s.mem, s}, Applied: s.applied,
-		MaxSizePerMsg: maxLog, MaxUncommittedEntriesSize: maxLog, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
+	node, err := raft.NewRawNode(&raft.Config{ID: s.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: logStorage{s.memory, s}, Applied: s.applied,
+		MaxSizePerMsg: maxLogBytes, MaxUncommittedEntriesSize: maxLogBytes, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
 		ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: raftLog{s.a.log}})
 	if err != nil {
-		s.fail(err)
+		s.abandon(err)
 		return
 	}
-	s.rn = rn
+	s.node = node
 }
 
 // bootstrap begins the log with the encoded replicated state in text, if this replica is
 // one of its peers and has no log yet.
-func (s *seat) found(text []byte) {
-	var a agreed
-	if s.rn != nil || s.saving || json.Unmarshal(text, &a) != nil {
+func (s *replica) bootstrap(text []byte) {
+	var a replicatedState
+	if s.node != nil || s.saving || json.Unmarshal(text, &a) != nil {
 		return
 	}
 	mine := false
@@ -155,84 +155,84 @@
 	snap := &pb.Snapshot{Data: text, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}}
 	hard := &pb.HardState{Term: &term, Commit: &index}
 	s.saving = true
-	s.disk.Save(batch{hard: hard, snapshot: snap, founding: text}, func(err error) {
+	s.disk.Save(batch{hard: hard, snapshot: snap, bootstrapState: text}, func(err error) {
 		s.saving = false
 		if err != nil {
-			s.failing(err)
+			s.reportWriteError(err)
 			return
 		}
-		s.founding = text
+		s.bootstrapState = text
 		s.a.log.Info().Int("voters", len(a.Peers)).Uint64("stage", a.State.Revision).Msg("accord: the log is bootstrapped")
-		s.restore(loaded{hard: hard, snapshot: snap})
-		s.drive()
+		s.restore(savedLog{hard: hard, snapshot: snap})
+		s.processReady()
 	})
 }
 
 // guard calls the Raft node and recovers from its panics: it panics if its log contradicts
 // the agreed one. The replica is then abandoned, and the process opens another one.
-func (s *seat) guard(do func() error) (err error) {
+func (s *replica) guard(do func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%v", r)
-			s.fail(err)
+			s.abandon(err)
 		}
 	}()
-	if s.gone {
+	if s.abandoned {
 		return errors.New("this seat is not used any more")
 	}
 	return do()
 }
 
-func (s *seat) fail(err error) {
-	if !s.gone {
-		s.gone = true
+func (s *replica) abandon(err error) {
+	if !s.abandoned {
+		s.abandoned = true
 		s.a.log.Error().Err(err).Msg("accord: this replica can't be used any more")
-		s.a.core.After(0, s.a.reseat)
+		s.a.core.After(0, s.a.replaceReplica)
 	}
 }
 
-func (s *seat) tick() {
-	if s.rn == nil || s.gone {
+func (s *replica) tick() {
+	if s.node == nil || s.abandoned {
 		return
 	}
-	_ = s.guard(func() error { s.rn.Tick(); return nil }) // fail has logged the error
-	if s.led != nil {
-		s.led.tick()
+	_ = s.guard(func() error { s.node.Tick(); return nil }) // abandon has logged the error
+	if s.leadership != nil {
+		s.leadership.tick()
 	}
-	s.drive()
+	s.processReady()
 }
 
 // receive handles a Raft message from another replica. A message that arrives before this
 // replica has a log shows that there is a log with this replica among its peers.
-func (s *seat) receive(from string, body []byte) {
+func (s *replica) receive(from string, body []byte) {
 	m := &pb.Message{}
-	if s.gone || proto.Unmarshal(body, m) != nil || m.GetTo() != s.id {
+	if s.abandoned || proto.Unmarshal(body, m) != nil || m.GetTo() != s.id {
 		return
 	}
-	if s.rn == nil {
+	if s.node == nil {
 		if s.saving {
 			return
 		}
-		s.begin()
+		s.startNode()
 	}
-	s.names[m.GetFrom()] = from
-	_ = s.guard(func() error { return s.rn.Step(m) }) // messages that don't fit are dropped, as the library advises
-	s.drive()
+	s.peerNames[m.GetFrom()] = from
+	_ = s.guard(func() error { return s.node.Step(m) }) // messages that don't fit are dropped, as the library advises
+	s.processReady()
 }
 
-// drive processes the Raft node's pending work until a write to the disk is in progress.
-func (s *seat) drive() {
-	for !s.gone && !s.saving && s.rn != nil && s.rn.HasReady() {
-		rd := s.rn.Ready()
+// processReady processes the Raft node's pending work until a write to the disk is in progress.
+func (s *replica) processReady() {
+	for !s.abandoned && !s.saving && s.node != nil && s.node.HasReady() {
+		rd := s.node.Ready()
 		if rd.SoftState != nil {
-			s.leads(rd.Lead, rd.RaftState == raft.StateLeader)
+			s.leaderChanged(rd.Lead, rd.RaftState == raft.StateLeader)
 		}
 		b := batch{hard: rd.HardState, entries: rd.Entries}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			b.snapshot, b.reset = rd.Snapshot, true
 		}
 		if len(b.entries) == 0 && b.snapshot == nil && raft.IsEmptyHardState(b.hard) {
-			s.carry(rd, b)
+			s.finishReady(rd, b)
 			continue
 		}
 		s.saving = true
@@ -242,108 +242,108 @@
 
 // save writes a batch and retries until that succeeds. Until then this replica sends no
 // messages.
-func (s *seat) save(rd raft.Ready, b batch) {
-	if s.gone {
+func (s *replica) save(rd raft.Ready, b batch) {
+	if s.abandoned {
 		return // a retry that was waiting: the disk is closed
 	}
 	s.disk.Save(b, func(err error) {
-		if s.gone {
+		if s.abandoned {
 			return
 		}
 		if err != nil {
-			s.failing(err)
-			s.a.core.After(saveRetry, func() { s.save(rd, b) })
+			s.reportWriteError(err)
+			s.a.core.After(saveRetryInterval, func() { s.save(rd, b) })
 			return
 		}
-		if s.said {
-			s.said = false
+		if s.writeErrorLogged {
+			s.writeErrorLogged = false
 			s.a.log.Info().Msg("accord: the log can be written again")
 		}
 		s.saving = false
-		s.carry(rd, b)
-		s.drive()
+		s.finishReady(rd, b)
+		s.processReady()
 	})
 }
 
-func (s *seat) failing(err error) {
-	if !s.said {
-		s.said = true
+func (s *replica) reportWriteError(err error) {
+	if !s.writeErrorLogged {
+		s.writeErrorLogged = true
 		s.a.log.Error().Err(err).Msg("accord: the log can't be written; this voter sends no messages until it can")
 	}
 }
 
 // finishReady does what the Raft node asked for after the batch was written: it updates the
 // log in memory, sends messages and applies committed entries.
-func (s *seat) carry(rd raft.Ready, b batch) {
+func (s *replica) finishReady(rd raft.Ready, b batch) {
 	err := s.guard(func() error {
 		if b.snapshot != nil {
-			if err := s.mem.ApplySnapshot(b.snapshot); err != nil {
+			if err := s.memory.ApplySnapshot(b.snapshot); err != nil {
 				return err
 			}
-			if err := s.take(b.snapshot); err != nil {
+			if err := s.applySnapshot(b.snapshot); err != nil {
 				return err
 			}
 		}
 		if !raft.IsEmptyHardState(b.hard) {
-			if err := s.mem.SetHardState(b.hard); err != nil {
+			if err := s.memory.SetHardState(b.hard); err != nil {
 				return err
 			}
 		}
-		if err := s.mem.Append(b.entries); err != nil {
+		if err := s.memory.Append(b.entries); err != nil {
 			return err
 		}
 		for _, m := range rd.Messages {
 			s.send(m)
 		}
 		for _, e := range rd.CommittedEntries {
-			s.apply(e)
+			s.applyEntry(e)
 		}
 		for _, r := range rd.ReadStates {
-			if s.led != nil {
-				s.led.read(r)
+			if s.leadership != nil {
+				s.leadership.handleReadState(r)
 			}
 		}
-		s.rn.Advance(rd)
+		s.node.Advance(rd)
 		return nil
 	})
 	if err != nil {
-		s.fail(err)
+		s.abandon(err)
 		return
 	}
-	s.a.heard(s.agreed)
+	s.a.handleAgreed(s.replicatedState)
 	s.compact()
 }
 
-func (s *seat) send(m *pb.Message) {
+func (s *replica) send(m *pb.Message) {
 	b, err := proto.Marshal(m)
 	if err != nil {
 		s.a.log.Error().Err(err).Msg("accord: a message could not be encoded") // a bug
 		return
 	}
 	if to := s.nameOf(m.GetTo()); to != "" {
-		s.a.say(to, word{kind: kindRaft, body: b})
+		s.a.sendMessage(to, message{kind: kindRaft, body: b})
 	}
 	if m.GetType() == pb.MessageType_MsgSnap {
 		// The Raft node waits for the outcome of a snapshot without a limit, so a snapshot that
 		// was lost would stop the replication to its receiver for good.
-		s.a.core.After(snapTime, func() {
-			_ = s.guard(func() error { s.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFailure); return nil }) // has no effect if the node does not wait any more
-			s.drive()
+		s.a.core.After(snapshotTimeout, func() {
+			_ = s.guard(func() error { s.node.ReportSnapshot(m.GetTo(), raft.SnapshotFailure); return nil }) // has no effect if the node does not wait any more
+			s.processReady()
 		})
 	}
 }
 
-func (s *seat) nameOf(id uint64) string {
-	for _, x := range s.agreed.Peers {
+func (s *replica) nameOf(id uint64) string {
+	for _, x := range s.replicatedState.Peers {
 		if x.ID == id {
 			return x.Name
 		}
 	}
-	return s.names[id]
+	return s.peerNames[id]
 }
 
-// apply executes a committed entry.
-func (s *seat) apply(e *pb.Entry) {
+// applyEntry executes a committed entry.
+func (s *replica) applyEntry(e *pb.Entry) {
 	// Set at the end: a snapshot that is requested meanwhile would hold half of the entry.
 	defer func() { s.applied = e.GetIndex() }()
 	switch e.GetType() {
@@ -352,15 +352,15 @@
 		if proto.Unmarshal(e.GetData(), cc) != nil {
 			return
 		}
-		s.conf = s.rn.ApplyConfChange(cc)
-		s.seatChanged(cc)
+		s.confState = s.node.ApplyConfChange(cc)
+		s.applyPeerChange(cc)
 	case pb.EntryNormal:
 		var x entry
 		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &x) != nil {
 			return // the empty entry of a new leader
 		}
-		next, number, err := s.agreed.State.Apply(x.Command)
-		if s.agreed.State = next; err == nil && next.LastChange != "" {
+		next, number, err := s.replicatedState.State.Apply(x.Command)
+		if s.replicatedState.State = next; err == nil && next.LastChange != "" {
 			s.a.log.Info().Uint64("stage", next.Revision).Str("phase", next.Phase.String()).Uint64("version", number).Msg("accord: " + next.LastChange)
 		}
 		if done := s.waiting[x.ID]; done != nil {
@@ -370,10 +370,10 @@
 	}
 }
 
-func (s *seat) seatChanged(cc *pb.ConfChange) {
+func (s *replica) applyPeerChange(cc *pb.ConfChange) {
 	id, name := cc.GetNodeId(), string(cc.GetContext())
 	var list []Peer
-	for _, x := range s.agreed.Peers {
+	for _, x := range s.replicatedState.Peers {
 		if x.ID != id {
 			list = append(list, x)
 		}
@@ -386,37 +386,37 @@
 			what = "learns"
 		}
 	}
-	s.agreed.Peers = list
+	s.replicatedState.Peers = list
 	s.a.log.Info().Str("voter", name).Str("seat", fmt.Sprintf("%016x", id)).Str("what", what).Msg("accord: the voters change")
 }
 
 // logStorage is the log in memory as the Raft node reads it. Its snapshots are taken when
 // they are requested, because the receiver of a snapshot has to be among its peers.
-type storage struct {
+type logStorage struct {
 	*raft.MemoryStorage
-	s *seat
+	s *replica
 }
 
 // Snapshot implements raft.Storage. The snapshot is of the present applied state.
-func (st storage) Snapshot() (*pb.Snapshot, error) {
+func (st logStorage) Snapshot() (*pb.Snapshot, error) {
 	s := st.s
 	if last, err := st.MemoryStorage.Snapshot(); err != nil || last.GetMetadata().GetIndex() >= s.applied {
 		return last, err
 	}
-	data, err := json.Marshal(s.agreed)
+	data, err := json.Marshal(s.replicatedState)
 	if err != nil {
 		return nil, err
 	}
-	return st.CreateSnapshot(s.applied, s.conf, data)
+	return st.CreateSnapshot(s.applied, s.confState, data)
 }
 
 // compact replaces the log by a snapshot once it has grown by snapshotEntries.
-func (s *seat) compact() {
-	if s.gone || s.saving || s.rn == nil || s.applied-s.snapped < keepEntries {
+func (s *replica) compact() {
+	if s.abandoned || s.saving || s.node == nil || s.applied-s.snapshotIndex < snapshotEntries {
 		return
 	}
 	err := s.guard(func() error {
-		snap, err := storage{s.mem, s}.Snapshot()
+		snap, err := logStorage{s.memory, s}.Snapshot()
 		if err != nil {
 			return err
 		}
@@ -424,29 +424,29 @@
 		s.disk.Save(batch{snapshot: snap}, func(err error) {
 			s.saving = false
 			if err != nil {
-				s.failing(err)
-			} else if err := s.mem.Compact(snap.GetMetadata().GetIndex()); err == nil {
-				s.snapped = snap.GetMetadata().GetIndex()
+				s.reportWriteError(err)
+			} else if err := s.memory.Compact(snap.GetMetadata().GetIndex()); err == nil {
+				s.snapshotIndex = snap.GetMetadata().GetIndex()
 			}
-			s.drive()
+			s.processReady()
 		})
 		return nil
 	})
 	if err != nil {
-		s.fail(err)
+		s.abandon(err)
 	}
 }
 
 // leaderChanged handles a change of the leader.
-func (s *seat) leads(leader uint64, we bool) {
+func (s *replica) leaderChanged(leader uint64, leading bool) {
 	s.lead = leader
 	switch {
-	case we && s.led == nil:
-		s.led = newLead(s)
+	case leading && s.leadership == nil:
+		s.leadership = newLead(s)
 		s.a.log.Info().Msg("accord: this mixer leads")
-	case !we && s.led != nil:
-		s.led.end()
-		s.led = nil
+	case !leading && s.leadership != nil:
+		s.leadership.end()
+		s.leadership = nil
 		s.a.log.Info().Msg("accord: this mixer does not lead any more")
 	}
 }
@@ -454,39 +454,39 @@
 // propose proposes a command. Done is called once: with the result of executing the command,
 // with errNoLeader if this replica does not lead, or with errOutcomeUnknown after
 // proposeTimeout.
-func (s *seat) propose(c version.Command, done func(number uint64, err error)) {
-	id := s.a.draw()
+func (s *replica) propose(c version.Command, done func(number uint64, err error)) {
+	id := s.a.newID()
 	data, err := json.Marshal(entry{ID: id, Command: c})
 	if err == nil {
-		err = s.guard(func() error { return s.rn.Propose(data) })
+		err = s.guard(func() error { return s.node.Propose(data) })
 	}
 	if err != nil { // not accepted, as this replica leads no more; an earlier attempt may have been
-		done(0, errNoLead)
+		done(0, errNoLeader)
 		return
 	}
 	s.waiting[id] = done
-	s.a.core.After(proposeTime, func() {
+	s.a.core.After(proposeTimeout, func() {
 		if done := s.waiting[id]; done != nil {
 			delete(s.waiting, id)
-			done(0, errUnsure)
+			done(0, errOutcomeUnknown)
 		}
 	})
-	s.drive()
+	s.processReady()
 }
 
 // proposePeerChange proposes to add, promote or remove a replica.
-func (s *seat) change(kind pb.ConfChangeType, x Peer) error {
+func (s *replica) proposePeerChange(kind pb.ConfChangeType, x Peer) error {
 	err := s.guard(func() error {
-		return s.rn.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &x.ID, Context: []byte(x.Name)})
+		return s.node.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &x.ID, Context: []byte(x.Name)})
 	})
 	if errors.Is(err, raft.ErrProposalDropped) {
-		return errNoLead
+		return errNoLeader
 	}
 	return err
 }
 
 // requestConfirmation asks the other voters to confirm that this replica still leads. The
 // answer carries the number n.
-func (s *seat) confirm(n uint64) {
-	_ = s.guard(func() error { s.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, n)); return nil }) // fail has logged the error
+func (s *replica) requestConfirmation(n uint64) {
+	_ = s.guard(func() error { s.node.ReadIndex(binary.BigEndian.AppendUint64(nil, n)); return nil }) // abandon has logged the error
 }
--- a/internal/fleet/accord/slow_off.go
+++ b/internal/fleet/accord/slow_off.go
@@ -4,4 +4,4 @@
 
 // writeDelay is added to each write of the log. It is zero except in test builds with the
 // tag slowdisk, which simulate a slow disk.
-const writeTakes = 0
+const writeDelay = 0
--- a/internal/fleet/accord/slow_on.go
+++ b/internal/fleet/accord/slow_on.go
@@ -5,4 +5,4 @@
 import "time"
 
 // writeDelay is added to each write of the log, to simulate a slow disk.
-const writeTakes = 2 * time.Second
+const writeDelay = 2 * time.Second
--- a/internal/fleet/accord/store.go
+++ b/internal/fleet/accord/store.go
@@ -24,42 +24,42 @@
 type store struct {
 	db   *bolt.DB
 	path string
-	// hook is called at each step of a write. Tests use it to fail or to kill the process.
-	hook func(at string) error
+	// stepHook is called at each step of a write. Tests use it to fail or to kill the process.
+	stepHook func(at string) error
 }
 
 // batch is what has to be on the disk before messages that depend on it are sent.
 type batch struct {
-	hard     *pb.HardState
-	snapshot *pb.Snapshot
-	entries  []*pb.Entry
-	reset    bool   // the snapshot came from the leader: all present entries are deleted
-	founding []byte // the encoded state with which the log begins
+	hard           *pb.HardState
+	snapshot       *pb.Snapshot
+	entries        []*pb.Entry
+	reset          bool   // the snapshot came from the leader: all present entries are deleted
+	bootstrapState []byte // the encoded state with which the log begins
 }
 
 // savedLog is the content of a store when it was opened.
-type loaded struct {
-	seat     uint64
-	founding []byte
-	hard     *pb.HardState
-	snapshot *pb.Snapshot
-	entries  []*pb.Entry
+type savedLog struct {
+	replica        uint64
+	bootstrapState []byte
+	hard           *pb.HardState
+	snapshot       *pb.Snapshot
+	entries        []*pb.Entry
 }
 
 var (
-	bucketMeta = []byte("meta")
-	bucketLog  = []byte("log")
-	keySeat    = []byte("seat")
-	keyHard    = []byte("hard")
-	keySnap    = []byte("snapshot")
-	keyFound   = []byte("founding")
+	bucketMeta        = []byte("meta")
+	bucketLog         = []byte("log")
+	keyReplica        = []byte("seat")
+	keyHardState      = []byte("hard")
+	keySnapshot       = []byte("snapshot")
+	keyBootstrapState = []byte("founding")
 )
 
-var errSum = errors.New("wrong checksum")
+var errChecksum = errors.New("wrong checksum")
 
 // withChecksum returns a record's stored form: a checksum over key and value, 8 bytes,
 // and then the value.
-func sealed(key, value []byte) []byte {
+func withChecksum(key, value []byte) []byte {
 	h := xxh3.New()
 	_, _ = h.Write(key) // never fails
 	_, _ = h.Write(value)
@@ -67,20 +67,20 @@
 }
 
 // verifyChecksum returns a copy of a record's value, or an error wrapping errChecksum.
-func unsealed(key, record []byte) ([]byte, error) {
-	if len(record) < 8 || !bytes.Equal(sealed(key, record[8:]), record) {
-		return nil, fmt.Errorf("%q: %w", key, errSum)
+func verifyChecksum(key, record []byte) ([]byte, error) {
+	if len(record) < 8 || !bytes.Equal(withChecksum(key, record[8:]), record) {
+		return nil, fmt.Errorf("%q: %w", key, errChecksum)
 	}
 	return append([]byte(nil), record[8:]...), nil
 }
 
-const lockTime = 2 * time.Second // another process may still have the file
+const lockTimeout = 2 * time.Second // another process may still have the file
 
 // openStore opens a voter's file, or creates it. A torn or corrupt file is renamed with the
 // suffix ".bad" and replaced by a new one, whose replica ID has never voted; damaged then
 // holds the reason.
-func openStore(path string) (s *store, l loaded, damaged, err error) {
-	s, l, err = tryStore(path)
+func openStore(path string) (s *store, l savedLog, damaged, err error) {
+	s, l, err = tryOpen(path)
 	if err == nil || errors.Is(err, bolterrors.ErrTimeout) {
 		return s, l, nil, err
 	}
@@ -88,12 +88,12 @@
 	if e := os.Rename(path, path+".bad"); e != nil && !errors.Is(e, os.ErrNotExist) {
 		return nil, l, damaged, e
 	}
-	s, l, err = tryStore(path)
+	s, l, err = tryOpen(path)
 	return s, l, damaged, err
 }
 
 // tryOpen opens or creates a voter's file and reads all of it.
-func tryStore(path string) (s *store, l loaded, err error) {
+func tryOpen(path string) (s *store, l savedLog, err error) {
 	// On a torn file the library panics, or faults on a missing page. Both are recovered here,
 	// as everything is read on this goroutine. The library's own check and its search for
 	// free pages run on other goroutines, where they could not be recovered, so neither is used.
@@ -107,16 +107,16 @@
 			s = nil
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTime})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, l, fmt.Errorf("%s: %w", path, err)
 	}
-	s = &store{db: db, path: path, hook: func(string) error { return nil }}
+	s = &store{db: db, path: path, stepHook: func(string) error { return nil }}
 	return s, l, s.load(&l)
 }
 
 // load reads and verifies all records, and draws a replica ID for a new file.
-func (s *store) load(l *loaded) error {
+func (s *store) load(l *savedLog) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 		if err != nil {
@@ -131,7 +131,7 @@
 			if record == nil {
 				return nil
 			}
-			b, err := unsealed(key, record)
+			b, err := verifyChecksum(key, record)
 			if err != nil {
 				return err
 			}
@@ -139,16 +139,16 @@
 		}
 		l.hard, l.snapshot = &pb.HardState{}, &pb.Snapshot{}
 		err = errors.Join(
-			get(keySeat, func(b []byte) error { l.seat = binary.BigEndian.Uint64(append(b, make([]byte, 8)...)); return nil }),
-			get(keyFound, func(b []byte) error { l.founding = b; return nil }),
-			get(keyHard, func(b []byte) error { return proto.Unmarshal(b, l.hard) }),
-			get(keySnap, func(b []byte) error { return proto.Unmarshal(b, l.snapshot) }))
+			get(keyReplica, func(b []byte) error { l.replica = binary.BigEndian.Uint64(append(b, make([]byte, 8)...)); return nil }),
+			get(keyBootstrapState, func(b []byte) error { l.bootstrapState = b; return nil }),
+			get(keyHardState, func(b []byte) error { return proto.Unmarshal(b, l.hard) }),
+			get(keySnapshot, func(b []byte) error { return proto.Unmarshal(b, l.snapshot) }))
 		if err != nil {
 			return err
 		}
 		next := uint64(0)
 		if err := log.ForEach(func(k, v []byte) error {
-			b, err := unsealed(k, v)
+			b, err := verifyChecksum(k, v)
 			if err != nil {
 				return err
 			}
@@ -175,12 +175,12 @@
 		if l.hard.GetCommit() > last {
 			return fmt.Errorf("%d is committed, the log ends at %d", l.hard.GetCommit(), last)
 		}
-		if l.seat == 0 {
+		if l.replica == 0 {
 			if l.hard.GetTerm() > 0 || len(l.entries) > 0 {
 				return errors.New("a log without a replica identifier")
 			}
-			l.seat = rand.Uint64()>>1 | 1
-			return meta.Put(keySeat, sealed(keySeat, binary.BigEndian.AppendUint64(nil, l.seat)))
+			l.replica = rand.Uint64()>>1 | 1
+			return meta.Put(keyReplica, withChecksum(keyReplica, binary.BigEndian.AppendUint64(nil, l.replica)))
 		}
 		return nil
 	})
@@ -196,7 +196,7 @@
 			err = fmt.Errorf("%s: %v", s.path, r)
 		}
 	}()
-	if err := s.hook("begin"); err != nil {
+	if err := s.stepHook("begin"); err != nil {
 		return err
 	}
 	err = s.db.Update(func(tx *bolt.Tx) error {
@@ -206,15 +206,15 @@
 			if err != nil {
 				return err
 			}
-			return meta.Put(key, sealed(key, v))
+			return meta.Put(key, withChecksum(key, v))
 		}
-		if b.founding != nil {
-			if err := meta.Put(keyFound, sealed(keyFound, b.founding)); err != nil {
+		if b.bootstrapState != nil {
+			if err := meta.Put(keyBootstrapState, withChecksum(keyBootstrapState, b.bootstrapState)); err != nil {
 				return err
 			}
 		}
 		if b.snapshot != nil {
-			if err := put(keySnap, b.snapshot); err != nil {
+			if err := put(keySnapshot, b.snapshot); err != nil {
 				return err
 			}
 		}
@@ -239,7 +239,7 @@
 				return err
 			}
 			key := logKey(e.GetIndex())
-			if err := log.Put(key, sealed(key, v)); err != nil {
+			if err := log.Put(key, withChecksum(key, v)); err != nil {
 				return err
 			}
 		}
@@ -253,16 +253,16 @@
 			}
 		}
 		if b.hard != nil && !raft.IsEmptyHardState(b.hard) {
-			if err := put(keyHard, b.hard); err != nil {
+			if err := put(keyHardState, b.hard); err != nil {
 				return err
 			}
 		}
-		return s.hook("commit")
+		return s.stepHook("commit")
 	})
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
 	}
-	return s.hook("done")
+	return s.stepHook("done")
 }
 
 // Close closes the file.
--- a/internal/fleet/accord/store_test.go
+++ b/internal/fleet/accord/store_test.go
@@ -29,7 +29,7 @@
 	return &pb.Snapshot{Data: []byte(`{}`), Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: []uint64{7}}}}
 }
 
-func opened(t *testing.T, path string) (*store, loaded) {
+func mustOpenStore(t *testing.T, path string) (*store, savedLog) {
 	t.Helper()
 	s, l, damaged, err := openStore(path)
 	if err != nil || damaged != nil {
@@ -38,58 +38,58 @@
 	return s, l
 }
 
-func texts(l loaded) (list []string) {
+func entryTexts(l savedLog) (list []string) {
 	for _, e := range l.entries {
 		list = append(list, fmt.Sprint(e.GetIndex(), " ", string(e.GetData())))
 	}
 	return list
 }
 
-func TestAStoreIsFoundAsItWas(t *testing.T) {
+func TestStoreRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
-	s, l := opened(t, path)
-	seat := l.seat
+	s, l := mustOpenStore(t, path)
+	replica := l.replica
 	save := func(b batch) {
 		t.Helper()
 		if err := s.Save(b); err != nil {
 			t.Fatal(err)
 		}
 	}
-	save(batch{hard: hardAt(1, 1), snapshot: snapAt(1), founding: []byte("f")})
+	save(batch{hard: hardAt(1, 1), snapshot: snapAt(1), bootstrapState: []byte("f")})
 	save(batch{entries: []*pb.Entry{entryAt(2, 1, "a"), entryAt(3, 1, "b"), entryAt(4, 1, "c")}})
 	save(batch{hard: hardAt(2, 3), entries: []*pb.Entry{entryAt(4, 2, "d")}}) // from another leader
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s, l = opened(t, path)
-	if l.seat != seat || seat == 0 || string(l.founding) != "f" || l.hard.GetTerm() != 2 || l.hard.GetCommit() != 3 {
+	s, l = mustOpenStore(t, path)
+	if l.replica != replica || replica == 0 || string(l.bootstrapState) != "f" || l.hard.GetTerm() != 2 || l.hard.GetCommit() != 3 {
 		t.Errorf("%+v", l)
 	}
-	if diff := cmp.Diff([]string{"2 a", "3 b", "4 d"}, texts(l)); diff != "" {
+	if diff := cmp.Diff([]string{"2 a", "3 b", "4 d"}, entryTexts(l)); diff != "" {
 		t.Error(diff)
 	}
 	save(batch{snapshot: snapAt(3)})
 	_ = s.Close()
-	s, l = opened(t, path)
-	if diff := cmp.Diff([]string{"4 d"}, texts(l)); diff != "" {
+	s, l = mustOpenStore(t, path)
+	if diff := cmp.Diff([]string{"4 d"}, entryTexts(l)); diff != "" {
 		t.Error(diff)
 	}
 	save(batch{snapshot: snapAt(9), hard: hardAt(3, 9), reset: true}) // from the leader
 	_ = s.Close()
-	s, l = opened(t, path)
+	s, l = mustOpenStore(t, path)
 	if len(l.entries) != 0 || l.snapshot.GetMetadata().GetIndex() != 9 {
-		t.Errorf("%v, %v", texts(l), l.snapshot)
+		t.Errorf("%v, %v", entryTexts(l), l.snapshot)
 	}
 	_ = s.Close()
 }
 
 // TestDamagedStoreIsSetAside changes random bytes of the file, or truncates it. Opening it has
 // to return the log as it was, or a new replica that has never voted.
-func TestADamagedStoreIsSetAside(t *testing.T) {
+func TestDamagedStoreIsSetAside(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log.db")
-	s, l := opened(t, path)
-	seat := l.seat
+	s, l := mustOpenStore(t, path)
+	replica := l.replica
 	var want []string
 	for i := uint64(2); i < 40; i++ {
 		if err := s.Save(batch{hard: hardAt(1, i-1), snapshot: nil, entries: []*pb.Entry{entryAt(i, 1, strings.Repeat("x", 200))}}); err != nil {
@@ -100,8 +100,8 @@
 		t.Fatal(err)
 	}
 	_ = s.Close()
-	s, l = opened(t, path)
-	want = texts(l)
+	s, l = mustOpenStore(t, path)
+	want = entryTexts(l)
 	_ = s.Close()
 	sound, err := os.ReadFile(path)
 	if err != nil {
@@ -128,13 +128,13 @@
 		switch {
 		case damaged != nil:
 			aside++
-			if l.seat == seat || len(l.entries) != 0 || l.hard.GetTerm() != 0 {
-				t.Errorf("damage %d: %v, and yet the replica is the old one: %v", i, damaged, texts(l))
+			if l.replica == replica || len(l.entries) != 0 || l.hard.GetTerm() != 0 {
+				t.Errorf("damage %d: %v, and yet the replica is the old one: %v", i, damaged, entryTexts(l))
 			}
-		case l.seat != seat || l.hard.GetTerm() != 1:
+		case l.replica != replica || l.hard.GetTerm() != 1:
 			t.Errorf("damage %d: not detected: %+v", i, l)
 		default:
-			if diff := cmp.Diff(want, texts(l)); diff != "" {
+			if diff := cmp.Diff(want, entryTexts(l)); diff != "" {
 				t.Errorf("damage %d: not detected: %s", i, diff)
 			}
 		}
@@ -148,14 +148,14 @@
 
 // TestKilledAtEveryStep runs the store in a process that is killed at each step of its writes
 // in turn. What the process had reported as written has to be there.
-func TestKilledAtEveryBoundary(t *testing.T) {
+func TestKilledAtEveryStep(t *testing.T) {
 	if path := os.Getenv("KITELOFT_STORE"); path != "" {
 		writeUntilKilled(path)
 		return
 	}
 	for at := range 24 {
 		path := filepath.Join(t.TempDir(), "log.db")
-		cmd := exec.Command(os.Args[0], "-test.run=TestKilledAtEveryBoundary")
+		cmd := exec.Command(os.Args[0], "-test.run=TestKilledAtEveryStep")
 		cmd.Env = append(os.Environ(), "KITELOFT_STORE="+path, "KITELOFT_KILL="+strconv.Itoa(at))
 		out, err := cmd.Output()
 		var exit *exec.ExitError
@@ -168,7 +168,7 @@
 				t.Fatalf("%q: %v", line, err)
 			}
 		}
-		s, l := opened(t, path)
+		s, l := mustOpenStore(t, path)
 		last := l.hard.GetCommit() + 1
 		if n := len(l.entries); n > 0 {
 			last = l.entries[n-1].GetIndex()
@@ -192,7 +192,7 @@
 	if err := s.Save(batch{snapshot: snapAt(1)}); err != nil {
 		panic(err)
 	}
-	s.hook = func(string) error {
+	s.stepHook = func(string) error {
 		if at == 0 {
 			p, _ := os.FindProcess(os.Getpid()) // never fails on Unix
 			_ = p.Kill()
--- a/internal/fleet/accord/word_test.go
+++ b/internal/fleet/accord/word_test.go
@@ -7,33 +7,33 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func sampleWord() word {
-	return word{kind: kindGrant, id: 9, who: "n4", seat: 1 << 60, stage: 3, left: 1234 * time.Microsecond, number: 7, why: "because", leader: "n1",
+func sampleMessage() message {
+	return message{kind: kindLeaseGrant, id: 9, requester: "n4", replica: 1 << 60, revision: 3, ttl: 1234 * time.Microsecond, refusedVersion: 7, reason: "because", leader: "n1",
 		flag: true, body: []byte(`{"stage":3}`), members: []string{"n0", "n1"}}
 }
 
-func TestAWordIsReadAsItWasSaid(t *testing.T) {
-	got, err := decode(sampleWord().encode())
+func TestMessageRoundTrip(t *testing.T) {
+	got, err := decodeMessage(sampleMessage().encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(sampleWord(), got, cmp.AllowUnexported(word{})); diff != "" {
+	if diff := cmp.Diff(sampleMessage(), got, cmp.AllowUnexported(message{})); diff != "" {
 		t.Error(diff)
 	}
-	if _, err := decode(nil); err == nil {
+	if _, err := decodeMessage(nil); err == nil {
 		t.Error("an empty message was accepted")
 	}
 }
 
-func FuzzWord(f *testing.F) {
-	f.Add(sampleWord().encode())
+func FuzzMessage(f *testing.F) {
+	f.Add(sampleMessage().encode())
 	f.Add([]byte{0x08, 0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w, err := decode(b)
+		w, err := decodeMessage(b)
 		if err != nil {
 			return
 		}
-		again, err := decode(w.encode())
+		again, err := decodeMessage(w.encode())
 		if err != nil {
 			t.Fatalf("a decoded message can't be decoded again after encoding: %v", err)
 		}
--- a/internal/fleet/version/grant.go
+++ b/internal/fleet/version/grant.go
@@ -57,9 +57,9 @@
 	revisionSince time.Duration
 }
 
-// NewGranter returns the Granter of a mixer that has led since began. It does not know the
-// leases that earlier leaders granted, so it waits until these must have expired. Trial is
-// how long the canaries of a version must keep their leases with it.
+// NewGranter returns the Granter of a mixer that has led since leadingSince. It does not
+// know the leases that earlier leaders granted, so it waits until these must have expired.
+// TrialDuration is how long the canaries of a version must keep their leases with it.
 func NewGranter(leaseDuration, trialDuration, leadingSince time.Duration) *Granter {
 	return &Granter{leaseDuration: leaseDuration, trialDuration: trialDuration, leadingSince: leadingSince, holders: map[string]*Holder{}}
 }
--- a/internal/fleet/version/state.go
+++ b/internal/fleet/version/state.go
@@ -14,7 +14,8 @@
 type Phase uint8
 
 // The phases of a rollout. In every phase each mixer's rules stay within those of the
-// version in force and, from PhaseSettle on, also within those of the other version.
+// version in force. A mixer that has reached PhaseSettle or PhaseRollback also stays within
+// those of the other version.
 const (
 	PhaseSteady   Phase = iota // all mixers use the version in force
 	PhaseTrial                 // the canaries (a tenth) use the most restrictive of both; all others use the old version, which is in force
