--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -40,7 +40,7 @@
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
 	t := &team{link: f}
-	if cfg.Lists {
+	if cfg.ShareLists {
 		t.roll = roll.New(core, topic{f, aboutLists}, dir, cfg.Name, cfg.Settings.Zones, cfg.Seed, log)
 		dir.Filter = t.roll.Filter
 		core.Attach(nodes, t.roll)
--- a/cmd/kiteloft/main.go
+++ b/cmd/kiteloft/main.go
@@ -205,7 +205,7 @@
 
 // reload follows a new configuration and returns what holds from now.
 func reload(old, cfg config.Config, move func(addr string), log zerolog.Logger) config.Config {
-	for _, key := range old.Fixed(cfg) {
+	for _, key := range old.RestartOnlyChanges(cfg) {
 		log.Warn().Str("key", key).Msg("changed key takes effect at the next start")
 	}
 	log.Info().Str("discovery", cfg.Discovery).Msg("configuration read again")
@@ -289,7 +289,7 @@
 		}
 		links.Start()
 		count.start()
-		dir.Start(cfg.Known)
+		dir.Start(cfg.KnownNodes)
 		if fleet != nil {
 			fleet.Listed()
 		}
@@ -299,7 +299,7 @@
 			front.Ready()
 		}
 	})
-	log.Info().Str("listen", ln.Addr().String()).Int("nodes", len(cfg.Known.Members)).Msg("mixer serves")
+	log.Info().Str("listen", ln.Addr().String()).Int("nodes", len(cfg.KnownNodes.Members)).Msg("mixer serves")
 
 	go func() {
 		r := reloads{held: cfg, getenv: getenv, log: log, move: func(addr string) { core.Post(func() { dir.ChangeAddress(addr) }) }}
@@ -321,7 +321,7 @@
 		return failed
 	}
 	all, asked := core.Audit(), front.Audit()
-	log.Info().Int64("taken", all.Taken).Int64("ended", all.Ended).Int64("violations", all.Violations).Int64("asked", asked.Asked).Int64("answered", asked.Answered).
-		Int64("deserted", asked.Deserted).Msg("mixer has ended")
+	log.Info().Int64("taken", all.Taken).Int64("ended", all.Ended).Int64("violations", all.Violations).Int64("asked", asked.Received).Int64("answered", asked.Answered).
+		Int64("deserted", asked.Abandoned).Msg("mixer has ended")
 	return nil
 }
--- a/cmd/kiteloft/traces.go
+++ b/cmd/kiteloft/traces.go
@@ -47,7 +47,7 @@
 	if t.Directory != "" {
 		var err error
 		name := fmt.Sprintf("%s-%d", cfg.Name, time.Now().UnixMilli())
-		if disk, err = segments.NewWriter(t.Directory, name, int64(t.SegmentMB)<<20, t.MostOfThem); err != nil {
+		if disk, err = segments.NewWriter(t.Directory, name, int64(t.SegmentMB)<<20, t.MaxSegments); err != nil {
 			return nil, fmt.Errorf("tracing.directory: %w", err)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,15 +25,15 @@
 
 // Config is all that the mixer is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int64
-	Sockets   int
-	Known     discovery.List
-	Settings  settings.Settings
+	Name       string
+	Listen     string
+	Discovery  string
+	Seed       uint64
+	Cores      float64
+	MemoryMB   int64
+	Sockets    int
+	KnownNodes discovery.List
+	Settings   settings.Settings
 
 	FlightListen   string // "": no Arrow Flight front
 	IPFIXCollector string // "": no export of flows
@@ -41,18 +41,18 @@
 	Fleet          *link.Config   // nil: this mixer knows of no others
 	Accord         *accord.Config // nil: they agree on no settings
 	LeaveZones     bool           // they leave zones that fail, and return, by what all see
-	Lists          bool           // they tell each other what discovery told them
+	ShareLists     bool           // they tell each other what discovery told them
 }
 
 // Tracing says what becomes of traces. Without a collector and a directory, none are
 // recorded.
 type Tracing struct {
-	Collector  string // URL of a collector that takes OTLP over HTTP; "": none
-	Directory  string // of segment files; "": none
-	MemoryKB   int    // that traces held may take, about
-	Spans      float64
-	SegmentMB  int // size of a segment file
-	MostOfThem int // segment files that are left in the directory
+	Collector   string // URL of a collector that takes OTLP over HTTP; "": none
+	Directory   string // of segment files; "": none
+	MemoryKB    int    // that traces held may take, about
+	Spans       float64
+	SegmentMB   int // size of a segment file
+	MaxSegments int // segment files that are left in the directory
 }
 
 // On reports whether traces are recorded.
@@ -73,9 +73,9 @@
 	defaultSegments = 32
 )
 
-// Fixed names the keys in which the new configuration differs though they hold
+// RestartOnlyChanges names the keys in which the new configuration differs though they hold
 // from one start to the next.
-func (c Config) Fixed(next Config) (keys []string) {
+func (c Config) RestartOnlyChanges(next Config) (keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
@@ -84,7 +84,7 @@
 		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 		{"flight.listen", c.FlightListen == next.FlightListen}, {"ipfix.collector", c.IPFIXCollector == next.IPFIXCollector},
-		{"tracing", c.Tracing == next.Tracing}, {"fleet", reflect.DeepEqual(c.Fleet, next.Fleet) && c.Lists == next.Lists}, {"fleet.accord", sameAccord(c.Accord, next.Accord) && c.LeaveZones == next.LeaveZones},
+		{"tracing", c.Tracing == next.Tracing}, {"fleet", reflect.DeepEqual(c.Fleet, next.Fleet) && c.ShareLists == next.ShareLists}, {"fleet.accord", sameAccord(c.Accord, next.Accord) && c.LeaveZones == next.LeaveZones},
 	} {
 		if !k.same {
 			keys = append(keys, k.name)
@@ -104,8 +104,8 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  float64 `json:"sockets"`
 	} `json:"limits"`
-	Known    jsoniter.RawMessage `json:"known"`
-	Settings jsoniter.RawMessage `json:"settings"`
+	KnownNodes jsoniter.RawMessage `json:"known"`
+	Settings   jsoniter.RawMessage `json:"settings"`
 }
 
 // broker is deploy/broker.toml's.
@@ -211,12 +211,12 @@
 	if len(c.Settings.Module.Classes) == 0 {
 		return c, errors.New("settings.classes: missing")
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		if c.Known, err = discovery.Parse(f.Known); err != nil {
+	if len(f.KnownNodes) > 0 && string(f.KnownNodes) != "null" {
+		if c.KnownNodes, err = discovery.Parse(f.KnownNodes); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Known.Complete = true // all that this mixer knows
+	c.KnownNodes.Complete = true // all that this mixer knows
 	return c, nil
 }
 
@@ -252,7 +252,7 @@
 func (c *Config) readTracing(path string, b *broker) error {
 	t := &b.Tracing
 	c.Tracing = Tracing{Collector: t.Collector, Directory: t.Directory, MemoryKB: cmp.Or(t.MemoryKB, defaultTraceKB),
-		Spans: cmp.Or(t.Spans, defaultSpans), SegmentMB: cmp.Or(t.SegmentMB, defaultSegment), MostOfThem: cmp.Or(t.Segments, defaultSegments)}
+		Spans: cmp.Or(t.Spans, defaultSpans), SegmentMB: cmp.Or(t.SegmentMB, defaultSegment), MaxSegments: cmp.Or(t.Segments, defaultSegments)}
 	if t.Collector != "" {
 		u, err := url.Parse(t.Collector)
 		if err == nil && (u.Scheme != "http" || u.Path == "" || u.User != nil) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n4" || c.Listen != "127.0.0.1:8000" || c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 ||
-		c.Known.Revision != 41 || len(c.Known.Members) != 1 || c.FlightListen != "127.0.0.1:8815" || c.IPFIXCollector != "" {
+		c.KnownNodes.Revision != 41 || len(c.KnownNodes.Members) != 1 || c.FlightListen != "127.0.0.1:8815" || c.IPFIXCollector != "" {
 		t.Errorf("%+v", c)
 	}
 	c, err = load(t, strings.Replace(sound, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1), "", nil)
@@ -93,7 +93,7 @@
 		t.Errorf("%+v, %v; want traces off", c.Tracing, err)
 	}
 	c, err = load(t, sound, "[tracing]\ndirectory = \"/tmp/x\"\nspans_per_second = 50.0\n", nil)
-	want := Tracing{Directory: "/tmp/x", MemoryKB: defaultTraceKB, Spans: 50, SegmentMB: defaultSegment, MostOfThem: defaultSegments}
+	want := Tracing{Directory: "/tmp/x", MemoryKB: defaultTraceKB, Spans: 50, SegmentMB: defaultSegment, MaxSegments: defaultSegments}
 	if err != nil || c.Tracing != want || !c.Tracing.On() {
 		t.Errorf("%+v, %v; want %+v", c.Tracing, err, want)
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -25,8 +25,8 @@
 	return slices.Equal(a.Voters, b.Voters) && a.Directory == b.Directory && a.LeaseDuration == b.LeaseDuration && a.TrialDuration == b.TrialDuration
 }
 
-// Base is what a mixer's own settings say of what a document may change.
-func Base(set settings.Settings) version.Rules {
+// BaseRules is what a mixer's own settings say of what a document may change.
+func BaseRules(set settings.Settings) version.Rules {
 	m := set.Module
 	r := version.Rules{Attempts: m.MaxAttempts, Copies: m.CopiesAllowed, RetryBudgetRatio: m.RetryBudgetRatio, RetryBudgetBase: m.RetryBudgetBase, ColdShare: 1,
 		MaxOpen: m.MaxOpen, Allowances: map[string]float64{}, StormRetries: storm.Usual.Retries, StormGood: storm.Usual.Good}
@@ -45,7 +45,7 @@
 // Document reads a document of agreed settings as a mixer with these settings acts on it.
 // The empty text is no document. An error names the key.
 func Document(text string, set settings.Settings) (version.Rules, error) {
-	base := Base(set)
+	base := BaseRules(set)
 	if text == "" {
 		return version.Document{}.ApplyTo(base), nil
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,19 +13,19 @@
 
 // fleet is the table of the talk among mixers.
 type fleet struct {
-	Name     string            `toml:"name"`
-	Listen   string            `toml:"listen"`
-	Announce string            `toml:"announce"`
-	KeyFile  string            `toml:"key_file"`
-	Zone     string            `toml:"zone"`
-	Seeds    []string          `toml:"seeds"`
-	Via      map[string]string `toml:"via"`
-	Snapshot string            `toml:"snapshot"`
-	PeriodMS int               `toml:"period_ms"`
-	ForgetS  int               `toml:"forget_s"`
-	Expected int               `toml:"expected"`
-	Lists    bool              `toml:"lists"`
-	Accord   struct {
+	Name       string            `toml:"name"`
+	Listen     string            `toml:"listen"`
+	Announce   string            `toml:"announce"`
+	KeyFile    string            `toml:"key_file"`
+	Zone       string            `toml:"zone"`
+	Seeds      []string          `toml:"seeds"`
+	Via        map[string]string `toml:"via"`
+	Snapshot   string            `toml:"snapshot"`
+	PeriodMS   int               `toml:"period_ms"`
+	ForgetS    int               `toml:"forget_s"`
+	Expected   int               `toml:"expected"`
+	ShareLists bool              `toml:"lists"`
+	Accord     struct {
 		Voters    []string `toml:"voters"`
 		Directory string   `toml:"directory"`
 		LeaseMS   int      `toml:"lease_ms"`
@@ -109,7 +109,7 @@
 	c.Fleet = &link.Config{Fleet: f.Name, ID: c.Name, Zone: zone, Listen: f.Listen, Announce: f.Announce, Keys: keys, Seeds: f.Seeds, Via: f.Via,
 		Snapshot: f.Snapshot, Period: time.Duration(period) * time.Millisecond, Forget: time.Duration(forget) * time.Second,
 		Expected: expected, Seed: c.Seed}
-	c.Lists = f.Lists
+	c.ShareLists = f.ShareLists
 	return c.readAccord(path, f, bad)
 }
 
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -48,7 +48,7 @@
 	set     []decide.Class
 	log     zerolog.Logger
 	bad     zerolog.Logger // lines on malformed calls
-	room    front.Room
+	room    front.ConnectionLimit
 	rng     *rand.Rand
 	schema  []byte
 	clients map[*client]struct{}
@@ -56,12 +56,12 @@
 }
 
 // New returns a Front for the classes. Seed is for the ids that it gives.
-func New(core front.Core, classes []decide.Class, room front.Room, seed uint64, log zerolog.Logger) (*Front, error) {
+func New(core front.Core, classes []decide.Class, room front.ConnectionLimit, seed uint64, log zerolog.Logger) (*Front, error) {
 	schema, err := columns.SchemaBytes()
 	if err != nil {
 		return nil, err
 	}
-	return &Front{core: core, classes: front.Classes(classes), set: classes, room: room, log: log, bad: front.Sampled(log), schema: schema,
+	return &Front{core: core, classes: front.ClassIndexes(classes), set: classes, room: room, log: log, bad: front.Sampled(log), schema: schema,
 		rng: rand.New(rand.NewPCG(seed, 1)), clients: map[*client]struct{}{}}, nil
 }
 
@@ -69,7 +69,7 @@
 func (f *Front) Clients() int { return len(f.clients) }
 
 // Start begins to look after connections.
-func (f *Front) Start() { f.core.After(front.SweepPace, f.sweep) }
+func (f *Front) Start() { f.core.After(front.SweepInterval, f.sweep) }
 
 // client is one connection.
 type client struct {
@@ -124,7 +124,7 @@
 // end closes the connection once what was written has had its time to arrive.
 func (c *client) end() {
 	if c.endBy == 0 {
-		c.endBy = c.f.core.Now() + front.LingerTime
+		c.endBy = c.f.core.Now() + front.LingerTimeout
 		for k := range c.calls {
 			c.forget(k)
 		}
@@ -259,7 +259,7 @@
 	f := k.c.f
 	q, err := f.parse(text)
 	if err == nil {
-		err = front.CheckKey(k.key, &f.set[q.Class], &q)
+		err = front.ApplyIdempotencyKey(k.key, &f.set[q.Class], &q)
 	}
 	q.Tenant, q.Left = front.NoTenant, f.set[q.Class].Deadline
 	if err == nil && k.timeout != "" {
@@ -275,17 +275,17 @@
 		return
 	}
 	id := strconv.FormatUint(f.rng.Uint64(), 16)
-	q.WireID = front.OwnPrefix + strings.Repeat("0", 16-len(id)) + id
+	q.WireID = front.GeneratedIDPrefix + strings.Repeat("0", 16-len(id)) + id
 	q.Repeat, q.Responder, q.Front, q.Context = k.again, k, "flight", k.context
 	switch verdict, handle := f.core.Admit(q); verdict {
 	case broker.Taken:
 		k.handle = handle
 	case broker.Crowded:
-		k.status(h2.Status{Code: codes.Unavailable, Message: "too much is open", Pushback: front.CrowdedWait})
+		k.status(h2.Status{Code: codes.Unavailable, Message: "too much is open", Pushback: front.OverloadRetryAfter})
 	case broker.ShuttingDown:
-		k.status(h2.Status{Code: codes.Unavailable, Message: "the mixer ends", Pushback: front.CrowdedWait})
+		k.status(h2.Status{Code: codes.Unavailable, Message: "the mixer ends", Pushback: front.OverloadRetryAfter})
 	case broker.Duplicate: // an id drawn twice
-		k.status(h2.Status{Code: codes.Unavailable, Message: "try again", Pushback: front.CrowdedWait})
+		k.status(h2.Status{Code: codes.Unavailable, Message: "try again", Pushback: front.OverloadRetryAfter})
 	default:
 		k.malformed(errors.New("parts that can't be"))
 	}
@@ -382,7 +382,7 @@
 
 // sweep looks after calls and connections that no event comes for.
 func (f *Front) sweep() {
-	now, keep := f.core.Now(), front.Keep(f.room)
+	now, keep := f.core.Now(), front.IdleTimeout(f.room)
 	for c := range f.clients {
 		c.conn.CloseIfReset()
 		for k := range c.calls {
@@ -393,7 +393,7 @@
 				// Guards memory against a client that does not take its answer.
 				k.s.Reset(http2.ErrCodeCancel)
 				delete(c.calls, k)
-			case !k.done && k.handle == nil && now-k.begun > front.BeginTime:
+			case !k.done && k.handle == nil && now-k.begun > front.RequestReadTimeout:
 				// Guards streams against calls that begin and never end.
 				k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
 			}
@@ -404,13 +404,13 @@
 			c.conn.Close(transport.LocalDone)
 		case c.endBy > 0 && now > c.endBy:
 			c.conn.Close(transport.BadInput)
-		case rests && !c.asked && now-c.used > front.BeginTime, rests && now-c.used > keep:
+		case rests && !c.asked && now-c.used > front.RequestReadTimeout, rests && now-c.used > keep:
 			// Guards descriptors against clients that keep what they don't use.
 			c.h2.GoAway()
 			c.conn.Close(transport.LocalIdle)
 		}
 	}
-	f.core.After(front.SweepPace, f.sweep)
+	f.core.After(front.SweepInterval, f.sweep)
 }
 
 // Stop lets clients open no new calls and closes each connection once it rests.
--- a/internal/front/platform/evidence.go
+++ b/internal/front/platform/evidence.go
@@ -23,7 +23,7 @@
 	id, _, _ := bytes.Cut(b[i+len(idField):], []byte("\r"))
 	now := c.f.core.Now()
 	c.f.bad.Info().Bytes("id", bytes.TrimSpace(id[:min(len(id), 64)])).Dur("rested_ms", now-c.rest).
-		Dur("closing_ms", now-(c.endBy-front.LingerTime)).Msg("request came on a connection that is closing")
+		Dur("closing_ms", now-(c.endBy-front.LingerTimeout)).Msg("request came on a connection that is closing")
 }
 
 // left notes that a connection ended with a query open on it, or just under an answer.
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -37,7 +37,7 @@
 	set     []decide.Class
 	bad     zerolog.Logger // lines on malformed requests
 	clients map[*client]struct{}
-	room    front.Room
+	room    front.ConnectionLimit
 	closing bool
 	ready   bool
 	audit   Audit
@@ -45,7 +45,7 @@
 
 // Audit counts over the life of the mixer: each request that was read whole is answered,
 // unless its client has gone.
-type Audit struct{ Asked, Answered, Deserted int64 }
+type Audit struct{ Received, Answered, Abandoned int64 }
 
 // Audit tells what was asked, and what became of it.
 func (f *Front) Audit() Audit { return f.audit }
@@ -58,14 +58,14 @@
 
 // New returns a Front for the classes and tenants. It answers that it is ready once
 // Ready is called.
-func New(core front.Core, classes []decide.Class, tenants []decide.Tenant, room front.Room, log zerolog.Logger) *Front {
-	return &Front{core: core, room: room, classes: front.Classes(classes), tenants: front.Tenants(tenants), set: classes, bad: front.Sampled(log), clients: map[*client]struct{}{}}
+func New(core front.Core, classes []decide.Class, tenants []decide.Tenant, room front.ConnectionLimit, log zerolog.Logger) *Front {
+	return &Front{core: core, room: room, classes: front.ClassIndexes(classes), tenants: front.TenantIndexes(tenants), set: classes, bad: front.Sampled(log), clients: map[*client]struct{}{}}
 }
 
 // Ready lets health checks pass and starts to look after connections.
 func (f *Front) Ready() {
 	f.ready = true
-	f.core.After(front.SweepPace, f.sweep)
+	f.core.After(front.SweepInterval, f.sweep)
 }
 
 // client is one connection and its requests, answered one after another.
@@ -179,7 +179,7 @@
 			return
 		}
 		c.begun, c.served = 0, true
-		c.f.audit.Asked++
+		c.f.audit.Received++
 		c.serve(m, at)
 	}
 	c.hurry()
@@ -191,7 +191,7 @@
 		status, why = e.Status, e.Reason
 	}
 	c.f.bad.Info().Int("status", status).Str("why", why).Msg("request refused as malformed")
-	c.f.audit.Asked++ // it has an answer, too
+	c.f.audit.Received++ // it has an answer, too
 	c.reply(status, "text/plain", []byte(why+"\n"), 0, true)
 }
 
@@ -237,9 +237,9 @@
 		r.handle = handle
 		c.open = r
 	case broker.Crowded:
-		c.reply(503, "text/plain", []byte("too much is open\n"), front.CrowdedWait, m.Close)
+		c.reply(503, "text/plain", []byte("too much is open\n"), front.OverloadRetryAfter, m.Close)
 	case broker.ShuttingDown:
-		c.reply(503, "text/plain", []byte("the mixer ends\n"), front.CrowdedWait, m.Close)
+		c.reply(503, "text/plain", []byte("the mixer ends\n"), front.OverloadRetryAfter, m.Close)
 	case broker.Duplicate:
 		text(400, "a request of that id is open")
 	default:
@@ -261,7 +261,7 @@
 		return q, 404, "no such class"
 	}
 	id := m.Header.Get("req-id")
-	if !front.Word(id) || strings.HasPrefix(id, front.OwnPrefix) {
+	if !front.ValidIdentifier(id) || strings.HasPrefix(id, front.GeneratedIDPrefix) {
 		return q, 400, "Req-Id is missing or no word"
 	}
 	left, ok := deadline(m)
@@ -274,7 +274,7 @@
 		q.Tenant = n
 	}
 	q.Context = tracing.ReadContext(m.Header.Get("traceparent"), m.Header.Get("tracestate"))
-	if err := front.CheckKey(m.Header.Get("idempotency-key"), &f.set[class], &q); err != nil {
+	if err := front.ApplyIdempotencyKey(m.Header.Get("idempotency-key"), &f.set[class], &q); err != nil {
 		return q, 400, err.Error()
 	}
 	if err := front.ParseBody(m.Body, &q); err != nil {
@@ -374,7 +374,7 @@
 	if c.closing {
 		return
 	}
-	c.closing, c.endBy = true, c.f.core.Now()+front.LingerTime
+	c.closing, c.endBy = true, c.f.core.Now()+front.LingerTimeout
 	c.parser, c.arrived, c.behind = http1.NewRequestParser(), arrivals{}, nil // what came in holds no memory any more
 	c.conn.Finish(transport.LocalDone)
 }
@@ -403,7 +403,7 @@
 	c.closing = true
 	if r := c.open; r != nil {
 		c.open = nil
-		c.f.audit.Deserted++
+		c.f.audit.Abandoned++
 		r.handle.ClientGone()
 	}
 }
@@ -424,7 +424,7 @@
 
 // sweep looks after connections that no event comes for.
 func (f *Front) sweep() {
-	now, keep := f.core.Now(), front.Keep(f.room)
+	now, keep := f.core.Now(), front.IdleTimeout(f.room)
 	for c := range f.clients {
 		rests := c.rests()
 		switch {
@@ -433,10 +433,10 @@
 				c.conn.Close(transport.LocalDone)
 			}
 		case c.open != nil:
-		case !c.served && rests && now-c.rest > front.BeginTime && c.mayEnd():
+		case !c.served && rests && now-c.rest > front.RequestReadTimeout && c.mayEnd():
 			// Guards descriptors against clients that connect and say nothing.
 			c.end()
-		case !rests && c.begun > 0 && now-c.begun > front.BeginTime:
+		case !rests && c.begun > 0 && now-c.begun > front.RequestReadTimeout:
 			// And against those that begin a request and never end it. One that came behind
 			// another has not been looked at yet: it has no beginning.
 			c.malformed(&http1.Error{Status: 408, Reason: "the request was not whole in time"})
@@ -444,7 +444,7 @@
 			c.end()
 		}
 	}
-	f.core.After(front.SweepPace, f.sweep)
+	f.core.After(front.SweepInterval, f.sweep)
 }
 
 // Stop answers what is open and closes each connection once it rests.
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -102,7 +102,7 @@
 			do   func(d *desk, f *Front, c *client)
 		}{
 			{"it rests for too long", func(d *desk, _ *Front, c *client) { c.served = true; d.pass(time.Hour) }},
-			{"it has said nothing", func(d *desk, _ *Front, _ *client) { d.pass(front.BeginTime + time.Second) }},
+			{"it has said nothing", func(d *desk, _ *Front, _ *client) { d.pass(front.RequestReadTimeout + time.Second) }},
 			{"the mixer ends", func(d *desk, f *Front, c *client) { c.served = true; f.Stop(); d.pass(time.Second) }},
 			{"room is made for another", func(_ *desk, f *Front, _ *client) { f.makeRoom() }},
 		}
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -22,13 +22,13 @@
 	massSlack = 0.01 // by how much written shares may miss 1 for rounding
 	maxParts  = 4096
 	maxWord   = 128
-	// OwnPrefix begins the ids of queries that come without one. A client's id may
+	// GeneratedIDPrefix begins the ids of queries that come without one. A client's id may
 	// not begin so: ids of different fronts can't collide.
-	OwnPrefix = "fl-"
+	GeneratedIDPrefix = "fl-"
 )
 
-// CrowdedWait is how long a client is told to stay away when too much is open.
-const CrowdedWait = 250 * time.Millisecond
+// OverloadRetryAfter is how long a client is told to stay away when too much is open.
+const OverloadRetryAfter = 250 * time.Millisecond
 
 // Core is what a front needs of the core.
 type Core interface {
@@ -54,15 +54,15 @@
 	Finish(e transport.End)
 }
 
-// Room tells of the connections that may be open.
-type Room interface {
+// ConnectionLimit tells of the connections that may be open.
+type ConnectionLimit interface {
 	Crowded() bool // there is hardly room for more
 	Busy() bool    // half of them are
 }
 
-// Keep is how long a connection may rest between requests: less while descriptors
+// IdleTimeout is how long a connection may rest between requests: less while descriptors
 // get fewer.
-func Keep(r Room) time.Duration {
+func IdleTimeout(r ConnectionLimit) time.Duration {
 	if r.Busy() {
 		return busyTime
 	}
@@ -72,13 +72,13 @@
 const (
 	keepTime = 30 * time.Second
 	busyTime = 2 * time.Second
-	// SweepPace is how often a front looks after connections that no event comes for.
-	SweepPace = 250 * time.Millisecond
-	// BeginTime is by when a client has to have said what it wants: after it
+	// SweepInterval is how often a front looks after connections that no event comes for.
+	SweepInterval = 250 * time.Millisecond
+	// RequestReadTimeout is by when a client has to have said what it wants: after it
 	// connected, and after it began.
-	BeginTime = 2 * time.Second
-	// LingerTime is how long a client gets to take our last words and leave.
-	LingerTime = 5 * time.Second
+	RequestReadTimeout = 2 * time.Second
+	// LingerTimeout is how long a client gets to take our last words and leave.
+	LingerTimeout = 5 * time.Second
 	// ResetWait is by when a client that has closed answers what is sent with a reset.
 	ResetWait = 20 * time.Millisecond
 )
@@ -120,11 +120,11 @@
 	return nil
 }
 
-// CheckKey checks an idempotency key; it stands in a frame's list. Only keyed
+// ApplyIdempotencyKey checks an idempotency key; it stands in a frame's list. Only keyed
 // classes keep it.
-func CheckKey(key string, c *decide.Class, q *broker.Query) error {
+func ApplyIdempotencyKey(key string, c *decide.Class, q *broker.Query) error {
 	switch {
-	case key != "" && (!Word(key) || strings.ContainsAny(key, ",=+")):
+	case key != "" && (!ValidIdentifier(key) || strings.ContainsAny(key, ",=+")):
 		return errors.New("the idempotency key is no word")
 	case c.Idempotency != decide.Deduplicated:
 		return nil
@@ -140,8 +140,8 @@
 	return log.Sample(&zerolog.BurstSampler{Burst: 10, Period: time.Second})
 }
 
-// Word tells whether s can stand in a frame's line.
-func Word(s string) bool {
+// ValidIdentifier tells whether s can stand in a frame's line.
+func ValidIdentifier(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
@@ -154,8 +154,8 @@
 // it uses up nobody's share.
 const NoTenant = -1
 
-// Tenants finds tenants by name.
-func Tenants(list []decide.Tenant) map[string]int {
+// TenantIndexes finds tenants by name.
+func TenantIndexes(list []decide.Tenant) map[string]int {
 	m := map[string]int{}
 	for i, t := range list {
 		m[t.Name] = i
@@ -163,8 +163,8 @@
 	return m
 }
 
-// Classes finds classes by name.
-func Classes(list []decide.Class) map[string]int {
+// ClassIndexes finds classes by name.
+func ClassIndexes(list []decide.Class) map[string]int {
 	m := map[string]int{}
 	for i, c := range list {
 		m[c.Name] = i
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,13 +35,13 @@
 	if err := json.Unmarshal(b, &x); err != nil {
 		return err
 	}
-	*s = span(Seconds(x))
+	*s = span(DurationFromSeconds(x))
 	return nil
 }
 
-// Seconds turns fractional seconds into a time; the simulator counts whole
+// DurationFromSeconds turns fractional seconds into a time; the simulator counts whole
 // microseconds.
-func Seconds(x float64) time.Duration {
+func DurationFromSeconds(x float64) time.Duration {
 	us := math.Round(x * 1e6)
 	const most = float64(math.MaxInt64 / int64(time.Microsecond))
 	return time.Duration(max(-most, min(most, us))) * time.Microsecond
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -487,5 +487,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return settings.Seconds(x), nil
+	return settings.DurationFromSeconds(x), nil
 }
