--- a/internal/fleet/member/gossip.go
+++ b/internal/fleet/member/gossip.go
@@ -9,9 +9,9 @@
 )
 
 // heardNews is a word that has come.
-type heardNews struct {
+type receivedNews struct {
 	News
-	at time.Duration
+	receivedAt time.Duration
 }
 
 func recordKey(id string) string                { return "r/" + id }
@@ -22,45 +22,45 @@
 
 // enqueue has others told of something, from the beginning if they are being told.
 func (m *Machine) enqueue(key string) {
-	if _, told := m.queue[key]; !told {
-		m.fresh = append(m.fresh, key)
+	if _, queued := m.sendCounts[key]; !queued {
+		m.unsentUpdates = append(m.unsentUpdates, key)
 	}
-	m.queue[key] = 0
+	m.sendCounts[key] = 0
 }
 
 // fill adds updates to a message: those not sent yet first, then the others in turn.
-func (m *Machine) fill(msg *Message) {
-	most := resend * (1 + bits.Len(uint(m.Alive())))
-	for range min(perMessage, len(m.fresh)+len(m.line)) {
+func (m *Machine) appendUpdates(msg *Message) {
+	maxSends := resendFactor * (1 + bits.Len(uint(m.Alive())))
+	for range min(maxUpdatesPerDatagram, len(m.unsentUpdates)+len(m.resendQueue)) {
 		var key string
-		if len(m.fresh) > 0 {
-			key, m.fresh = m.fresh[0], m.fresh[1:]
+		if len(m.unsentUpdates) > 0 {
+			key, m.unsentUpdates = m.unsentUpdates[0], m.unsentUpdates[1:]
 		} else {
-			key, m.line = m.line[0], m.line[1:]
+			key, m.resendQueue = m.resendQueue[0], m.resendQueue[1:]
 		}
-		if m.queue[key]++; !m.put(msg, key) || m.queue[key] >= most {
-			delete(m.queue, key)
+		if m.sendCounts[key]++; !m.appendUpdate(msg, key) || m.sendCounts[key] >= maxSends {
+			delete(m.sendCounts, key)
 			continue
 		}
-		m.line = append(m.line, key)
+		m.resendQueue = append(m.resendQueue, key)
 	}
 }
 
 // put adds one update to a message, as it is now.
-func (m *Machine) put(msg *Message, key string) bool {
+func (m *Machine) appendUpdate(msg *Message, key string) bool {
 	switch key[0] {
 	case 'r':
 		if key[2:] == m.c.ID {
-			if m.seated() {
+			if m.isAdmitted() {
 				msg.Records = append(msg.Records, m.self)
 			}
-			return m.seated()
+			return m.isAdmitted()
 		}
 		p := m.peers[key[2:]]
 		if p == nil {
 			return false
 		}
-		msg.Records = append(msg.Records, p.told(m.now))
+		msg.Records = append(msg.Records, p.current(m.now))
 	case 'd':
 		subject, observer := splitDoubtKey(key)
 		held, _ := m.doubtsOf(subject)
@@ -68,27 +68,27 @@
 		if d == nil {
 			return false
 		}
-		msg.Doubts = append(msg.Doubts, d.told(m.now))
+		msg.Doubts = append(msg.Doubts, d.current(m.now))
 	case 'n':
 		n := m.news[key[2:]]
 		if n == nil {
 			return false
 		}
-		told := n.News
-		told.Age += m.now - n.at
-		msg.News = append(msg.News, told)
+		current := n.News
+		current.Age += m.now - n.receivedAt
+		msg.News = append(msg.News, current)
 	}
 	return true
 }
 
 // spread pushes what others have not been told to a few of them.
-func (m *Machine) spread() {
-	if len(m.queue) == 0 || m.now < m.gossipAt {
+func (m *Machine) gossip() {
+	if len(m.sendCounts) == 0 || m.now < m.nextGossipAt {
 		return
 	}
-	m.gossipAt = m.now + m.periods(gossipPace)
-	for _, p := range m.pick(gossipFan, func(p *peer) bool { return p.State == Alive }) {
-		if len(m.queue) > 0 {
+	m.nextGossipAt = m.now + m.periods(gossipInterval)
+	for _, p := range m.pickRandom(gossipFanout, func(p *peer) bool { return p.State == Alive }) {
+		if len(m.sendCounts) > 0 {
 			m.send(p, Message{Kind: Gossip})
 		}
 	}
@@ -96,10 +96,10 @@
 
 // Announce tells all members something, once. Of one key, the latest word counts.
 func (m *Machine) Announce(now time.Duration, key string, body []byte) {
-	m.step(now)
-	m.newsStamp++
+	m.advanceClock(now)
+	m.newsCount++
 	// Another start under our name counts on from the one before.
-	m.keepNews(News{Key: key, Origin: m.c.ID, Version: uint64(m.self.Incarnation.Generation)<<32 + m.newsStamp, Body: body})
+	m.storeNews(News{Key: key, Origin: m.c.ID, Version: uint64(m.self.Incarnation.Generation)<<32 + m.newsCount, Body: body})
 }
 
 func (m *Machine) mergeNews(n News) {
@@ -110,15 +110,15 @@
 	if old := m.news[n.id()]; old != nil && old.Version >= n.Version {
 		return
 	}
-	m.keepNews(n)
-	m.out.News = append(m.out.News, n)
+	m.storeNews(n)
+	m.output.News = append(m.output.News, n)
 }
 
-func (m *Machine) keepNews(n News) {
-	m.news[n.id()] = &heardNews{n, m.now}
+func (m *Machine) storeNews(n News) {
+	m.news[n.id()] = &receivedNews{n, m.now}
 	m.enqueue(newsKey(n.id()))
-	if len(m.news) > mostNews { // guards memory: the oldest has long been told
-		oldest := slices.MinFunc(sortedKeys(m.news), func(a, b string) int { return cmp.Compare(m.news[a].at, m.news[b].at) })
+	if len(m.news) > maxNews { // guards memory: the oldest has long been told
+		oldest := slices.MinFunc(sortedKeys(m.news), func(a, b string) int { return cmp.Compare(m.news[a].receivedAt, m.news[b].receivedAt) })
 		delete(m.news, oldest)
 	}
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -114,30 +114,30 @@
 // Figures of the protocol, in periods unless said otherwise. docs/design/membership.md
 // derives them.
 const (
-	observers   = 8   // members that watch one member, and that one member watches
-	helpers     = 3   // members asked to ping in our place
-	directWait  = 0.4 // an answer later than this has helpers asked
-	dialAfter   = 2.0 // silent for so long: a connection is tried
-	doubtAfter  = 3.0 // silent for so long: doubted aloud
-	aloneAfter  = 4.0 // a majority silent for so long: we are cut off ourselves
-	goneAfter   = 4.8 // silent to all for so long: gone
-	doubtLasts  = 12  // a doubt that is not said again is dropped
-	doubtAgain  = 5   // and it is said again so often
-	pace        = 0.2 // between two looks at what is due
-	gapAfter    = 0.5 // a look so late shows that we stood still
-	seqLasts    = 4.0 // an answer may be so late and still count
-	gossipPace  = 0.2 // between two rounds of pushes
-	gossipFan   = 2   // members pushed to in a round
-	syncPace    = 2.0 // between two full exchanges that we begin because views differ
-	joinPace    = 1.0 // between two rounds of asking seeds
-	backAfter   = 4.0 // back from a cut, a member waits so long for what it missed
-	aloneTries  = 5   // rounds in vain after which nobody seems to be there
-	perMessage  = 12  // updates in a datagram
-	resend      = 3   // times log2 of the fleet that an update is sent
-	mostNews    = 512 // words remembered
-	keptShare   = 0.5 // what an isolated member goes on using of its share
-	mostMembers = 4096
-	forever     = time.Duration(1<<63 - 1)
+	observersPerMember    = 8   // members that watch one member, and that one member watches
+	helperCount           = 3   // members asked to ping in our place
+	directPingTimeout     = 0.4 // an answer later than this has helpers asked
+	dialAfterSilence      = 2.0 // silent for so long: a connection is tried
+	doubtAfterSilence     = 3.0 // silent for so long: doubted aloud
+	isolatedAfterSilence  = 4.0 // a majority silent for so long: we are cut off ourselves
+	goneAfterSilence      = 4.8 // silent to all for so long: gone
+	doubtTTL              = 12  // a doubt that is not said again is dropped
+	doubtRepeatInterval   = 5   // and it is said again so often
+	tickInterval          = 0.2 // between two looks at what is due
+	stallThreshold        = 0.5 // a look so late shows that we stood still
+	lateAckTimeout        = 4.0 // an answer may be so late and still count
+	gossipInterval        = 0.2 // between two rounds of pushes
+	gossipFanout          = 2   // members pushed to in a round
+	syncInterval          = 2.0 // between two full exchanges that we begin because views differ
+	joinInterval          = 1.0 // between two rounds of asking seeds
+	recoveryDelay         = 4.0 // back from a cut, a member waits so long for what it missed
+	joinTriesBeforeAlone  = 5   // rounds in vain after which nobody seems to be there
+	maxUpdatesPerDatagram = 12  // updates in a datagram
+	resendFactor          = 3   // times log2 of the fleet that an update is sent
+	maxNews               = 512 // words remembered
+	isolatedShareFactor   = 0.5 // what an isolated member goes on using of its share
+	maxMembers            = 4096
+	forever               = time.Duration(1<<63 - 1)
 )
 
 // Target is somebody to send to.
@@ -181,120 +181,120 @@
 // peer is what we know of another member.
 type peer struct {
 	Record
-	shown   State // as last told to the caller
-	changed time.Duration
-	lifeAt  time.Duration
-	goneAt  time.Duration
-	rings   [observers]uint64
-	doubts  map[string]*doubt
+	reportedState    State // as last told to the caller
+	reportedAt       time.Duration
+	incarnationSince time.Duration
+	goneSince        time.Duration
+	ringPositions    [observersPerMember]uint64
+	doubts           map[string]*receivedDoubt
 
 	// As its observer.
-	heard     time.Duration // last round trip
-	since     time.Duration // since when we watch it
-	pingAt    time.Duration
-	asked     bool // helpers have been asked for the last ping
-	pinged    time.Duration
-	lastSeq   uint64 // of our latest ping
-	path      string // the helper by whom it was last reached
-	dialAt    time.Duration
-	refused   bool
-	mine      *Doubt // what we say of it
-	saidAt    time.Duration
-	stamp     uint32
-	differs   time.Duration // since when its view differs from ours; 0: it does not
-	observed  bool
-	doubted   bool // somebody doubts it
-	forgotten bool
-	mark      uint64 // what it adds to the digest
+	lastRoundTrip    time.Duration // last round trip
+	observedSince    time.Duration // since when we watch it
+	nextPingAt       time.Duration
+	helpersAsked     bool // helpers have been asked for the last ping
+	lastPingAt       time.Duration
+	lastPingSeq      uint64 // of our latest ping
+	lastHelper       string // the helper by whom it was last reached
+	nextDialAt       time.Duration
+	refused          bool
+	ownDoubt         *Doubt // what we say of it
+	ownDoubtSentAt   time.Duration
+	ownDoubtVersion  uint32
+	viewDiffersSince time.Duration // since when its view differs from ours; 0: it does not
+	observed         bool
+	doubted          bool // somebody doubts it
+	forgotten        bool
+	digestTerm       uint64 // what it adds to the digest
 }
 
-type doubt struct {
+type receivedDoubt struct {
 	Doubt
-	heardAt time.Duration
-	at      time.Duration
+	lastHeard  time.Duration
+	receivedAt time.Duration
 }
 
 // told is the member's record as it is told now: what travels is ages.
-func (p *peer) told(now time.Duration) Record {
+func (p *peer) current(now time.Duration) Record {
 	r := p.Record
 	if r.State != Alive {
-		r.Age = now - p.goneAt
+		r.Age = now - p.goneSince
 	}
 	return r
 }
 
 // told is the doubt as it is told now.
-func (d *doubt) told(now time.Duration) Doubt {
+func (d *receivedDoubt) current(now time.Duration) Doubt {
 	said := d.Doubt
-	said.SilentFor = now - d.heardAt
+	said.SilentFor = now - d.lastHeard
 	return said
 }
 
 // Machine is one mixer's view.
 type Machine struct {
-	c       Config
-	rng     *rand.Rand
-	now     time.Duration
-	self    Record
-	rings   [observers]uint64
-	peers   map[string]*peer
-	order   []string // ids, sorted
-	alive   int      // members deemed alive, this one among them
-	rewatch bool     // whom we watch has to be chosen anew
-	watched []*peer  // those that we observe, by id
-
-	woke      time.Duration // when we last began after a gap, or at all
-	looked    time.Duration
-	isolated  bool
-	isoSince  time.Duration
-	backAt    time.Duration // from when on our share is whole again after that
-	expireAt  time.Duration
-	baseSize  int
-	partNow   float64
-	wholePart float64 // our share when we were last whole
-	cap       float64 // what our share may be by now
-	lastPart  float64 // what it will be, and from when on
-	growAt    time.Duration
-	high      float64 // the largest that it was of late, and when
-	highAt    time.Duration
-	readyAt   time.Duration
-	joined    bool // somebody has taken us in, or nobody is there
-	joinAt    time.Duration
-	joinTries int
-	leaving   bool
-	refuteAt  time.Duration
-	gossipAt  time.Duration
-	syncAt    time.Duration
-	strayAt   time.Duration
-	stray     int
-	beat      time.Duration // when all whom we watch are pinged next: at once, as waking up costs more than a datagram
-	seq       uint64
-	pending   map[uint64]pending
-	queue     map[string]int    // what others are told, by key: how often it was sent
-	fresh     []string          // keys of the queue that were not sent yet
-	line      []string          // and of the others, in turn
-	against   map[string]*doubt // what is held against us, by observer
-	news      map[string]*heardNews
-	newsStamp uint64
-	contest   contest
-	digest    uint64
-	stale     bool // the digest is
-	flawed    bool // a test has it act as if it were never cut off, to see that this is found
-	out       Output
+	c             Config
+	rng           *rand.Rand
+	now           time.Duration
+	self          Record
+	ringPositions [observersPerMember]uint64
+	peers         map[string]*peer
+	sortedIDs     []string // ids, sorted
+	aliveCount    int      // members deemed alive, this one among them
+	watchedStale  bool     // whom we watch has to be chosen anew
+	watched       []*peer  // those that we observe, by id
+
+	awakeSince         time.Duration // when we last began after a gap, or at all
+	lastTick           time.Duration
+	isolated           bool
+	isolationChangedAt time.Duration
+	recoveredAt        time.Duration // from when on our share is whole again after that
+	nextExpireAt       time.Duration
+	quorumBaseSize     int
+	fairShareNow       float64
+	lastQuorumShare    float64 // our share when we were last whole
+	cap                float64 // what our share may be by now
+	pendingShare       float64 // what it will be, and from when on
+	shareGrowsAt       time.Duration
+	recentMaxShare     float64 // the largest that it was of late, and when
+	recentMaxShareAt   time.Duration
+	readyAt            time.Duration
+	joined             bool // somebody has taken us in, or nobody is there
+	nextJoinAt         time.Duration
+	joinTries          int
+	leaving            bool
+	nextRefuteAt       time.Duration
+	nextGossipAt       time.Duration
+	lastSyncAt         time.Duration
+	nextGonePingAt     time.Duration
+	gonePingIndex      int
+	nextPingRound      time.Duration // when all whom we watch are pinged next: at once, as waking up costs more than a datagram
+	seq                uint64
+	pending            map[uint64]pending
+	sendCounts         map[string]int            // what others are told, by key: how often it was sent
+	unsentUpdates      []string                  // keys of the queue that were not sent yet
+	resendQueue        []string                  // and of the others, in turn
+	doubtsAboutSelf    map[string]*receivedDoubt // what is held against us, by observer
+	news               map[string]*receivedNews
+	newsCount          uint64
+	nameConflict       nameConflict
+	digest             uint64
+	summaryStale       bool // the digest is
+	ignoresIsolation   bool // a test has it act as if it were never cut off, to see that this is found
+	output             Output
 }
 
 // pending is a ping that has not been answered.
 type pending struct {
-	id     string
-	at     time.Duration
-	behalf string // the member that asked for it; "": we did
-	seq    uint64 // its number there
+	peerID    string
+	sentAt    time.Duration
+	requester string // the member that asked for it; "": we did
+	seq       uint64 // its number there
 }
 
 // New returns a machine. Seeds are asked at the first Tick.
 func New(c Config, now time.Duration) *Machine {
-	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), now: now, woke: now, looked: now,
-		peers: map[string]*peer{}, pending: map[uint64]pending{}, queue: map[string]int{}, against: map[string]*doubt{}, news: map[string]*heardNews{}, stale: true}
+	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, c.Instance)), now: now, awakeSince: now, lastTick: now,
+		peers: map[string]*peer{}, pending: map[uint64]pending{}, sendCounts: map[string]int{}, doubtsAboutSelf: map[string]*receivedDoubt{}, news: map[string]*receivedNews{}, summaryStale: true}
 	m.self = Record{ID: c.ID, Zone: c.Zone, Addr: c.Addr, Instance: c.Instance, Incarnation: Incarnation{Generation: c.Generation + 1}}
 	for _, r := range c.KnownMembers {
 		if r.ID != c.ID && r.Addr != "" {
@@ -303,49 +303,49 @@
 	}
 	slices.Sort(m.c.Seeds)
 	m.c.Seeds = slices.DeleteFunc(slices.Compact(m.c.Seeds), func(a string) bool { return a == c.Addr })
-	m.seq, m.alive = m.rng.Uint64()>>16, 1
-	m.beat = now + time.Duration(m.rng.Float64()*float64(c.Period)) // members' beats are spread over a period
-	m.rings = ringsOf(c.ID)
+	m.seq, m.aliveCount = m.rng.Uint64()>>16, 1
+	m.nextPingRound = now + time.Duration(m.rng.Float64()*float64(c.Period)) // members' beats are spread over a period
+	m.ringPositions = ringPositionsOf(c.ID)
 	return m
 }
 
 func (m *Machine) periods(n float64) time.Duration { return time.Duration(n * float64(m.c.Period)) }
 
 // Next is when Tick wants to be called at the latest.
-func (m *Machine) NextTick() time.Duration { return m.looked + m.periods(pace) }
+func (m *Machine) NextTick() time.Duration { return m.lastTick + m.periods(tickInterval) }
 
 // Take returns what there is to do, and forgets it.
 func (m *Machine) TakeOutput() Output {
-	out := m.out
-	m.out = Output{}
-	return out
+	output := m.output
+	m.output = Output{}
+	return output
 }
 
 // Tick looks at what is due. After a gap, nothing that others said meanwhile counts as
 // silence: it may wait in our own buffers.
 func (m *Machine) Tick(now time.Duration) {
-	m.step(now)
-	if m.looked = m.now; m.leaving {
+	m.advanceClock(now)
+	if m.lastTick = m.now; m.leaving {
 		return
 	}
 	m.expire()
-	if m.rewatch {
-		m.choose()
+	if m.watchedStale {
+		m.selectWatched()
 	}
-	m.join()
-	m.probe()
-	m.judge()
-	m.contend()
-	m.spread()
+	m.contactSeeds()
+	m.probeWatched()
+	m.judgeMembers()
+	m.advanceNameConflict()
+	m.gossip()
 }
 
 // step takes the time, and notices gaps.
-func (m *Machine) step(now time.Duration) {
+func (m *Machine) advanceClock(now time.Duration) {
 	now = max(now, m.now)
-	if now-m.looked > m.periods(gapAfter) {
-		m.woke = now
+	if now-m.lastTick > m.periods(stallThreshold) {
+		m.awakeSince = now
 		for id, p := range m.pending { // their answers are late by our own fault
-			p.at = now
+			p.sentAt = now
 			m.pending[id] = p
 		}
 	}
@@ -354,7 +354,7 @@
 
 // Receive takes a datagram's message.
 func (m *Machine) Receive(now time.Duration, msg Message) {
-	m.step(now)
+	m.advanceClock(now)
 	if m.leaving || msg.To != "" && msg.To != m.c.ID || msg.Target != 0 && msg.Target != m.c.Instance {
 		return // meant for whoever had this address or name before us
 	}
@@ -364,7 +364,7 @@
 	}
 	p := m.peers[msg.From]
 	if msg.Kind == Ping {
-		m.answer(msg, p)
+		m.answerPing(msg, p)
 	}
 	if p == nil || p.Instance != msg.Instance {
 		return // guards against a datagram of long ago: whoever is new comes by a full exchange
@@ -372,61 +372,61 @@
 	m.merge(msg)
 	switch msg.Kind {
 	case Ack:
-		m.acked(msg)
+		m.handleAck(msg)
 	case PingRequest:
 		if s := m.peers[msg.Subject]; s != nil {
 			m.ping(s, msg.From, msg.Seq)
 		}
 	case RelayedAck:
-		if w, ok := m.pending[msg.Seq]; ok && w.id == msg.Subject && w.behalf == "" {
+		if w, ok := m.pending[msg.Seq]; ok && w.peerID == msg.Subject && w.requester == "" {
 			if s := m.peers[msg.Subject]; s != nil {
-				s.path = msg.From
-				m.hear(s)
+				s.lastHelper = msg.From
+				m.noteRoundTrip(s)
 			}
 		}
 	}
-	m.compare(p, msg.Digest)
+	m.compareDigest(p, msg.Digest)
 }
 
 // Served answers a full exchange that another mixer began.
 func (m *Machine) AnswerExchange(now time.Duration, msg Message) Message {
-	m.step(now)
+	m.advanceClock(now)
 	if msg.From == m.c.ID {
 		m.rival(msg)
 	} else if !m.leaving {
 		m.merge(msg)
 	}
-	return m.full(SyncReply, msg.Seq)
+	return m.fullMessage(SyncReply, msg.Seq)
 }
 
 // Exchanged takes the answer to a full exchange that we began with somebody.
 func (m *Machine) ExchangeDone(now time.Duration, with Target, msg Message) {
-	m.step(now)
+	m.advanceClock(now)
 	m.merge(msg)
 	if msg.From == m.c.ID {
 		return // a seed of ours lives under our name; what it says of itself has opened a contest
 	}
 	m.joinTries = 0
 	if p := m.peers[msg.From]; p != nil && p.Instance == msg.Instance {
-		m.hear(p)
-		p.differs = 0
+		m.noteRoundTrip(p)
+		p.viewDiffersSince = 0
 	}
-	if !m.contest.open {
-		m.takeSeat()
+	if !m.nameConflict.open {
+		m.enterFleet()
 	}
 }
 
 // Refused says that a machine refused the connection: no process is there.
 func (m *Machine) Refused(now time.Duration, with Target) {
-	m.step(now)
-	if p := m.peers[with.ID]; p != nil && p.Addr == with.Addr && m.now-m.woke >= m.periods(pace) {
+	m.advanceClock(now)
+	if p := m.peers[with.ID]; p != nil && p.Addr == with.Addr && m.now-m.awakeSince >= m.periods(tickInterval) {
 		p.refused = true
 	}
 }
 
 // Leave says to all that this member ends. The machine does nothing more.
 func (m *Machine) Leave(now time.Duration) {
-	m.step(now)
+	m.advanceClock(now)
 	if m.leaving || !m.joined {
 		m.leaving = true
 		return
@@ -434,10 +434,10 @@
 	m.leaving = true
 	m.self.Incarnation.Turn++
 	m.self.State = Left
-	m.stale = true
-	to := m.pick(2*observers, func(p *peer) bool { return p.State == Alive })
+	m.summaryStale = true
+	receivers := m.pickRandom(2*observersPerMember, func(p *peer) bool { return p.State == Alive })
 	for range 2 { // one of them may be lost
-		for _, p := range to {
+		for _, p := range receivers {
 			m.send(p, Message{Kind: Gossip, Records: []Record{m.self}})
 		}
 	}
@@ -446,30 +446,30 @@
 // send posts a datagram to a member; updates are added to it.
 func (m *Machine) send(p *peer, msg Message) {
 	msg.From, msg.Instance, msg.To, msg.Digest = m.c.ID, m.c.Instance, p.ID, m.viewDigest()
-	m.fill(&msg)
-	m.out.Send = append(m.out.Send, Datagram{Target{p.ID, p.Addr}, msg})
+	m.appendUpdates(&msg)
+	m.output.Send = append(m.output.Send, Datagram{Target{p.ID, p.Addr}, msg})
 }
 
 // full is a message of all that we know.
-func (m *Machine) full(kind Kind, seq uint64) Message {
+func (m *Machine) fullMessage(kind Kind, seq uint64) Message {
 	msg := Message{Kind: kind, From: m.c.ID, Instance: m.c.Instance, Seq: seq, Digest: m.viewDigest()}
-	if m.seated() {
+	if m.isAdmitted() {
 		msg.Records = append(msg.Records, m.self)
 	}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		p := m.peers[id]
 		if p.forgotten {
 			continue
 		}
-		msg.Records = append(msg.Records, p.told(m.now))
+		msg.Records = append(msg.Records, p.current(m.now))
 		for _, name := range sortedKeys(p.doubts) {
-			msg.Doubts = append(msg.Doubts, p.doubts[name].told(m.now))
+			msg.Doubts = append(msg.Doubts, p.doubts[name].current(m.now))
 		}
 	}
 	return msg
 }
 
 // exchange begins a full exchange.
-func (m *Machine) exchange(t Target) {
-	m.out.Exchanges = append(m.out.Exchanges, Exchange{t, m.full(SyncRequest, 0)})
+func (m *Machine) startExchange(t Target) {
+	m.output.Exchanges = append(m.output.Exchanges, Exchange{t, m.fullMessage(SyncRequest, 0)})
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-func TestAFleetOfNineComesToOneView(t *testing.T) {
-	w := settle(t, 1, 9)
-	for _, p := range w.procs {
-		if s := p.m.Share(w.now); s < 0.11 || s > 0.112 {
+func TestNineMembersConverge(t *testing.T) {
+	w := settledFleet(t, 1, 9)
+	for _, p := range w.processes {
+		if s := p.machine.Share(w.now); s < 0.11 || s > 0.112 {
 			t.Errorf("%s has a share of %.4f", p.id, s)
 		}
 	}
-	sent := w.sent
+	datagramsSent := w.datagramsSent
 	w.run(10 * time.Second)
-	t.Logf("%.1f datagrams a member and second at rest", float64(w.sent-sent)/9/10)
+	t.Logf("%.1f datagrams a member and second at rest", float64(w.datagramsSent-datagramsSent)/9/10)
 	if len(w.changes) > 0 {
 		t.Errorf("at rest: %+v", w.changes)
 	}
 }
 
-func TestAKilledProcessIsKnownToAllWithinSixPeriods(t *testing.T) {
+func TestKilledProcessIsDetectedWithinSixPeriods(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(20) {
-		w := settle(t, seed, 9)
-		w.loss = 0.2
+		w := settledFleet(t, seed, 9)
+		w.lossRate = 0.2
 		w.run(5 * time.Second)
-		if p := w.procs[int(seed)%9]; seed < 10 {
+		if p := w.processes[int(seed)%9]; seed < 10 {
 			w.kill(p)
 		} else { // its machine vanishes with it: nobody refuses connections
 			w.pause(p, time.Hour)
-			p.m = nil
-			w.cutOff([]*proc{p}, w.others(p), true)
+			p.machine = nil
+			w.setCut([]*process{p}, w.others(p), true)
 		}
-		took := w.until(20*period, "all know", w.agree)
+		took := w.runUntil(20*period, "all know", w.converged)
 		worst = max(worst, took)
 		if took > 6*period {
-			t.Errorf("seed %d: took %v\n%s", seed, took, w.views())
+			t.Errorf("seed %d: took %v\n%s", seed, took, w.describeViews())
 		}
 	}
 	t.Logf("the slowest of 20 took %v", worst)
 }
 
-func TestNobodyIsThrownOutForLossAndPauses(t *testing.T) {
+func TestLossAndPausesDeclareNobodyGone(t *testing.T) {
 	for seed := range uint64(4) {
-		w := settle(t, seed, 9)
-		w.loss = 0.3
+		w := settledFleet(t, seed, 9)
+		w.lossRate = 0.3
 		for end := w.now + 3*time.Minute; w.now < end; {
 			n := 1 + w.rng.IntN(3)
 			for _, i := range w.rng.Perm(9)[:n] {
-				w.pause(w.procs[i], time.Duration(500+w.rng.IntN(1500))*ms)
+				w.pause(w.processes[i], time.Duration(500+w.rng.IntN(1500))*ms)
 			}
 			w.run(5 * time.Second)
 		}
-		w.loss = 0
-		for _, c := range w.thrownOut() {
+		w.lossRate = 0
+		for _, c := range w.declaredGone() {
 			t.Errorf("seed %d: %v", seed, c)
 		}
-		w.until(6*period, "all agree", w.agree)
+		w.runUntil(6*period, "all agree", w.converged)
 	}
 }
--- a/internal/fleet/member/probe.go
+++ b/internal/fleet/member/probe.go
@@ -11,20 +11,20 @@
 // choose says whom this member watches. Members stand in as many rings as one has
 // observers, each in an order of its own, and each watches the next in each: a fleet
 // of any size costs a member the same, and the graph has no narrow place.
-func (m *Machine) choose() {
-	m.rewatch = false
+func (m *Machine) selectWatched() {
+	m.watchedStale = false
 	var alive []*peer
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if p := m.peers[id]; p.State == Alive {
 			alive = append(alive, p)
 		}
 	}
 	chosen := map[string]bool{}
-	for ring := range observers {
+	for ring := range observersPerMember {
 		// The next behind us that we don't watch already.
 		var best *peer
 		for _, p := range alive {
-			if !chosen[p.ID] && (best == nil || p.rings[ring]-m.rings[ring] < best.rings[ring]-m.rings[ring]) {
+			if !chosen[p.ID] && (best == nil || p.ringPositions[ring]-m.ringPositions[ring] < best.ringPositions[ring]-m.ringPositions[ring]) {
 				best = p
 			}
 		}
@@ -34,7 +34,7 @@
 	}
 	for _, p := range m.watched {
 		if m.peers[p.ID] == p && !chosen[p.ID] {
-			m.withdraw(p)
+			m.withdrawDoubt(p)
 			p.observed = false
 		}
 	}
@@ -43,14 +43,14 @@
 		p := m.peers[id]
 		m.watched = append(m.watched, p)
 		if !p.observed {
-			p.observed, p.since, p.asked = true, m.now, true
-			p.pingAt = m.beat
+			p.observed, p.observedSince, p.helpersAsked = true, m.now, true
+			p.nextPingAt = m.nextPingRound
 		}
 	}
 }
 
 // ringsOf is where a member stands in each ring.
-func ringsOf(id string) (at [observers]uint64) {
+func ringPositionsOf(id string) (at [observersPerMember]uint64) {
 	for ring := range at {
 		at[ring] = hash(id, uint64(ring))
 	}
@@ -63,42 +63,42 @@
 
 // probe pings those that are due, asks others to, and tries those that stay silent
 // over a connection.
-func (m *Machine) probe() {
+func (m *Machine) probeWatched() {
 	for seq, w := range m.pending {
-		if m.now-w.at > m.periods(seqLasts) {
+		if m.now-w.sentAt > m.periods(lateAckTimeout) {
 			delete(m.pending, seq)
 		}
 	}
 	for _, p := range m.watched {
-		if !p.asked && m.now >= p.pinged+m.periods(directWait) {
-			p.asked = true
-			if p.heard < p.pinged {
-				m.ask(p)
+		if !p.helpersAsked && m.now >= p.lastPingAt+m.periods(directPingTimeout) {
+			p.helpersAsked = true
+			if p.lastRoundTrip < p.lastPingAt {
+				m.requestIndirectPings(p)
 			}
 		}
-		if m.now >= p.pingAt {
-			p.pingAt, p.pinged, p.asked = m.now+m.c.Period, m.now, false
+		if m.now >= p.nextPingAt {
+			p.nextPingAt, p.lastPingAt, p.helpersAsked = m.now+m.c.Period, m.now, false
 			m.ping(p, "", 0)
 		}
-		if m.silence(p) >= m.periods(dialAfter) && m.now >= p.dialAt {
-			p.dialAt = m.now + m.c.Period
-			m.exchange(Target{p.ID, p.Addr})
+		if m.silentFor(p) >= m.periods(dialAfterSilence) && m.now >= p.nextDialAt {
+			p.nextDialAt = m.now + m.c.Period
+			m.startExchange(Target{p.ID, p.Addr})
 		}
 	}
-	if m.now >= m.beat {
-		m.beat = m.now + m.c.Period
+	if m.now >= m.nextPingRound {
+		m.nextPingRound = m.now + m.c.Period
 	}
-	if m.now >= m.strayAt {
-		m.strayAt = m.now + m.c.Period
-		m.tryStray()
+	if m.now >= m.nextGonePingAt {
+		m.nextGonePingAt = m.now + m.c.Period
+		m.pingOneGone()
 	}
 }
 
 // tryStray pings one of those that are gone, in turn: they may be back.
-func (m *Machine) tryStray() {
-	for range m.order {
-		m.stray = (m.stray + 1) % len(m.order)
-		if p := m.peers[m.order[m.stray]]; p.State == Gone && !p.forgotten {
+func (m *Machine) pingOneGone() {
+	for range m.sortedIDs {
+		m.gonePingIndex = (m.gonePingIndex + 1) % len(m.sortedIDs)
+		if p := m.peers[m.sortedIDs[m.gonePingIndex]]; p.State == Gone && !p.forgotten {
 			m.ping(p, "", 0)
 			return
 		}
@@ -106,131 +106,131 @@
 }
 
 // ping pings a member, on behalf of another or of ourselves.
-func (m *Machine) ping(p *peer, behalf string, theirs uint64) {
+func (m *Machine) ping(p *peer, requester string, requesterSeq uint64) {
 	m.seq++
-	if behalf == "" {
-		p.lastSeq = m.seq
+	if requester == "" {
+		p.lastPingSeq = m.seq
 	}
-	m.pending[m.seq] = pending{id: p.ID, at: m.now, behalf: behalf, seq: theirs}
+	m.pending[m.seq] = pending{peerID: p.ID, sentAt: m.now, requester: requester, seq: requesterSeq}
 	msg := Message{Kind: Ping, Seq: m.seq, Target: p.Instance}
-	m.tellFate(&msg, p)
+	m.appendTargetRecord(&msg, p)
 	m.send(p, msg)
 }
 
 // tellFate has a message say to a member that is not deemed alive what it is deemed:
 // it can refute only what it hears of.
-func (m *Machine) tellFate(msg *Message, p *peer) {
+func (m *Machine) appendTargetRecord(msg *Message, p *peer) {
 	if p.State != Alive {
-		msg.Records = append(msg.Records, p.told(m.now))
+		msg.Records = append(msg.Records, p.current(m.now))
 	}
 }
 
 // ask has a few others ping a member for us: first the one by whom it was last
 // reached, then others, of as many zones as there are.
-func (m *Machine) ask(p *peer) {
+func (m *Machine) requestIndirectPings(p *peer) {
 	var chosen []*peer
 	zones := map[string]bool{}
 	take := func(h *peer) {
 		chosen = append(chosen, h)
 		zones[h.Zone] = true
 	}
-	fits := func(h *peer) bool { return h.State == Alive && h != p }
-	if h := m.peers[p.path]; h != nil && fits(h) {
+	eligible := func(h *peer) bool { return h.State == Alive && h != p }
+	if h := m.peers[p.lastHelper]; h != nil && eligible(h) {
 		take(h)
 	}
-	others := m.pick(4*helpers, fits)
-	for _, fresh := range []bool{true, false} { // one of each zone before a second of any
+	others := m.pickRandom(4*helperCount, eligible)
+	for _, newZonesOnly := range []bool{true, false} { // one of each zone before a second of any
 		for _, h := range others {
-			if len(chosen) < helpers && !slices.Contains(chosen, h) && (!fresh || !zones[h.Zone]) {
+			if len(chosen) < helperCount && !slices.Contains(chosen, h) && (!newZonesOnly || !zones[h.Zone]) {
 				take(h)
 			}
 		}
 	}
 	for _, h := range chosen {
-		m.send(h, Message{Kind: PingRequest, Seq: p.lastSeq, Subject: p.ID})
+		m.send(h, Message{Kind: PingRequest, Seq: p.lastPingSeq, Subject: p.ID})
 	}
 }
 
-func (m *Machine) answer(msg Message, p *peer) {
+func (m *Machine) answerPing(msg Message, p *peer) {
 	if p == nil || p.Instance != msg.Instance {
 		return // it will try a connection
 	}
-	back := Message{Kind: Ack, Seq: msg.Seq}
-	m.tellFate(&back, p)
-	m.send(p, back)
+	ack := Message{Kind: Ack, Seq: msg.Seq}
+	m.appendTargetRecord(&ack, p)
+	m.send(p, ack)
 }
 
-func (m *Machine) acked(msg Message) {
+func (m *Machine) handleAck(msg Message) {
 	w, ok := m.pending[msg.Seq]
-	if !ok || w.id != msg.From {
+	if !ok || w.peerID != msg.From {
 		return
 	}
 	delete(m.pending, msg.Seq)
-	m.hear(m.peers[w.id])
-	if h := m.peers[w.behalf]; h != nil {
-		m.send(h, Message{Kind: RelayedAck, Seq: w.seq, Subject: w.id})
+	m.noteRoundTrip(m.peers[w.peerID])
+	if h := m.peers[w.requester]; h != nil {
+		m.send(h, Message{Kind: RelayedAck, Seq: w.seq, Subject: w.peerID})
 	}
 }
 
 // hear notes a round trip with a member.
-func (m *Machine) hear(p *peer) {
-	p.heard, p.refused = m.now, false
-	m.withdraw(p)
+func (m *Machine) noteRoundTrip(p *peer) {
+	p.lastRoundTrip, p.refused = m.now, false
+	m.withdrawDoubt(p)
 }
 
 // withdraw takes our doubt of a member back.
-func (m *Machine) withdraw(p *peer) {
-	if p.mine == nil || p.mine.Withdrawn {
+func (m *Machine) withdrawDoubt(p *peer) {
+	if p.ownDoubt == nil || p.ownDoubt.Withdrawn {
 		return
 	}
-	m.say(p, true)
+	m.publishDoubt(p, true)
 }
 
 // say tells all whether we hear a member.
-func (m *Machine) say(p *peer, over bool) {
-	p.stamp++
-	p.saidAt = m.now
-	d := Doubt{Subject: p.ID, Incarnation: p.Incarnation, Observer: m.c.ID, Version: p.stamp, Refused: p.refused && !over, Withdrawn: over}
-	p.mine = &d
-	p.doubts[m.c.ID] = &doubt{Doubt: d, heardAt: max(p.heard, p.lifeAt), at: m.now}
+func (m *Machine) publishDoubt(p *peer, withdrawn bool) {
+	p.ownDoubtVersion++
+	p.ownDoubtSentAt = m.now
+	d := Doubt{Subject: p.ID, Incarnation: p.Incarnation, Observer: m.c.ID, Version: p.ownDoubtVersion, Refused: p.refused && !withdrawn, Withdrawn: withdrawn}
+	p.ownDoubt = &d
+	p.doubts[m.c.ID] = &receivedDoubt{Doubt: d, lastHeard: max(p.lastRoundTrip, p.incarnationSince), receivedAt: m.now}
 	m.enqueue(doubtKey(p.ID, m.c.ID))
 }
 
 // silence is for how long a member that we watch has been silent, as far as that can be
 // held against it: not while we stood still, nor before it began its present life.
-func (m *Machine) silence(p *peer) time.Duration {
-	return m.now - max(p.heard, p.since, p.lifeAt, m.woke)
+func (m *Machine) silentFor(p *peer) time.Duration {
+	return m.now - max(p.lastRoundTrip, p.observedSince, p.incarnationSince, m.awakeSince)
 }
 
 // lease is until when a majority counts as being within reach, by our own round trips
 // alone. Where we watch all, it is one of the base; in a larger fleet it is one of those
 // that we watch.
-func (m *Machine) lease() time.Duration {
-	need, voter := m.needed()
-	if m.alive-1 > observers {
+func (m *Machine) quorumLease() time.Duration {
+	need, voter := m.quorumNeeded()
+	if m.aliveCount-1 > observersPerMember {
 		need, voter = (len(m.watched)+1)/2, func(Record) bool { return true }
 	}
 	if need <= 0 {
 		return forever
 	}
-	at := make([]time.Duration, 0, observers)
+	roundTrips := make([]time.Duration, 0, observersPerMember)
 	for _, p := range m.watched {
 		if p.State == Alive && voter(p.Record) {
-			at = append(at, p.heard)
+			roundTrips = append(roundTrips, p.lastRoundTrip)
 		}
 	}
-	if len(at) < need {
+	if len(roundTrips) < need {
 		return 0
 	}
-	slices.Sort(at)
-	return at[len(at)-need] + m.periods(aloneAfter)
+	slices.Sort(roundTrips)
+	return roundTrips[len(roundTrips)-need] + m.periods(isolatedAfterSilence)
 }
 
 // pick draws up to n members.
-func (m *Machine) pick(n int, fits func(*peer) bool) []*peer {
+func (m *Machine) pickRandom(n int, eligible func(*peer) bool) []*peer {
 	var list []*peer
-	for _, id := range m.order {
-		if p := m.peers[id]; fits(p) {
+	for _, id := range m.sortedIDs {
+		if p := m.peers[id]; eligible(p) {
 			list = append(list, p)
 		}
 	}
--- a/internal/fleet/member/race_off_test.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build !race
-
-package member
-
-// usual is the size of a large fleet in CI.
-const usual = 90
--- a/internal/fleet/member/share.go
+++ b/internal/fleet/member/share.go
@@ -9,11 +9,11 @@
 // Whole reports whether a majority is within reach; until is when that has to be asked
 // again at the latest. It looks at the clock that it is given, not at the last Tick: a
 // process that stood still is not whole when it wakes.
-func (m *Machine) HasQuorum(now time.Duration) (whole bool, until time.Duration) {
-	if until = m.lease(); m.flawed {
+func (m *Machine) HasQuorum(now time.Duration) (quorum bool, until time.Duration) {
+	if until = m.quorumLease(); m.ignoresIsolation {
 		until = forever
 	}
-	return m.joined && !m.leaving && !m.contest.open && !m.isolated && now < until, until
+	return m.joined && !m.leaving && !m.nameConflict.open && !m.isolated && now < until, until
 }
 
 // Share is what this mixer may use of a budget that all mixers share, from 0 to 1. The
@@ -22,62 +22,64 @@
 // one that is cut off takes half of its share before the others, who leave it that half,
 // hold it as gone; those that were never seen keep what the settings give them.
 func (m *Machine) Share(now time.Duration) float64 {
-	if !m.joined || m.leaving || m.contest.open || !m.self.Ready {
+	if !m.joined || m.leaving || m.nameConflict.open || !m.self.Ready {
 		return 0
 	}
-	if whole, _ := m.HasQuorum(now); !whole || now < m.backAt {
-		if m.isolated && now-m.isoSince > m.c.Forget/2 {
+	if quorum, _ := m.HasQuorum(now); !quorum || now < m.recoveredAt {
+		if m.isolated && now-m.isolationChangedAt > m.c.Forget/2 {
 			return 0 // the others may have forgotten us
 		}
-		return keptShare * m.wholePart
+		return isolatedShareFactor * m.lastQuorumShare
 	}
-	return min(m.cap, m.part())
+	return min(m.cap, m.fairShare())
 }
 
 // settle lets our share grow once all have had the time to learn why: whoever of them has
 // not is cut off by then and uses less. It shrinks at once. The largest that it
 // was to be of late is what somebody who was cut off may have.
-func (m *Machine) settle() {
-	now := m.part()
-	if now != m.lastPart {
-		m.lastPart, m.growAt = now, m.now+m.settled()
+func (m *Machine) updateShareLimit() {
+	now := m.fairShare()
+	if now != m.pendingShare {
+		m.pendingShare, m.shareGrowsAt = now, m.now+m.propagationTime()
 	}
-	if now < m.cap || m.now >= m.growAt {
+	if now < m.cap || m.now >= m.shareGrowsAt {
 		m.cap = now
 	}
-	if now >= m.high || m.now-m.highAt > m.periods(goneAfter)+2*m.settled() {
-		m.high, m.highAt = now, m.now
+	if now >= m.recentMaxShare || m.now-m.recentMaxShareAt > m.periods(goneAfterSilence)+2*m.propagationTime() {
+		m.recentMaxShare, m.recentMaxShareAt = now, m.now
 	}
 }
 
 // part is a member's share as this view has it.
-func (m *Machine) part() float64 {
-	m.freshen()
-	return m.partNow
+func (m *Machine) fairShare() float64 {
+	m.refreshSummary()
+	return m.fairShareNow
 }
 
 // claim is how strongly a member claims a duty: one of the zone before all others.
-type claim struct {
-	here bool
-	hash uint64
+type dutyClaim struct {
+	inZone bool
+	hash   uint64
 }
 
-func (r Record) claims(zone, key string) (c claim, may bool) {
-	return claim{zone != "" && r.Zone == zone, hash(r.ID+"\x00"+key, 0)}, r.State == Alive && r.Ready
+func (r Record) claimOn(zone, key string) (c dutyClaim, eligible bool) {
+	return dutyClaim{zone != "" && r.Zone == zone, hash(r.ID+"\x00"+key, 0)}, r.State == Alive && r.Ready
 }
 
-func (c claim) before(o claim) bool { return c.here && !o.here || c.here == o.here && c.hash > o.hash }
+func (c dutyClaim) before(o dutyClaim) bool {
+	return c.inZone && !o.inZone || c.inZone == o.inZone && c.hash > o.hash
+}
 
 // Owner is the member that has a duty: one of the zone, if any is there. "": nobody
 // can be named.
 func (m *Machine) Owner(zone, key string) string {
-	best, may := m.self.claims(zone, key)
+	best, eligible := m.self.claimOn(zone, key)
 	owner := ""
-	if may {
+	if eligible {
 		owner = m.c.ID
 	}
-	for _, id := range m.order {
-		if c, may := m.peers[id].claims(zone, key); may && (owner == "" || c.before(best)) {
+	for _, id := range m.sortedIDs {
+		if c, eligible := m.peers[id].claimOn(zone, key); eligible && (owner == "" || c.before(best)) {
 			owner, best = id, c
 		}
 	}
@@ -87,9 +89,9 @@
 // Rank is how many members come before this one for a duty. Whoever stands in for an owner
 // that says nothing waits by it, so that not all do at once.
 func (m *Machine) Rank(zone, key string) (n int) {
-	own, _ := m.self.claims(zone, key)
-	for _, id := range m.order {
-		if c, may := m.peers[id].claims(zone, key); may && c.before(own) {
+	own, _ := m.self.claimOn(zone, key)
+	for _, id := range m.sortedIDs {
+		if c, eligible := m.peers[id].claimOn(zone, key); eligible && c.before(own) {
 			n++
 		}
 	}
@@ -100,8 +102,8 @@
 // asking again. Two never hold one at once: who takes it over waits until the other has
 // lost it by its own clock, or said so.
 func (m *Machine) Mine(now time.Duration, zone, key string) (bool, time.Duration) {
-	whole, until := m.HasQuorum(now)
-	if !whole || !m.self.Ready || now < m.backAt || now < m.readyAt+m.settled() || m.Owner(zone, key) != m.c.ID {
+	quorum, until := m.HasQuorum(now)
+	if !quorum || !m.self.Ready || now < m.recoveredAt || now < m.readyAt+m.propagationTime() || m.Owner(zone, key) != m.c.ID {
 		return false, 0
 	}
 	return true, until
@@ -119,16 +121,16 @@
 
 // View is all members, by id.
 func (m *Machine) View() []MemberStatus {
-	list := []MemberStatus{{Record: m.self, State: m.self.State, Since: m.isoSince, Doubters: sortedKeys(m.against), LastHeard: m.now, Self: true}}
+	list := []MemberStatus{{Record: m.self, State: m.self.State, Since: m.isolationChangedAt, Doubters: sortedKeys(m.doubtsAboutSelf), LastHeard: m.now, Self: true}}
 	if m.isolated {
 		list[0].State = Doubted
 	}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		p := m.peers[id]
 		if p.forgotten {
 			continue
 		}
-		e := MemberStatus{Record: p.Record, State: p.shown, Since: p.changed, LastHeard: p.heard}
+		e := MemberStatus{Record: p.Record, State: p.reportedState, Since: p.reportedAt, LastHeard: p.lastRoundTrip}
 		for _, name := range sortedKeys(p.doubts) {
 			if !p.doubts[name].Withdrawn {
 				e.Doubters = append(e.Doubters, name)
@@ -157,7 +159,7 @@
 // Live names those that are there, this mixer among them, by name.
 func (m *Machine) Live() []string {
 	list := []string{m.c.ID}
-	for _, id := range m.order {
+	for _, id := range m.sortedIDs {
 		if m.peers[id].State == Alive {
 			list = append(list, id)
 		}
--- /dev/null
+++ b/internal/fleet/member/simulation_test.go
@@ -0,0 +1,371 @@
+package member
+
+import (
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"kiteloft/internal/standin/queue"
+)
+
+const (
+	ms     = time.Millisecond
+	period = 500 * ms
+)
+
+// world is a fleet of machines on a network that a test spoils. It runs on one
+// goroutine and draws from a seed: the same seed gives the same run, to the byte.
+type simulation struct {
+	t              testing.TB
+	rng            *rand.Rand
+	now            time.Duration
+	events         queue.Queue
+	eventCount     uint64
+	processes      []*process
+	lossRate       float64
+	maxDelay       time.Duration // most, one way
+	duplicateRate  float64       // share of datagrams that come twice
+	cut            map[[2]string]bool
+	byAddr         map[string]*process
+	datagramsSent  int
+	maxUpdates     int // updates in a datagram
+	changes        []observedChange
+	stopReasons    []string
+	shareSum       float64 // the largest sum of shares
+	skipInvariants bool    // the sum is not looked at
+	traceHash      uint64  // of all that happened
+}
+
+type observedChange struct {
+	observer string
+	Change
+}
+
+// proc is one process. Its machine is nil while it is dead.
+type process struct {
+	id, zone, addr string
+	machine        *Machine
+	pausedUntil    time.Duration // until then
+	generation     uint32        // on its disk
+	heldBack       []func()      // what came while it stood still
+	starts         int
+}
+
+func newSimulation(t testing.TB, seed uint64, n int) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, maxDelay: 2 * ms, cut: map[[2]string]bool{}, byAddr: map[string]*process{}}
+	for i := range n {
+		w.processes = append(w.processes, &process{id: fmt.Sprintf("n%03d", i), zone: string(rune('a' + i%3)), addr: fmt.Sprintf("h%03d", i)})
+	}
+	return w
+}
+
+func (w *simulation) schedule(d time.Duration, do func()) {
+	w.eventCount++
+	w.events.Add(w.now+d, do)
+}
+
+// start starts a process, with the first three as its seeds.
+func (w *simulation) start(p *process) {
+	p.starts++
+	var seeds []string
+	for _, s := range w.processes[:min(3, len(w.processes))] {
+		seeds = append(seeds, s.addr)
+	}
+	p.machine = New(Config{ID: p.id, Zone: p.zone, Addr: p.addr, Instance: w.rng.Uint64() | 1, Generation: p.generation, Period: period,
+		Forget: 10 * time.Minute, Expected: len(w.processes), Seed: w.rng.Uint64(), Seeds: seeds}, w.now)
+	p.pausedUntil, p.heldBack = 0, nil
+	w.tick(p, p.machine)
+}
+
+func (w *simulation) startAll() {
+	for _, p := range w.processes {
+		w.schedule(time.Duration(w.rng.IntN(50))*ms, func() { w.start(p) })
+	}
+}
+
+func (w *simulation) tick(p *process, machine *Machine) {
+	if p.machine != machine {
+		return
+	}
+	if p.pausedUntil <= w.now {
+		machine.Tick(w.now)
+		w.applyOutput(p)
+	}
+	w.schedule(max(machine.periods(tickInterval), p.pausedUntil-w.now), func() { w.tick(p, machine) })
+}
+
+// pause stops a process for a while; what comes meanwhile waits for it.
+func (w *simulation) pause(p *process, d time.Duration) {
+	p.pausedUntil = w.now + d
+	w.schedule(d, func() {
+		if p.machine != nil && w.now >= p.pausedUntil {
+			w.resume(p)
+		}
+	})
+}
+
+// wake hands a process what came while it stood still; half of the time its clock is
+// looked at first.
+func (w *simulation) resume(p *process) {
+	heldBack := p.heldBack
+	p.heldBack = nil
+	if w.rng.IntN(2) == 0 {
+		p.machine.Tick(w.now)
+		w.applyOutput(p)
+	}
+	for _, do := range heldBack {
+		do()
+	}
+}
+
+func (w *simulation) kill(p *process) { p.machine, p.heldBack = nil, nil }
+
+func (w *simulation) processAt(addr string) *process {
+	p := w.byAddr[addr]
+	if p == nil || p.addr != addr {
+		i := slices.IndexFunc(w.processes, func(p *process) bool { return p.addr == addr })
+		p = w.processes[i]
+		w.byAddr[addr] = p
+	}
+	return p
+}
+
+func (w *simulation) isLost(from, to *process) bool {
+	return w.cut[[2]string{from.id, to.id}] || w.rng.Float64() < w.lossRate
+}
+
+func (w *simulation) latency() time.Duration {
+	return time.Duration(1 + w.rng.Int64N(int64(w.maxDelay)))
+}
+
+// deliver runs something at a process, once it does not stand still.
+func (w *simulation) deliver(p *process, machine *Machine, do func()) {
+	if machine == nil || p.machine != machine {
+		return
+	}
+	if p.pausedUntil > w.now {
+		p.heldBack = append(p.heldBack, func() { w.deliver(p, machine, do) })
+		return
+	}
+	do()
+	if p.machine == machine {
+		w.applyOutput(p)
+	}
+}
+
+// carry carries out what a machine wants.
+func (w *simulation) applyOutput(p *process) {
+	machine := p.machine
+	out := machine.TakeOutput()
+	p.generation = max(p.generation, machine.self.Incarnation.Generation)
+	for _, e := range out.Send {
+		w.datagramsSent++
+		w.recordTrace("send", p.id, e.ID, e.Message.Kind, e.Message.Seq)
+		w.maxUpdates = max(w.maxUpdates, len(e.Message.Records)+len(e.Message.Doubts)+len(e.Message.News))
+		to := w.processAt(e.Addr)
+		copies := 1
+		if w.rng.Float64() < w.duplicateRate {
+			copies = 2
+		}
+		for range copies {
+			if !w.isLost(p, to) {
+				w.schedule(w.latency(), func() { w.deliver(to, to.machine, func() { to.machine.Receive(w.now, e.Message) }) })
+			}
+		}
+	}
+	for _, x := range out.Exchanges {
+		w.runExchange(p, machine, x)
+	}
+	for _, c := range out.Changes {
+		w.recordTrace("change", p.id, c.ID, c.From, c.To)
+		w.changes = append(w.changes, observedChange{p.id, c})
+	}
+	if out.Stop != "" {
+		w.stopReasons = append(w.stopReasons, p.id+"@"+p.addr+": "+out.Stop)
+		w.kill(p)
+	}
+}
+
+func (w *simulation) recordTrace(words ...any) {
+	h := fnv.New64a()
+	fmt.Fprint(h, w.traceHash, w.now, words)
+	w.traceHash = h.Sum64()
+}
+
+// exchange is a connection: loss only delays it, a cut ends it in silence, and a dead
+// process's machine refuses it.
+func (w *simulation) runExchange(p *process, machine *Machine, x Exchange) {
+	to := w.processAt(x.Addr)
+	open := func() bool { return !w.cut[[2]string{p.id, to.id}] && !w.cut[[2]string{to.id, p.id}] }
+	connectionLatency := func() time.Duration {
+		d := w.latency()
+		for w.rng.Float64() < w.lossRate {
+			d += 200 * ms // sent again
+		}
+		return d
+	}
+	w.schedule(connectionLatency(), func() {
+		if !open() {
+			return
+		}
+		if to.machine == nil {
+			w.schedule(connectionLatency(), func() { w.deliver(p, machine, func() { machine.Refused(w.now, x.Target) }) })
+			return
+		}
+		w.deliver(to, to.machine, func() {
+			back := to.machine.AnswerExchange(w.now, x.Message)
+			w.schedule(connectionLatency(), func() {
+				if open() {
+					w.deliver(p, machine, func() { machine.ExchangeDone(w.now, x.Target, back) })
+				}
+			})
+		})
+	})
+}
+
+// run lets time go by.
+func (w *simulation) run(d time.Duration) {
+	w.events.Run(&w.now, d, func() {
+		if !w.skipInvariants && w.eventCount%16 == 0 {
+			w.checkInvariants()
+		}
+	})
+}
+
+// look adds up what all processes that run may use of a shared budget, and asks who
+// holds a duty. One that stands still uses nothing: it asks anew when it wakes.
+func (w *simulation) checkInvariants() {
+	shareSum, owner := 0.0, ""
+	for _, p := range w.processes {
+		if p.machine == nil || p.pausedUntil > w.now {
+			continue
+		}
+		shareSum += p.machine.Share(w.now)
+		if mine, _ := p.machine.Mine(w.now, "", "duty"); mine {
+			if owner != "" {
+				w.t.Fatalf("%v: %s and %s hold one duty\n%s", w.now, owner, p.id, w.describeViews())
+			}
+			owner = p.id
+		}
+	}
+	if w.shareSum = max(w.shareSum, shareSum); shareSum > 1+1e-9 {
+		w.t.Fatalf("%v: shares add up to %.4f\n%s", w.now, shareSum, w.describeViews())
+	}
+}
+
+// views shows what each process holds of the others.
+func (w *simulation) describeViews() string {
+	var b strings.Builder
+	for _, p := range w.processes {
+		if p.machine == nil {
+			fmt.Fprintf(&b, "%s dead\n", p.id)
+			continue
+		}
+		fmt.Fprintf(&b, "%s share %.4f isolated %v ready %v:", p.id, p.machine.Share(w.now), p.machine.Isolated(), p.machine.self.Ready)
+		for _, e := range p.machine.View() {
+			fmt.Fprintf(&b, " %s=%v/%d.%d", e.ID, e.State, e.Incarnation.Generation, e.Incarnation.Turn)
+		}
+		fmt.Fprintln(&b)
+	}
+	return b.String()
+}
+
+// agree reports whether all that run hold the same: those that run are alive, nobody
+// else is.
+func (w *simulation) converged() bool {
+	up := map[string]bool{}
+	for _, p := range w.processes {
+		if p.machine != nil {
+			up[p.id] = true
+		}
+	}
+	for _, p := range w.processes {
+		if p.machine == nil {
+			continue
+		}
+		if p.machine.Alive() != len(up) || p.machine.isolated {
+			return false
+		}
+		for _, q := range p.machine.peers {
+			if (q.reportedState == Alive) != up[q.ID] {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// until runs until a condition holds and returns how long that took.
+func (w *simulation) runUntil(limit time.Duration, what string, ok func() bool) time.Duration {
+	w.t.Helper()
+	begun := w.now
+	for !ok() {
+		if w.now-begun > limit {
+			w.t.Fatalf("waited %v in vain until %s\n%s", limit, what, w.describeViews())
+		}
+		w.run(10 * ms)
+	}
+	return w.now - begun
+}
+
+// settle starts a fleet and lets it come to rest.
+func settledFleet(t testing.TB, seed uint64, n int) *simulation {
+	w := newSimulation(t, seed, n)
+	w.startAll()
+	w.run(100 * ms)
+	w.runUntil(time.Minute, "all know all", w.converged)
+	w.runUntil(time.Minute, "all are ready", func() bool {
+		return !slices.ContainsFunc(w.processes, func(p *process) bool { return p.machine.Share(w.now) == 0 })
+	})
+	w.run(10 * period)
+	w.changes = nil
+	return w
+}
+
+// cutOff cuts every link from one side to the other.
+func (w *simulation) setCut(from, to []*process, cut bool) {
+	for _, a := range from {
+		for _, b := range to {
+			if a != b {
+				w.cut[[2]string{a.id, b.id}] = cut
+			}
+		}
+	}
+}
+
+func (w *simulation) zone(name string) (in, out []*process) {
+	for _, p := range w.processes {
+		if p.zone == name {
+			in = append(in, p)
+		} else {
+			out = append(out, p)
+		}
+	}
+	return in, out
+}
+
+// thrownOut is the changes by which somebody was held as gone.
+func (w *simulation) declaredGone() (list []observedChange) {
+	for _, c := range w.changes {
+		if c.To == Gone {
+			list = append(list, c)
+		}
+	}
+	return list
+}
+
+// flaps is the most often that one view changed one member's state since the changes
+// were last cleared.
+func (w *simulation) maxChangesPerMember() (most int) {
+	count := map[[2]string]int{}
+	for _, c := range w.changes {
+		key := [2]string{c.observer, c.ID}
+		count[key]++
+		most = max(most, count[key])
+	}
+	return most
+}
