--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -154,7 +154,7 @@
 func limits(x accord.ActiveRules, cfg config.Config) broker.Limits {
 	r := x.Rules
 	l := broker.Limits{Version: x.VersionNumber, Copies: r.Copies, RetryBudgetRatio: r.RetryBudgetRatio, RetryBudgetBase: r.RetryBudgetBase, ColdShare: r.ColdShare,
-		Barred: r.Barred, Left: map[int]bool{}, Storm: storm.Shares{Retries: r.StormRetries, Good: r.StormGood}}
+		Barred: r.Barred, Left: map[int]bool{}, Storm: storm.Shares{Retries: r.StormRetries, InTimeShare: r.StormGood}}
 	if r.Attempts < version.Unlimited {
 		l.MaxAttempts = r.Attempts
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -160,7 +160,7 @@
 	counts *counts.Set       // nil: nothing is counted
 	recent *counts.Recent    // latest events by query, for the log lines of guards
 	listed time.Duration     // time of the last list update
-	watch  *storm.Watch
+	watch  *storm.Detector
 	judged time.Duration
 	mail   mailbox
 	timers timers
@@ -436,7 +436,7 @@
 		return ShuttingDown, nil
 	}
 	sum := c.sum(in)
-	c.watch.Asked(c.now, in.Repeat, sum)
+	c.watch.RecordQuery(c.now, in.Repeat, sum)
 	// Bounds memory, and keeps to the number of open queries and parts that the module's
 	// settings promise it.
 	if most := c.limits.MaxOpen; most > 0 && c.held+1+len(in.Parts) > most {
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -34,7 +34,7 @@
 // SetLimits sets the limits that hold from now on. Attempts that are out go on.
 func (c *Core) SetLimits(l Limits) {
 	c.limits = l
-	c.watch.Set(l.Storm)
+	c.watch.SetThresholds(l.Storm)
 	c.events = append(c.events, decide.Limits{MaxAttempts: l.MaxAttempts, CopiesAllowed: l.Copies, RetryBudgetRatio: l.RetryBudgetRatio,
 		RetryBudgetBase: l.RetryBudgetBase, ColdBudgetFactor: l.ColdShare * c.set.Module.ColdBudgetFactor, Allowances: l.Allowances, Shares: l.Shares})
 	old := c.barred
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -43,7 +43,7 @@
 // judge evaluates the retry-storm state and logs a change.
 func (c *Core) judge() {
 	c.judged = c.now
-	if change, ok := c.watch.Judge(c.now); ok {
+	if change, ok := c.watch.Evaluate(c.now); ok {
 		c.log.Storm(change.To.String(), change.String())
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -29,7 +29,7 @@
 func BaseRules(set settings.Settings) version.Rules {
 	m := set.Module
 	r := version.Rules{Attempts: m.MaxAttempts, Copies: m.CopiesAllowed, RetryBudgetRatio: m.RetryBudgetRatio, RetryBudgetBase: m.RetryBudgetBase, ColdShare: 1,
-		MaxOpen: m.MaxOpen, Allowances: map[string]float64{}, StormRetries: storm.Usual.Retries, StormGood: storm.Usual.Good}
+		MaxOpen: m.MaxOpen, Allowances: map[string]float64{}, StormRetries: storm.DefaultThresholds.Retries, StormGood: storm.DefaultThresholds.InTimeShare}
 	if r.Attempts <= 0 {
 		r.Attempts = version.Unlimited
 	}
@@ -98,8 +98,8 @@
 	}
 	list := []error{whole("attempts", d.Attempts, version.MinAttempts, base.Attempts), whole("max_open", d.MaxOpen, 1, base.MaxOpen),
 		half("further_ratio", d.RetryBudgetRatio, base.RetryBudgetRatio), half("further_spare", d.RetryBudgetBase, base.RetryBudgetBase),
-		half("cold_share", d.ColdShare, base.ColdShare), between("storm_retries", d.StormRetries, storm.LeastRetries, storm.MostRetries),
-		between("storm_good", d.StormGood, storm.LeastGood, storm.MostGood)}
+		half("cold_share", d.ColdShare, base.ColdShare), between("storm_retries", d.StormRetries, storm.MinRetryShare, storm.MaxRetryShare),
+		between("storm_good", d.StormGood, storm.MinInTimeShare, storm.MaxInTimeShare)}
 	for _, tenant := range slices.Sorted(maps.Keys(d.Allowances)) {
 		x, known := base.Allowances[tenant]
 		if !known {
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -22,256 +22,256 @@
 	Recovering       // queries are answered in time again, but clients still retry
 )
 
-var names = [...]string{"calm", "rising", "storm", "recovering"}
+var stateNames = [...]string{"calm", "rising", "storm", "recovering"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 const (
-	fast        = time.Second            // averaging time of the current rates
-	surgePace   = 300 * time.Millisecond // averaging time by which it is known that retries have stopped
-	usualPace   = 60 * time.Second       // averaging time of the usual rate, learned while calm
-	memory      = 4 * time.Second        // how long a query is remembered, to recognize its retry
-	maxSeen     = 4096                   // queries remembered
-	leastEvents = 5.0                    // queries within the fast averaging time below which shares mean nothing
+	currentTimeConstant = time.Second            // averaging time of the current rates
+	surgeTimeConstant   = 300 * time.Millisecond // averaging time by which it is known that retries have stopped
+	usualTimeConstant   = 60 * time.Second       // averaging time of the usual rate, learned while calm
+	retryMemory         = 4 * time.Second        // how long a query is remembered, to recognize its retry
+	maxRemembered       = 4096                   // queries remembered
+	minEvents           = 5.0                    // queries within currentTimeConstant below which shares mean nothing
 )
 
 // Thresholds at which the state changes, and how long they must be met. Leaving a state
 // takes better figures than those at which it was entered, so that the state does not flap.
 const (
-	risingRetries = 0.25                    // Rising: share of retries among the queries, above this
-	risingGood    = 0.85                    // Rising: share of queries answered in time, below this
-	backGood      = 0.75                    // Recovering: share of queries answered in time, above this
-	calmRetries   = 0.10                    // Calm: share of retries among the queries, below this
-	calmGood      = 0.93                    // Calm: share of queries answered in time, above this
-	surgeShare    = 0.5                     // share of risingRetries that must still be coming in
-	holdUp        = 1500 * time.Millisecond // before a change to Rising or Storm
-	holdDown      = 2 * time.Second         // before a change to Recovering or Calm
+	risingRetryShare      = 0.25                    // Rising: share of retries among the queries, above this
+	risingInTimeShare     = 0.85                    // Rising: share of queries answered in time, below this
+	recoveringInTimeShare = 0.75                    // Recovering: share of queries answered in time, above this
+	calmRetryShare        = 0.10                    // Calm: share of retries among the queries, below this
+	calmInTimeShare       = 0.93                    // Calm: share of queries answered in time, above this
+	ongoingSurgeShare     = 0.5                     // share of risingRetryShare that must still be coming in
+	escalateAfter         = 1500 * time.Millisecond // before a change to Rising or Storm
+	recoverAfter          = 2 * time.Second         // before a change to Recovering or Calm
 )
 
 // Shares are the thresholds of a storm. Operators may change them while the service runs,
 // as they know what is usual for their clients.
 type Shares struct {
-	Retries float64 // a storm has a greater share of retries among the queries
-	Good    float64 // and a smaller share of queries that are answered in time
+	Retries     float64 // a storm has a greater share of retries among the queries
+	InTimeShare float64 // and a smaller share of queries that are answered in time
 }
 
-// Usual are the default thresholds.
-var Usual = Shares{Retries: 0.35, Good: 0.5}
+// DefaultThresholds hold until operators set others.
+var DefaultThresholds = Shares{Retries: 0.35, InTimeShare: 0.5}
 
 // Bounds of the thresholds. With fewer retries a storm would begin before the Rising
 // state, and with more queries in time it would end as it begins.
 const (
-	LeastRetries = risingRetries
-	MostRetries  = 0.9
-	LeastGood    = 0.1
-	MostGood     = backGood
+	MinRetryShare  = risingRetryShare
+	MaxRetryShare  = 0.9
+	MinInTimeShare = 0.1
+	MaxInTimeShare = recoveringInTimeShare
 )
 
-// rate is a count of events that decays exponentially with time constant pace.
+// rate is a count of events that decays exponentially with a time constant.
 type rate struct {
-	sum  float64
-	at   time.Duration
-	pace time.Duration
+	sum          float64
+	at           time.Duration
+	timeConstant time.Duration
 }
 
 func (r *rate) add(now time.Duration, n float64) {
-	r.sum = r.sum*math.Exp(-(now-r.at).Seconds()/r.pace.Seconds()) + n
+	r.sum = r.sum*math.Exp(-(now-r.at).Seconds()/r.timeConstant.Seconds()) + n
 	r.at = now
 }
 
 // count returns the decayed number of events.
 func (r *rate) count(now time.Duration) float64 {
-	return r.sum * math.Exp(-(now-r.at).Seconds()/r.pace.Seconds())
+	return r.sum * math.Exp(-(now-r.at).Seconds()/r.timeConstant.Seconds())
 }
 
-func (r *rate) perSecond(now time.Duration) float64 { return r.count(now) / r.pace.Seconds() }
+func (r *rate) perSecond(now time.Duration) float64 { return r.count(now) / r.timeConstant.Seconds() }
 
-// Watch tracks the state of one mixer's service. It is not safe for concurrent use.
-type Watch struct {
-	state                State
-	since                time.Duration // when the state began
-	held                 time.Duration // since when the condition of next has been met; 0: it is not
-	next                 State
-	firsts, again, surge rate                     // first tries; retries; retries, with the short averaging time
-	good, bad            rate                     // queries answered in time; all others that ended
-	usual                rate                     // first tries while calm
-	kept                 float64                  // usual first tries a second, as of the end of calm
-	seen                 map[uint64]time.Duration // remembered queries by hash, and when they last came
-	order                []uint64                 // ring of the remembered hashes
-	head                 int                      // oldest entry of the ring, once it is full
-	began                bool                     // a query has come
-	start                time.Duration            // when learning the usual rate began
-	at                   Shares
+// Detector tracks the state of one mixer's service. It is not safe for concurrent use.
+type Detector struct {
+	state                              State
+	stateSince                         time.Duration // when the state began
+	nextSince                          time.Duration // since when the condition of next has been met; 0: it is not
+	next                               State
+	firstTries, retries, recentRetries rate                     // first tries; retries; retries, with the short averaging time
+	answeredInTime, notInTime          rate                     // queries answered in time; all others that ended
+	usualFirstTries                    rate                     // first tries while calm
+	frozenUsualRate                    float64                  // usual first tries a second, as of the end of calm
+	lastSeen                           map[uint64]time.Duration // remembered queries by hash, and when they last came
+	ring                               []uint64                 // ring of the remembered hashes
+	ringHead                           int                      // oldest entry of the ring, once it is full
+	started                            bool                     // a query has come
+	learningSince                      time.Duration            // when learning the usual rate began
+	thresholds                         Shares
 }
 
-// New returns a Watch in state Calm.
-func New() *Watch {
-	w := &Watch{at: Usual, seen: map[uint64]time.Duration{}, order: make([]uint64, 0, maxSeen)}
-	for _, r := range []*rate{&w.firsts, &w.again, &w.good, &w.bad} {
-		r.pace = fast
+// New returns a Detector in state Calm.
+func New() *Detector {
+	d := &Detector{thresholds: DefaultThresholds, lastSeen: map[uint64]time.Duration{}, ring: make([]uint64, 0, maxRemembered)}
+	for _, r := range []*rate{&d.firstTries, &d.retries, &d.answeredInTime, &d.notInTime} {
+		r.timeConstant = currentTimeConstant
 	}
-	w.usual.pace, w.surge.pace = usualPace, surgePace
-	return w
+	d.usualFirstTries.timeConstant, d.recentRetries.timeConstant = usualTimeConstant, surgeTimeConstant
+	return d
 }
 
-// Set sets the thresholds of a storm.
-func (w *Watch) Set(s Shares) { w.at = s }
+// SetThresholds sets the thresholds of a storm.
+func (d *Detector) SetThresholds(s Shares) { d.thresholds = s }
 
-// Figures are the measurements that the state follows from.
-type Figures struct {
-	Firsts  float64 // first tries a second
-	Retries float64 // retries a second
-	Usual   float64 // first tries a second while calm
-	Good    float64 // share of ended queries that were answered in time
+// Measurements are the measurements that the state follows from.
+type Measurements struct {
+	FirstTryRate float64 // first tries a second
+	Retries      float64 // retries a second
+	UsualRate    float64 // first tries a second while calm
+	InTimeShare  float64 // share of ended queries that were answered in time
 }
 
 // RetryShare returns the share of retries among the queries.
-func (f Figures) RetryShare() float64 {
-	if f.Firsts+f.Retries == 0 {
+func (f Measurements) RetryShare() float64 {
+	if f.FirstTryRate+f.Retries == 0 {
 		return 0
 	}
-	return f.Retries / (f.Firsts + f.Retries)
+	return f.Retries / (f.FirstTryRate + f.Retries)
 }
 
 // Change is a change of state, with the measurements that led to it.
 type Change struct {
 	From, To State
-	After    time.Duration // how long the old state lasted
-	Figures
+	Lasted   time.Duration // how long the old state lasted
+	Measurements
 }
 
 // String describes the change for the log.
 func (c Change) String() string {
 	return fmt.Sprintf("%v after %v of %v: %.0f%% answered in time, %.1f first tries and %.1f repeats a second, %.1f first tries usually",
-		c.To, c.After.Round(10*time.Millisecond), c.From, 100*c.Good, c.Firsts, c.Retries, c.Usual)
+		c.To, c.Lasted.Round(10*time.Millisecond), c.From, 100*c.InTimeShare, c.FirstTryRate, c.Retries, c.UsualRate)
 }
 
 // State returns the current state.
-func (w *Watch) State() State { return w.state }
+func (d *Detector) State() State { return d.state }
 
-// Asked records a query and reports whether it is a retry. Marked says that the client
+// RecordQuery records a query and reports whether it is a retry. Marked says that the client
 // declares it as one. Sum is a hash of the query's key or, if it has none, of its content,
 // by which retries that are not declared are recognized; 0 if there is no hash.
-func (w *Watch) Asked(now time.Duration, marked bool, sum uint64) (repeat bool) {
-	if !w.began {
-		w.began, w.start, w.since = true, now, now
+func (d *Detector) RecordQuery(now time.Duration, marked bool, sum uint64) (repeat bool) {
+	if !d.started {
+		d.started, d.learningSince, d.stateSince = true, now, now
 	}
-	at, known := w.seen[sum]
-	repeat = marked || sum != 0 && known && now-at <= memory
+	at, known := d.lastSeen[sum]
+	repeat = marked || sum != 0 && known && now-at <= retryMemory
 	if sum != 0 {
-		w.remember(now, sum, known)
+		d.remember(now, sum, known)
 	}
 	if repeat {
-		w.again.add(now, 1)
-		w.surge.add(now, 1)
+		d.retries.add(now, 1)
+		d.recentRetries.add(now, 1)
 		return true
 	}
-	w.firsts.add(now, 1)
-	if w.state == Calm {
-		w.usual.add(now, 1)
+	d.firstTries.add(now, 1)
+	if d.state == Calm {
+		d.usualFirstTries.add(now, 1)
 	}
 	return false
 }
 
-// remember keeps the latest queries in a ring of maxSeen hashes.
-func (w *Watch) remember(now time.Duration, sum uint64, known bool) {
-	w.seen[sum] = now
+// remember keeps the latest queries in a ring of maxRemembered hashes.
+func (d *Detector) remember(now time.Duration, sum uint64, known bool) {
+	d.lastSeen[sum] = now
 	switch {
 	case known: // it keeps its place in the ring, so it may be forgotten a little early
-	case len(w.order) < maxSeen:
-		w.order = append(w.order, sum)
+	case len(d.ring) < maxRemembered:
+		d.ring = append(d.ring, sum)
 	default:
-		delete(w.seen, w.order[w.head])
-		w.order[w.head] = sum
-		w.head = (w.head + 1) % maxSeen
+		delete(d.lastSeen, d.ring[d.ringHead])
+		d.ring[d.ringHead] = sum
+		d.ringHead = (d.ringHead + 1) % maxRemembered
 	}
 }
 
 // Ended records how a query ended. InTime says that it was answered within the aim of its
 // class, while the answer had its full worth.
-func (w *Watch) Ended(now time.Duration, inTime bool) {
+func (d *Detector) Ended(now time.Duration, inTime bool) {
 	if inTime {
-		w.good.add(now, 1)
+		d.answeredInTime.add(now, 1)
 	} else {
-		w.bad.add(now, 1)
+		d.notInTime.add(now, 1)
 	}
 }
 
-// Figures returns the current measurements.
-func (w *Watch) Figures(now time.Duration) Figures {
-	f := Figures{Firsts: w.firsts.perSecond(now), Retries: w.again.perSecond(now), Good: 1}
-	if f.Usual = w.kept; w.state == Calm {
-		seen := max(now-w.start, time.Second)
-		f.Usual = w.usual.perSecond(now) / (1 - math.Exp(-seen.Seconds()/usualPace.Seconds()))
+// Measurements returns the current measurements.
+func (d *Detector) Measurements(now time.Duration) Measurements {
+	f := Measurements{FirstTryRate: d.firstTries.perSecond(now), Retries: d.retries.perSecond(now), InTimeShare: 1}
+	if f.UsualRate = d.frozenUsualRate; d.state == Calm {
+		seen := max(now-d.learningSince, time.Second)
+		f.UsualRate = d.usualFirstTries.perSecond(now) / (1 - math.Exp(-seen.Seconds()/usualTimeConstant.Seconds()))
 	}
-	if ended := w.good.count(now) + w.bad.count(now); ended > 0 {
-		f.Good = w.good.count(now) / ended
+	if ended := d.answeredInTime.count(now) + d.notInTime.count(now); ended > 0 {
+		f.InTimeShare = d.answeredInTime.count(now) / ended
 	}
 	return f
 }
 
-// Judge updates the state and returns the change, if there is one. It is to be called at
+// Evaluate updates the state and returns the change, if there is one. It is to be called at
 // regular intervals.
-func (w *Watch) Judge(now time.Duration) (Change, bool) {
-	f := w.Figures(now)
-	to := w.want(now, f)
-	if to == w.state {
-		w.held = 0
+func (d *Detector) Evaluate(now time.Duration) (Change, bool) {
+	f := d.Measurements(now)
+	to := d.nextState(now, f)
+	if to == d.state {
+		d.nextSince = 0
 		return Change{}, false
 	}
-	if w.held == 0 || w.next != to {
-		w.held, w.next = now, to
+	if d.nextSince == 0 || d.next != to {
+		d.nextSince, d.next = now, to
 	}
-	hold := holdUp
+	hold := escalateAfter
 	if to == Calm || to == Recovering {
-		hold = holdDown
+		hold = recoverAfter
 	}
-	if now-w.held < hold {
+	if now-d.nextSince < hold {
 		return Change{}, false
 	}
-	c := Change{From: w.state, To: to, After: now - w.since, Figures: f}
-	if w.state == Calm {
-		w.kept = f.Usual // the usual rate is not learned during an outage
+	c := Change{From: d.state, To: to, Lasted: now - d.stateSince, Measurements: f}
+	if d.state == Calm {
+		d.frozenUsualRate = f.UsualRate // the usual rate is not learned during an outage
 	}
 	if to == Calm {
-		w.usual.sum, w.usual.at, w.start = w.kept*usualPace.Seconds(), now, 0
+		d.usualFirstTries.sum, d.usualFirstTries.at, d.learningSince = d.frozenUsualRate*usualTimeConstant.Seconds(), now, 0
 	}
-	w.state, w.since, w.held = to, now, 0
+	d.state, d.stateSince, d.nextSince = to, now, 0
 	return c, true
 }
 
-// want returns the state that the figures call for. A surge of first tries is no storm,
+// nextState returns the state that the figures call for. A surge of first tries is no storm,
 // however they end; nor is a small number of retries.
-func (w *Watch) want(now time.Duration, f Figures) State {
-	few := w.good.count(now)+w.bad.count(now) < leastEvents
+func (d *Detector) nextState(now time.Duration, f Measurements) State {
+	few := d.answeredInTime.count(now)+d.notInTime.count(now) < minEvents
 	retries := f.RetryShare()
 	// After a short burst of refusals the retries still show in the averages, though no
 	// more are coming.
-	coming := w.surge.perSecond(now) > surgeShare*risingRetries*(f.Firsts+f.Retries)
-	storm := !few && coming && retries > w.at.Retries && f.Good < w.at.Good
-	switch w.state {
+	coming := d.recentRetries.perSecond(now) > ongoingSurgeShare*risingRetryShare*(f.FirstTryRate+f.Retries)
+	storm := !few && coming && retries > d.thresholds.Retries && f.InTimeShare < d.thresholds.InTimeShare
+	switch d.state {
 	case Calm:
-		if !few && coming && retries > risingRetries && f.Good < risingGood {
+		if !few && coming && retries > risingRetryShare && f.InTimeShare < risingInTimeShare {
 			return Rising
 		}
 	case Rising:
 		switch {
 		case storm:
 			return Storm
-		case few || retries < calmRetries || f.Good > calmGood:
+		case few || retries < calmRetryShare || f.InTimeShare > calmInTimeShare:
 			return Calm
 		}
 	case Storm:
-		if few || f.Good > backGood || retries < calmRetries {
+		if few || f.InTimeShare > recoveringInTimeShare || retries < calmRetryShare {
 			return Recovering
 		}
 	case Recovering:
 		switch {
 		case storm:
 			return Storm
-		case few || retries < calmRetries && f.Good > calmGood:
+		case few || retries < calmRetryShare && f.InTimeShare > calmInTimeShare:
 			return Calm
 		}
 	}
-	return w.state
+	return d.state
 }
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -16,16 +16,16 @@
 	pure.Imports(t, "fmt", "math", "time")
 }
 
-// stretch is a period with constant rates of queries and answers.
-type stretch struct {
+// period is a time span with constant rates of queries and answers.
+type period struct {
 	seconds       float64
 	first, repeat int     // a second
 	good          float64 // share answered in time
 	unmarked      bool    // clients don't declare their retries
 }
 
-// play simulates stretches and returns the states in order.
-func play(w *Watch, list []stretch) (states []State) {
+// simulate runs a Detector through periods and returns its states in order.
+func simulate(w *Detector, list []period) (states []State) {
 	now := time.Hour
 	id, asked, good := uint64(0), 0.0, 0.0
 	states = []State{w.State()}
@@ -39,14 +39,14 @@
 				if !repeat {
 					id++
 				}
-				w.Asked(now, repeat && !s.unmarked, id)
+				w.RecordQuery(now, repeat && !s.unmarked, id)
 				good += s.good
 				w.Ended(now, good >= 1)
 				if good >= 1 {
 					good--
 				}
 			}
-			if c, ok := w.Judge(now); ok {
+			if c, ok := w.Evaluate(now); ok {
 				states = append(states, c.To)
 			}
 		}
@@ -55,57 +55,57 @@
 }
 
 func TestStates(t *testing.T) {
-	usual := stretch{seconds: 20, first: 30, good: 0.99}
+	usual := period{seconds: 20, first: 30, good: 0.99}
 	tests := []struct {
 		name string
-		list []stretch
+		list []period
 		want []State
 	}{
-		{"nothing but the usual", []stretch{usual, usual}, []State{Calm}},
-		{"an outage and its end", []stretch{usual, {seconds: 8, first: 30, repeat: 70}, {seconds: 6, first: 30, repeat: 40, good: 0.8}, usual},
+		{"nothing but the usual", []period{usual, usual}, []State{Calm}},
+		{"an outage and its end", []period{usual, {seconds: 8, first: 30, repeat: 70}, {seconds: 6, first: 30, repeat: 40, good: 0.8}, usual},
 			[]State{Calm, Rising, Storm, Recovering, Calm}},
-		{"an outage whose clients mark nothing", []stretch{usual, {seconds: 8, first: 30, repeat: 70, unmarked: true}, usual}, []State{Calm, Rising, Storm, Recovering, Calm}},
-		{"a burst of first tries", []stretch{usual, {seconds: 8, first: 57, good: 0.6}, usual}, []State{Calm}},
-		{"one silent node: some late, few ask again", []stretch{usual, {seconds: 10, first: 30, repeat: 3, good: 0.9}, usual}, []State{Calm}},
-		{"a wave of refusals while clients stay away", []stretch{usual, {seconds: 0.3, first: 30, repeat: 500}, usual}, []State{Calm}},
-		{"clients that ask twice and are served", []stretch{usual, {seconds: 10, first: 30, repeat: 30, good: 0.99}, usual}, []State{Calm}},
-		{"nobody asks", []stretch{usual, {seconds: 60}}, []State{Calm}},
-		{"an outage, then nobody", []stretch{usual, {seconds: 8, first: 30, repeat: 70}, {seconds: 30}}, []State{Calm, Rising, Storm, Recovering, Calm}},
-		{"an outage that returns every 8 s", []stretch{usual, {seconds: 8, first: 30, repeat: 70}, {seconds: 8, first: 30, repeat: 20, good: 0.8}, {seconds: 8, first: 30, repeat: 70},
+		{"an outage whose clients mark nothing", []period{usual, {seconds: 8, first: 30, repeat: 70, unmarked: true}, usual}, []State{Calm, Rising, Storm, Recovering, Calm}},
+		{"a burst of first tries", []period{usual, {seconds: 8, first: 57, good: 0.6}, usual}, []State{Calm}},
+		{"one silent node: some late, few ask again", []period{usual, {seconds: 10, first: 30, repeat: 3, good: 0.9}, usual}, []State{Calm}},
+		{"a wave of refusals while clients stay away", []period{usual, {seconds: 0.3, first: 30, repeat: 500}, usual}, []State{Calm}},
+		{"clients that ask twice and are served", []period{usual, {seconds: 10, first: 30, repeat: 30, good: 0.99}, usual}, []State{Calm}},
+		{"nobody asks", []period{usual, {seconds: 60}}, []State{Calm}},
+		{"an outage, then nobody", []period{usual, {seconds: 8, first: 30, repeat: 70}, {seconds: 30}}, []State{Calm, Rising, Storm, Recovering, Calm}},
+		{"an outage that returns every 8 s", []period{usual, {seconds: 8, first: 30, repeat: 70}, {seconds: 8, first: 30, repeat: 20, good: 0.8}, {seconds: 8, first: 30, repeat: 70},
 			{seconds: 8, first: 30, repeat: 20, good: 0.8}, usual}, []State{Calm, Rising, Storm, Recovering, Storm, Recovering, Calm}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if diff := cmp.Diff(tt.want, play(New(), tt.list)); diff != "" {
+			if diff := cmp.Diff(tt.want, simulate(New(), tt.list)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestWhatIsUsualIsLearnedInCalm checks that an outage does not change the usual rate.
-func TestWhatIsUsualIsLearnedInCalm(t *testing.T) {
+// TestUsualRateLearnedWhileCalm checks that an outage does not change the usual rate.
+func TestUsualRateLearnedWhileCalm(t *testing.T) {
 	w := New()
-	play(w, []stretch{{seconds: 60, first: 30, good: 1}, {seconds: 20, first: 10, repeat: 200}})
-	if f := w.Figures(time.Hour + 80*time.Second); f.Usual < 27 || f.Usual > 33 {
-		t.Errorf("%.1f first tries a second are usual, 30 were", f.Usual)
+	simulate(w, []period{{seconds: 60, first: 30, good: 1}, {seconds: 20, first: 10, repeat: 200}})
+	if f := w.Measurements(time.Hour + 80*time.Second); f.UsualRate < 27 || f.UsualRate > 33 {
+		t.Errorf("%.1f first tries a second are usual, 30 were", f.UsualRate)
 	}
 }
 
-// TestNoFigureIsOdd feeds random events: shares stay within 0 and 1, memory is bounded,
+// TestMeasurementsInRange feeds random events: shares stay within 0 and 1, memory is bounded,
 // and only the allowed changes of state occur.
-func TestNoFigureIsOdd(t *testing.T) {
+func TestMeasurementsInRange(t *testing.T) {
 	next := map[State][]State{Calm: {Rising}, Rising: {Storm, Calm}, Storm: {Recovering}, Recovering: {Storm, Calm}}
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := New(), time.Duration(0)
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.Int64Range(0, int64(400*time.Millisecond)).Draw(t, "pause"))
 			for range rapid.IntRange(0, 12).Draw(t, "asked") {
-				w.Asked(now, rapid.Bool().Draw(t, "marked"), rapid.Uint64Range(0, 50).Draw(t, "sum"))
+				w.RecordQuery(now, rapid.Bool().Draw(t, "marked"), rapid.Uint64Range(0, 50).Draw(t, "sum"))
 				w.Ended(now, rapid.Bool().Draw(t, "good"))
 			}
 			from := w.State()
-			if c, ok := w.Judge(now); ok {
+			if c, ok := w.Evaluate(now); ok {
 				allowed := false
 				for _, s := range next[from] {
 					allowed = allowed || s == c.To
@@ -114,24 +114,24 @@
 					t.Fatalf("from %v to %v", from, c.To)
 				}
 			}
-			f := w.Figures(now)
-			if !(f.Good >= 0 && f.Good <= 1) || !(f.RetryShare() >= 0 && f.RetryShare() <= 1) || !(f.Usual >= 0) {
+			f := w.Measurements(now)
+			if !(f.InTimeShare >= 0 && f.InTimeShare <= 1) || !(f.RetryShare() >= 0 && f.RetryShare() <= 1) || !(f.UsualRate >= 0) {
 				t.Fatalf("figures %+v", f)
 			}
-			if len(w.seen) > maxSeen || len(w.order) > maxSeen {
-				t.Fatalf("%d queries remembered", len(w.seen))
+			if len(w.lastSeen) > maxRemembered || len(w.ring) > maxRemembered {
+				t.Fatalf("%d queries remembered", len(w.lastSeen))
 			}
 		}
 	})
 }
 
-// TestManyQueriesAreForgotten sends three times as many queries as are remembered.
-func TestManyQueriesAreForgotten(t *testing.T) {
+// TestOldQueriesForgotten sends three times as many queries as are remembered.
+func TestOldQueriesForgotten(t *testing.T) {
 	w := New()
-	for i := range uint64(3 * maxSeen) {
-		w.Asked(time.Duration(i), false, i+1)
+	for i := range uint64(3 * maxRemembered) {
+		w.RecordQuery(time.Duration(i), false, i+1)
 	}
-	if len(w.seen) != maxSeen || len(w.order) != maxSeen {
-		t.Errorf("%d and %d remembered", len(w.seen), len(w.order))
+	if len(w.lastSeen) != maxRemembered || len(w.ring) != maxRemembered {
+		t.Errorf("%d and %d remembered", len(w.lastSeen), len(w.ring))
 	}
 }
