--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -36,32 +36,32 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	service    = "/arrow.flight.protocol.FlightService/"
-	maxMessage = 128 << 10       // bytes of a client's message: a query of 64 KiB, and its wrapping
-	readTime   = 5 * time.Second // an answer must be taken within it
+	servicePath       = "/arrow.flight.protocol.FlightService/"
+	maxMessageBytes   = 128 << 10       // bytes of a client's message: a query of 64 KiB, and its wrapping
+	answerReadTimeout = 5 * time.Second // an answer must be taken within it
 )
 
 // Front serves Flight clients.
 type Front struct {
-	core    front.Core
-	classes map[string]int
-	set     []decide.Class
-	log     zerolog.Logger
-	bad     zerolog.Logger // lines on malformed calls
-	room    front.ConnectionLimit
-	rng     *rand.Rand
-	schema  []byte
-	clients map[*client]struct{}
-	closing bool
+	core          front.Core
+	classes       map[string]int
+	classSettings []decide.Class
+	log           zerolog.Logger
+	malformedLog  zerolog.Logger // lines on malformed calls
+	limit         front.ConnectionLimit
+	rng           *rand.Rand
+	schema        []byte
+	clients       map[*client]struct{}
+	closing       bool
 }
 
 // New returns a Front for the classes. Seed is for the ids that it gives.
-func New(core front.Core, classes []decide.Class, room front.ConnectionLimit, seed uint64, log zerolog.Logger) (*Front, error) {
+func New(core front.Core, classes []decide.Class, limit front.ConnectionLimit, seed uint64, log zerolog.Logger) (*Front, error) {
 	schema, err := columns.SchemaBytes()
 	if err != nil {
 		return nil, err
 	}
-	return &Front{core: core, classes: front.ClassIndexes(classes), set: classes, room: room, log: log, bad: front.Sampled(log), schema: schema,
+	return &Front{core: core, classes: front.ClassIndexes(classes), classSettings: classes, limit: limit, log: log, malformedLog: front.Sampled(log), schema: schema,
 		rng: rand.New(rand.NewPCG(seed, 1)), clients: map[*client]struct{}{}}, nil
 }
 
@@ -73,31 +73,31 @@
 
 // client is one connection.
 type client struct {
-	f     *Front
-	conn  front.Conn
-	h2    *h2.Conn
-	calls map[*call]struct{}
-	half  bool          // the client sends nothing more
-	asked bool          // a call has begun
-	endBy time.Duration // our last words are said: when the connection is closed; 0: they are not
-	used  time.Duration // when bytes last came
+	f             *Front
+	conn          front.Conn
+	h2            *h2.Conn
+	calls         map[*call]struct{}
+	halfClosed    bool          // the client sends nothing more
+	hasCalled     bool          // a call has begun
+	closeDeadline time.Duration // our last words are said: when the connection is closed; 0: they are not
+	lastDataAt    time.Duration // when bytes last came
 }
 
 // call is one stream, and its query's way back. It implements broker.Responder.
 type call struct {
-	c       *client
-	s       *h2.Stream
-	begun   time.Duration
-	method  string
-	timeout string
-	key     string
-	again   bool
-	context *tracing.Context
-	msgs    h2.MessageParser
-	msg     []byte
-	handle  *broker.QueryHandle
-	done    bool // its status is on its way
-	doneAt  time.Duration
+	c              *client
+	s              *h2.Stream
+	startedAt      time.Duration
+	method         string
+	timeout        string
+	idempotencyKey string
+	retry          bool
+	traceContext   *tracing.Context
+	parser         h2.MessageParser
+	message        []byte
+	handle         *broker.QueryHandle
+	done           bool // its status is on its way
+	doneAt         time.Duration
 }
 
 // Accept takes a new connection. Unlike all else here, it may be called on any
@@ -105,8 +105,8 @@
 func (f *Front) Accept(conn front.Conn) transport.Handler {
 	c := &client{f: f, conn: conn, calls: map[*call]struct{}{}}
 	f.core.Post(func() {
-		c.used = f.core.Now()
-		c.h2 = h2.New(true, streams{c}, conn.Write)
+		c.lastDataAt = f.core.Now()
+		c.h2 = h2.New(true, streamHandler{c}, conn.Write)
 		f.clients[c] = struct{}{}
 	})
 	return c
@@ -114,109 +114,109 @@
 
 // Data implements transport.Handler.
 func (c *client) Data(b []byte) {
-	c.used = c.f.core.Now()
+	c.lastDataAt = c.f.core.Now()
 	if err := c.h2.Receive(b); err != nil {
-		c.f.bad.Info().Err(err).Msg("Flight client broke HTTP/2")
-		c.end()
+		c.f.malformedLog.Info().Err(err).Msg("Flight client broke HTTP/2")
+		c.startClosing()
 	}
 }
 
-// end closes the connection once what was written has had its time to arrive.
-func (c *client) end() {
-	if c.endBy == 0 {
-		c.endBy = c.f.core.Now() + front.LingerTimeout
+// startClosing closes the connection once what was written has had its time to arrive.
+func (c *client) startClosing() {
+	if c.closeDeadline == 0 {
+		c.closeDeadline = c.f.core.Now() + front.LingerTimeout
 		for k := range c.calls {
-			c.forget(k)
+			c.dropCall(k)
 		}
 		c.conn.Finish(transport.BadInput)
 	}
 }
 
-// streams is the client as h2.Handler.
-type streams struct{ *client }
+// streamHandler is the client as h2.Handler.
+type streamHandler struct{ *client }
 
 // Headers implements h2.Handler.
-func (c streams) Headers(s *h2.Stream, fields []hpack.HeaderField, end bool) {
+func (c streamHandler) Headers(s *h2.Stream, fields []hpack.HeaderField, end bool) {
 	if k, ok := s.User.(*call); ok { // trailers of a request mean nothing
 		if end {
-			k.whole()
+			k.serve()
 		}
 		return
 	}
-	k := &call{c: c.client, s: s, begun: c.f.core.Now(), msgs: h2.MessageParser{MaxBytes: maxMessage},
-		timeout: h2.FieldValue(fields, "grpc-timeout"), key: h2.FieldValue(fields, "idempotency-key")}
-	again := h2.FieldValue(fields, "grpc-previous-rpc-attempts")
-	k.again = again != "" && again != "0"
-	k.context = tracing.ReadContext(h2.FieldValue(fields, "traceparent"), h2.FieldValue(fields, "tracestate"))
+	k := &call{c: c.client, s: s, startedAt: c.f.core.Now(), parser: h2.MessageParser{MaxBytes: maxMessageBytes},
+		timeout: h2.FieldValue(fields, "grpc-timeout"), idempotencyKey: h2.FieldValue(fields, "idempotency-key")}
+	retry := h2.FieldValue(fields, "grpc-previous-rpc-attempts")
+	k.retry = retry != "" && retry != "0"
+	k.traceContext = tracing.ReadContext(h2.FieldValue(fields, "traceparent"), h2.FieldValue(fields, "tracestate"))
 	s.User = k
-	c.calls[k], c.asked = struct{}{}, true
-	method, ok := strings.CutPrefix(h2.FieldValue(fields, ":path"), service)
+	c.calls[k], c.hasCalled = struct{}{}, true
+	method, ok := strings.CutPrefix(h2.FieldValue(fields, ":path"), servicePath)
 	if h2.FieldValue(fields, ":method") != "POST" || !strings.HasPrefix(h2.FieldValue(fields, "content-type"), "application/grpc") {
-		k.status(h2.Status{Code: codes.InvalidArgument, Message: "a call is a POST of application/grpc"})
+		k.endWithStatus(h2.Status{Code: codes.InvalidArgument, Message: "a call is a POST of application/grpc"})
 		return
 	}
 	if !ok || method != "DoGet" && method != "GetFlightInfo" {
-		k.status(h2.Status{Code: codes.Unimplemented, Message: "only GetFlightInfo and DoGet are served"})
+		k.endWithStatus(h2.Status{Code: codes.Unimplemented, Message: "only GetFlightInfo and DoGet are served"})
 		return
 	}
 	k.method = method
 	if end {
-		k.whole()
+		k.serve()
 	}
 }
 
 // Data implements h2.Handler.
-func (c streams) Data(s *h2.Stream, b []byte, end bool) {
+func (c streamHandler) Data(s *h2.Stream, b []byte, end bool) {
 	k, ok := s.User.(*call)
 	if !ok || k.done || k.handle != nil {
 		return
 	}
-	list, err := k.msgs.Add(b)
+	list, err := k.parser.Add(b)
 	if err != nil {
 		code := codes.ResourceExhausted
 		if errors.Is(err, h2.ErrCompressed) {
 			code = codes.Unimplemented
 		}
-		k.status(h2.Status{Code: code, Message: err.Error()})
+		k.endWithStatus(h2.Status{Code: code, Message: err.Error()})
 		return
 	}
 	for _, m := range list {
-		if k.msg != nil {
-			k.malformed(errors.New("more than one message"))
+		if k.message != nil {
+			k.rejectMalformed(errors.New("more than one message"))
 			return
 		}
-		k.msg = m
+		k.message = m
 	}
 	if end {
-		k.whole()
+		k.serve()
 	}
 }
 
-func (k *call) malformed(err error) {
-	k.c.f.bad.Info().Str("method", k.method).Err(err).Msg("Flight call refused as malformed")
-	k.status(h2.Status{Code: codes.InvalidArgument, Message: err.Error()})
+func (k *call) rejectMalformed(err error) {
+	k.c.f.malformedLog.Info().Str("method", k.method).Err(err).Msg("Flight call refused as malformed")
+	k.endWithStatus(h2.Status{Code: codes.InvalidArgument, Message: err.Error()})
 }
 
-// whole serves a call whose message is there.
-func (k *call) whole() {
+// serve serves a call whose message is there.
+func (k *call) serve() {
 	switch {
 	case k.done || k.handle != nil:
-	case k.msg == nil || k.msgs.Partial():
-		k.malformed(errors.New("the message is missing or cut"))
+	case k.message == nil || k.parser.Partial():
+		k.rejectMalformed(errors.New("the message is missing or cut"))
 	case k.method == "DoGet":
 		var t flight.Ticket
-		if err := proto.Unmarshal(k.msg, &t); err != nil {
-			k.malformed(errors.New("the ticket can't be read"))
+		if err := proto.Unmarshal(k.message, &t); err != nil {
+			k.rejectMalformed(errors.New("the ticket can't be read"))
 			return
 		}
-		k.query(t.Ticket)
+		k.doGet(t.Ticket)
 	default:
 		var d flight.FlightDescriptor
-		if err := proto.Unmarshal(k.msg, &d); err != nil || d.Type != flight.FlightDescriptor_CMD {
-			k.malformed(errors.New("the descriptor can't be read, or is no command"))
+		if err := proto.Unmarshal(k.message, &d); err != nil || d.Type != flight.FlightDescriptor_CMD {
+			k.rejectMalformed(errors.New("the descriptor can't be read, or is no command"))
 			return
 		}
-		k.info(&d)
+		k.getFlightInfo(&d)
 	}
 }
 
@@ -226,7 +226,7 @@
 	Query jsoniter.RawMessage `json:"query"`
 }
 
-func (f *Front) parse(text []byte) (q broker.Query, err error) {
+func (f *Front) parseTicket(text []byte) (q broker.Query, err error) {
 	var t ticket
 	if err := json.Unmarshal(text, &t); err != nil {
 		return q, errors.New("the ticket is not a query")
@@ -239,55 +239,55 @@
 	return q, front.ParseBody(t.Query, &q)
 }
 
-// info answers GetFlightInfo: one endpoint, here, whose ticket is the command.
-func (k *call) info(d *flight.FlightDescriptor) {
-	if _, err := k.c.f.parse(d.Cmd); err != nil {
-		k.malformed(err)
+// getFlightInfo answers GetFlightInfo: one endpoint, here, whose ticket is the command.
+func (k *call) getFlightInfo(d *flight.FlightDescriptor) {
+	if _, err := k.c.f.parseTicket(d.Cmd); err != nil {
+		k.rejectMalformed(err)
 		return
 	}
 	b, err := proto.Marshal(&flight.FlightInfo{Schema: k.c.f.schema, FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1,
 		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: d.Cmd}}}})
 	if err != nil {
-		k.status(h2.Status{Code: codes.Internal, Message: "the answer could not be encoded"})
+		k.endWithStatus(h2.Status{Code: codes.Internal, Message: "the answer could not be encoded"})
 		return
 	}
-	k.answer([][]byte{b})
+	k.sendAnswer([][]byte{b})
 }
 
-// query hands a DoGet to the core.
-func (k *call) query(text []byte) {
+// doGet hands a DoGet to the core.
+func (k *call) doGet(text []byte) {
 	f := k.c.f
-	q, err := f.parse(text)
+	q, err := f.parseTicket(text)
 	if err == nil {
-		err = front.ApplyIdempotencyKey(k.key, &f.set[q.Class], &q)
+		err = front.ApplyIdempotencyKey(k.idempotencyKey, &f.classSettings[q.Class], &q)
 	}
-	q.Tenant, q.Left = front.NoTenant, f.set[q.Class].Deadline
+	q.Tenant, q.Left = front.NoTenant, f.classSettings[q.Class].Deadline
 	if err == nil && k.timeout != "" {
 		q.Left, err = h2.ParseTimeout(k.timeout)
 	}
 	if err != nil {
-		k.malformed(err)
+		k.rejectMalformed(err)
 		return
 	}
 	// The deadline counts from the client's call, not from its last byte.
-	if q.Left -= f.core.Now() - k.begun; q.Left <= 0 {
-		k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "out of time"})
+	if q.Left -= f.core.Now() - k.startedAt; q.Left <= 0 {
+		k.endWithStatus(h2.Status{Code: codes.DeadlineExceeded, Message: "out of time"})
 		return
 	}
 	id := strconv.FormatUint(f.rng.Uint64(), 16)
 	q.WireID = front.GeneratedIDPrefix + strings.Repeat("0", 16-len(id)) + id
-	q.Repeat, q.Responder, q.Front, q.Context = k.again, k, "flight", k.context
+	q.Repeat, q.Responder, q.Front, q.Context = k.retry, k, "flight", k.traceContext
 	switch verdict, handle := f.core.Admit(q); verdict {
 	case broker.Taken:
 		k.handle = handle
 	case broker.Crowded:
-		k.status(h2.Status{Code: codes.Unavailable, Message: "too much is open", Pushback: front.OverloadRetryAfter})
+		k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "too much is open", Pushback: front.OverloadRetryAfter})
 	case broker.ShuttingDown:
-		k.status(h2.Status{Code: codes.Unavailable, Message: "the mixer ends", Pushback: front.OverloadRetryAfter})
+		k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "the mixer ends", Pushback: front.OverloadRetryAfter})
 	case broker.Duplicate: // an id drawn twice
-		k.status(h2.Status{Code: codes.Unavailable, Message: "try again", Pushback: front.OverloadRetryAfter})
+		k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "try again", Pushback: front.OverloadRetryAfter})
 	default:
-		k.malformed(errors.New("parts that can't be"))
+		k.rejectMalformed(errors.New("parts that can't be"))
 	}
 }
 
@@ -296,61 +296,61 @@
 	list, err := columns.Encode(values, []byte(`{"entire":`+strconv.FormatBool(whole)+`}`))
 	if err != nil {
 		k.c.f.log.Error().Err(err).Msg("answer could not be encoded")
-		k.status(h2.Status{Code: codes.Internal, Message: "the answer could not be encoded"})
+		k.endWithStatus(h2.Status{Code: codes.Internal, Message: "the answer could not be encoded"})
 		return
 	}
-	k.answer(list)
+	k.sendAnswer(list)
 }
 
 // Refused implements broker.Responder.
 func (k *call) Refused(after time.Duration) {
-	k.status(h2.Status{Code: codes.Unavailable, Message: "refused", Pushback: max(after, time.Millisecond)})
+	k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "refused", Pushback: max(after, time.Millisecond)})
 }
 
 // Failed implements broker.Responder.
 func (k *call) Failed(expired bool) {
 	if expired {
-		k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "out of time"})
+		k.endWithStatus(h2.Status{Code: codes.DeadlineExceeded, Message: "out of time"})
 		return
 	}
-	k.status(h2.Status{Code: codes.Internal, Message: "failed"})
+	k.endWithStatus(h2.Status{Code: codes.Internal, Message: "failed"})
 }
 
-var opening = []hpack.HeaderField{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
+var responseHeaders = []hpack.HeaderField{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 
-func (k *call) answer(list [][]byte) {
+func (k *call) sendAnswer(list [][]byte) {
 	if k.done {
 		return
 	}
-	k.end()
-	k.s.Headers(opening, false)
+	k.markDone()
+	k.s.Headers(responseHeaders, false)
 	for _, m := range list {
 		k.s.Write(h2.AppendMessage(nil, m), false)
 	}
 	k.s.Trailers(h2.Status{}.Trailer())
 }
 
-// status ends a call without an answer.
-func (k *call) status(s h2.Status) {
+// endWithStatus ends a call without an answer.
+func (k *call) endWithStatus(s h2.Status) {
 	if k.done {
 		return
 	}
-	k.end()
-	k.s.Headers(append(append([]hpack.HeaderField{}, opening...), s.Trailer()...), true)
+	k.markDone()
+	k.s.Headers(append(append([]hpack.HeaderField{}, responseHeaders...), s.Trailer()...), true)
 	// A client that is still sending need not go on.
 	k.s.Reset(http2.ErrCodeNo)
 }
 
-func (k *call) end() { k.done, k.doneAt, k.msgs = true, k.c.f.core.Now(), h2.MessageParser{} }
+func (k *call) markDone() { k.done, k.doneAt, k.parser = true, k.c.f.core.Now(), h2.MessageParser{} }
 
 // Closed implements h2.Handler: the client has cancelled the call.
-func (c streams) Closed(s *h2.Stream, _ http2.ErrCode, _ bool) {
+func (c streamHandler) Closed(s *h2.Stream, _ http2.ErrCode, _ bool) {
 	if k, ok := s.User.(*call); ok {
-		c.forget(k)
+		c.dropCall(k)
 	}
 }
 
-func (c *client) forget(k *call) {
+func (c *client) dropCall(k *call) {
 	delete(c.calls, k)
 	if !k.done {
 		k.done = true
@@ -364,7 +364,7 @@
 // open is still owed an answer if the client has only shut down its side; a ping
 // makes one that has closed reset.
 func (c *client) HalfClosed() {
-	if c.half = true; c.h2.Streams() == 0 {
+	if c.halfClosed = true; c.h2.Streams() == 0 {
 		c.conn.Close(transport.LocalDone)
 		return
 	}
@@ -376,35 +376,35 @@
 func (c *client) Ended(transport.End) {
 	delete(c.f.clients, c)
 	for k := range c.calls {
-		c.forget(k)
+		c.dropCall(k)
 	}
 }
 
 // sweep looks after calls and connections that no event comes for.
 func (f *Front) sweep() {
-	now, keep := f.core.Now(), front.IdleTimeout(f.room)
+	now, keep := f.core.Now(), front.IdleTimeout(f.limit)
 	for c := range f.clients {
 		c.conn.CloseIfReset()
 		for k := range c.calls {
 			switch {
 			case k.done && !k.s.Open():
 				delete(c.calls, k)
-			case k.done && now-k.doneAt > readTime:
+			case k.done && now-k.doneAt > answerReadTimeout:
 				// Guards memory against a client that does not take its answer.
 				k.s.Reset(http2.ErrCodeCancel)
 				delete(c.calls, k)
-			case !k.done && k.handle == nil && now-k.begun > front.RequestReadTimeout:
+			case !k.done && k.handle == nil && now-k.startedAt > front.RequestReadTimeout:
 				// Guards streams against calls that begin and never end.
-				k.status(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
+				k.endWithStatus(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
 			}
 		}
-		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, UnreadBytes: !c.half && !c.conn.InputDrained()})
+		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, UnreadBytes: !c.halfClosed && !c.conn.InputDrained()})
 		switch rests := may == gate.Allowed && c.conn.Flushed(); {
-		case rests && (f.closing || c.half):
+		case rests && (f.closing || c.halfClosed):
 			c.conn.Close(transport.LocalDone)
-		case c.endBy > 0 && now > c.endBy:
+		case c.closeDeadline > 0 && now > c.closeDeadline:
 			c.conn.Close(transport.BadInput)
-		case rests && !c.asked && now-c.used > front.RequestReadTimeout, rests && now-c.used > keep:
+		case rests && !c.hasCalled && now-c.lastDataAt > front.RequestReadTimeout, rests && now-c.lastDataAt > keep:
 			// Guards descriptors against clients that keep what they don't use.
 			c.h2.GoAway()
 			c.conn.Close(transport.LocalIdle)
--- a/internal/front/platform/arrivals.go
+++ b/internal/front/platform/arrivals.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// mostArrivals bounds what is kept for a client that sends a few bytes at a time behind an
+// maxArrivals bounds what is kept for a client that sends a few bytes at a time behind an
 // open request.
-const mostArrivals = 64
+const maxArrivals = 64
 
 // arrivals knows when the bytes of a connection came that have not been used yet, so that each
 // request is given the time that began with its own last byte.
 type arrivals struct {
-	total int64 // bytes that have come
-	list  []arrival
+	total   int64 // bytes that have come
+	entries []arrival
 }
 
 // arrival is when all bytes up to an offset had come.
 type arrival struct {
-	upTo int64
-	at   time.Duration
+	endOffset int64
+	at        time.Duration
 }
 
 // add notes bytes that came at a time. Where there are too many to tell apart, they count as
 // come with those before them: a request gets less time then, never more.
 func (a *arrivals) add(n int, at time.Duration) {
 	a.total += int64(n)
-	if last := len(a.list) - 1; last+1 >= mostArrivals {
-		a.list[last].upTo = a.total
+	if last := len(a.entries) - 1; last+1 >= maxArrivals {
+		a.entries[last].endOffset = a.total
 		return
 	}
-	a.list = append(a.list, arrival{a.total, at})
+	a.entries = append(a.entries, arrival{a.total, at})
 }
 
-// unfinished forgets what came so far: no request in it is whole, so that its last byte is yet
+// discard forgets what came so far: no request in it is whole, so that its last byte is yet
 // to come.
-func (a *arrivals) unfinished() { a.list = a.list[:0] }
+func (a *arrivals) discard() { a.entries = a.entries[:0] }
 
-// whole is when the last byte came of what has been used, all but so many bytes that wait; what
+// lastByteAt is when the last byte came of what has been used, all but so many bytes that wait; what
 // came by then is forgotten. Now stands in where nothing has come.
-func (a *arrivals) whole(waiting int, now time.Duration) time.Duration {
-	used := a.total - int64(waiting)
-	for i, came := range a.list {
-		if came.upTo >= used {
-			a.list = a.list[i:]
+func (a *arrivals) lastByteAt(unusedBytes int, now time.Duration) time.Duration {
+	used := a.total - int64(unusedBytes)
+	for i, came := range a.entries {
+		if came.endOffset >= used {
+			a.entries = a.entries[i:]
 			return came.at
 		}
 	}
--- a/internal/front/platform/arrivals_test.go
+++ b/internal/front/platform/arrivals_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func TestArrivals(t *testing.T) {
+func TestRequestIsTimedByItsLastByte(t *testing.T) {
 	const now = time.Hour
 	var a arrivals
-	if got := a.whole(0, now); got != now {
+	if got := a.lastByteAt(0, now); got != now {
 		t.Errorf("nothing has come: %v", got)
 	}
 	a.add(100, 1) // a request of 80 bytes, and 20 of the next
@@ -18,25 +18,25 @@
 		waiting int
 		want    time.Duration
 	}{{80, 1}, {40, 2}, {10, 2}, {0, 3}} {
-		if got := a.whole(tt.waiting, now); got != tt.want {
+		if got := a.lastByteAt(tt.waiting, now); got != tt.want {
 			t.Errorf("%d bytes wait: %v, want %v", tt.waiting, got, tt.want)
 		}
 	}
-	for i := range 10 * mostArrivals { // a request that comes byte by byte
+	for i := range 10 * maxArrivals { // a request that comes byte by byte
 		a.add(1, time.Duration(10+i))
-		a.unfinished()
+		a.discard()
 	}
-	if a.add(1, 5000); a.whole(0, now) != 5000 {
-		t.Errorf("a slow request counts as come at %v", a.whole(0, now))
+	if a.add(1, 5000); a.lastByteAt(0, now) != 5000 {
+		t.Errorf("a slow request counts as come at %v", a.lastByteAt(0, now))
 	}
-	a.unfinished()
-	for i := range 10 * mostArrivals {
+	a.discard()
+	for i := range 10 * maxArrivals {
 		a.add(1, time.Duration(10+i))
 	}
-	if len(a.list) > mostArrivals {
-		t.Errorf("%d are kept", len(a.list))
+	if len(a.entries) > maxArrivals {
+		t.Errorf("%d are kept", len(a.entries))
 	}
-	if got := a.whole(0, now); got > 10+mostArrivals {
+	if got := a.lastByteAt(0, now); got > 10+maxArrivals {
 		t.Errorf("bytes that can't be told apart count as come at %v", got)
 	}
 }
--- a/internal/front/platform/pipeline.go
+++ b/internal/front/platform/pipeline.go
@@ -8,79 +8,79 @@
 )
 
 const (
-	mostBehind = 64  // requests that are read behind the one that is being answered
-	headSize   = 512 // bytes that a request without its body counts for
-	// lateMost is how long after its time a request may be answered: half a second later it
+	maxPipelined     = 64  // requests that are read behind the one that is being answered
+	assumedHeadBytes = 512 // bytes that a request without its body counts for
+	// maxAnswerDelay is how long after its time a request may be answered: half a second later it
 	// counts as lost (the operators' terms), and we may be held up.
-	lateMost = 500*time.Millisecond - gate.MaxProcessPause - 50*time.Millisecond
+	maxAnswerDelay = 500*time.Millisecond - gate.MaxProcessPause - 50*time.Millisecond
 )
 
 // pipeline holds requests that were read behind the one that is being answered.
-type pipeline []waiting
+type pipeline []pipelinedRequest
 
-// waiting is a request that was whole at a time.
-type waiting struct {
-	m  *http1.Message
-	at time.Duration
+// pipelinedRequest is a request that was whole at a time.
+type pipelinedRequest struct {
+	message    *http1.Message
+	receivedAt time.Duration
 }
 
 // size is how many bytes the requests count for.
 func (p pipeline) size() int {
 	n := 0
 	for _, w := range p {
-		n += headSize + len(w.m.Body)
+		n += assumedHeadBytes + len(w.message.Body)
 	}
 	return n
 }
 
-// read returns the next request and when it was whole; nil: there is none yet.
-func (c *client) read() (*http1.Message, time.Duration, error) {
-	if len(c.behind) > 0 {
-		first := c.behind[0]
-		c.behind = c.behind[1:]
-		return first.m, first.at, nil
+// nextRequest returns the next request and when it was whole; nil: there is none yet.
+func (c *client) nextRequest() (*http1.Message, time.Duration, error) {
+	if len(c.pipelined) > 0 {
+		first := c.pipelined[0]
+		c.pipelined = c.pipelined[1:]
+		return first.message, first.receivedAt, nil
 	}
-	m, err := c.parser.Next()
-	if m == nil || err != nil {
-		c.arrived.unfinished()
+	message, err := c.parser.Next()
+	if message == nil || err != nil {
+		c.arrivalTimes.discard()
 		return nil, 0, err
 	}
-	return m, c.arrived.whole(c.parser.Buffered(), c.f.core.Now()), nil
+	return message, c.arrivalTimes.lastByteAt(c.parser.Buffered(), c.f.core.Now()), nil
 }
 
 // readAhead reads requests behind the one that is being answered. A fault among them shows when
 // it is their turn.
 func (c *client) readAhead() {
-	for c.open != nil && len(c.behind) < mostBehind {
+	for c.current != nil && len(c.pipelined) < maxPipelined {
 		m, err := c.parser.Next()
 		if m == nil || err != nil {
 			if err == nil {
-				c.arrived.unfinished()
+				c.arrivalTimes.discard()
 			}
 			break
 		}
-		c.behind = append(c.behind, waiting{m, c.arrived.whole(c.parser.Buffered(), c.f.core.Now())})
+		c.pipelined = append(c.pipelined, pipelinedRequest{m, c.arrivalTimes.lastByteAt(c.parser.Buffered(), c.f.core.Now())})
 	}
-	c.hurry()
+	c.limitCurrent()
 }
 
-// hurry has the request that is being answered end before one behind it counts as lost: answers
+// limitCurrent has the request that is being answered end before one behind it counts as lost: answers
 // go out in the order of the requests.
-func (c *client) hurry() {
-	if c.open == nil {
+func (c *client) limitCurrent() {
+	if c.current == nil {
 		return
 	}
-	for _, w := range c.behind {
-		if left, ok := deadline(w.m); ok { // else it is refused as malformed
-			c.open.endBy(w.at + left + lateMost)
+	for _, w := range c.pipelined {
+		if left, ok := parseDeadline(w.message); ok { // else it is refused as malformed
+			c.current.failBy(w.receivedAt + left + maxAnswerDelay)
 		}
 	}
 }
 
-// endBy has the request fail by then; the earliest moment counts.
-func (r *request) endBy(at time.Duration) {
-	if r.ends == 0 || at < r.ends {
-		r.ends = at
+// failBy has the request fail by then; the earliest moment counts.
+func (r *request) failBy(at time.Duration) {
+	if r.failDeadline == 0 || at < r.failDeadline {
+		r.failDeadline = at
 		r.handle.FailBy(at)
 	}
 }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -22,25 +22,25 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	maxBuffered = http1.MaxHeadBytes + 2*http1.MaxBodyBytes // bytes of requests that wait for an answer before them
-	drainQuiet  = 100 * time.Millisecond                    // how long a connection rests before it is closed at the end
-	version     = "HTTP/1.1 "
-	// mostDeadlineMS is the longest deadline that is taken for one: a day.
-	mostDeadlineMS = 24 * 3600 * 1000
+	maxBufferedBytes = http1.MaxHeadBytes + 2*http1.MaxBodyBytes // bytes of requests that wait for an answer before them
+	drainIdleTimeout = 100 * time.Millisecond                    // how long a connection rests before it is closed at the end
+	httpVersion      = "HTTP/1.1 "
+	// maxDeadlineMS is the longest deadline that is taken for one: a day.
+	maxDeadlineMS = 24 * 3600 * 1000
 )
 
 // Front serves clients.
 type Front struct {
-	core    front.Core
-	classes map[string]int
-	tenants map[string]int
-	set     []decide.Class
-	bad     zerolog.Logger // lines on malformed requests
-	clients map[*client]struct{}
-	room    front.ConnectionLimit
-	closing bool
-	ready   bool
-	audit   Audit
+	core          front.Core
+	classes       map[string]int
+	tenants       map[string]int
+	classSettings []decide.Class
+	sampledLog    zerolog.Logger // lines on malformed requests
+	clients       map[*client]struct{}
+	limit         front.ConnectionLimit
+	closing       bool
+	ready         bool
+	audit         Audit
 }
 
 // Audit counts over the life of the mixer: each request that was read whole is answered,
@@ -58,8 +58,8 @@
 
 // New returns a Front for the classes and tenants. It answers that it is ready once
 // Ready is called.
-func New(core front.Core, classes []decide.Class, tenants []decide.Tenant, room front.ConnectionLimit, log zerolog.Logger) *Front {
-	return &Front{core: core, room: room, classes: front.ClassIndexes(classes), tenants: front.TenantIndexes(tenants), set: classes, bad: front.Sampled(log), clients: map[*client]struct{}{}}
+func New(core front.Core, classes []decide.Class, tenants []decide.Tenant, limit front.ConnectionLimit, log zerolog.Logger) *Front {
+	return &Front{core: core, limit: limit, classes: front.ClassIndexes(classes), tenants: front.TenantIndexes(tenants), classSettings: classes, sampledLog: front.Sampled(log), clients: map[*client]struct{}{}}
 }
 
 // Ready lets health checks pass and starts to look after connections.
@@ -70,30 +70,30 @@
 
 // client is one connection and its requests, answered one after another.
 type client struct {
-	f       *Front
-	conn    front.Conn
-	parser  *http1.Parser
-	behind  pipeline
-	open    *request // the one that is being answered
-	closing bool
-	rest    time.Duration // since when nothing is open
-	served  bool          // a whole request has come
-	endBy   time.Duration // closing: when the connection is closed at the latest
-	begun   time.Duration // when the request that is coming in began; 0: none is
-	arrived arrivals
-	flooded bool   // more came than is held: what follows is passed over
-	said    string // the id of the query answered last
+	f                *Front
+	conn             front.Conn
+	parser           *http1.Parser
+	pipelined        pipeline
+	current          *request // the one that is being answered
+	closing          bool
+	idleSince        time.Duration // since when nothing is open
+	hasRequested     bool          // a whole request has come
+	closeDeadline    time.Duration // closing: when the connection is closed at the latest
+	requestStartedAt time.Duration // when the request that is coming in began; 0: none is
+	arrivalTimes     arrivals
+	overflowed       bool   // more came than is held: what follows is passed over
+	lastAnsweredID   string // the id of the query answered last
 }
 
 // request is a query's way back to its client. It implements broker.Responder.
 type request struct {
-	c      *client
-	handle *broker.QueryHandle
-	close  bool
-	id     string
-	came   time.Duration
-	due    time.Duration // when its time is up
-	ends   time.Duration // by when it fails for the sake of those behind it; 0: nobody hurries it
+	c            *client
+	handle       *broker.QueryHandle
+	close        bool
+	id           string
+	admittedAt   time.Duration
+	deadline     time.Duration // when its time is up
+	failDeadline time.Duration // by when it fails for the sake of those behind it; 0: nobody hurries it
 }
 
 // Accept takes a new connection. Unlike all else here, it may be called on any
@@ -101,27 +101,27 @@
 func (f *Front) Accept(conn front.Conn) transport.Handler {
 	c := &client{f: f, conn: conn, parser: http1.NewRequestParser()}
 	f.core.Post(func() {
-		c.rest = f.core.Now()
+		c.idleSince = f.core.Now()
 		f.clients[c] = struct{}{}
-		if f.room.Crowded() {
-			f.makeRoom()
+		if f.limit.Crowded() {
+			f.closeIdlest()
 		}
 	})
 	return c
 }
 
-// makeRoom closes a connection that has had our last words, or else the one that
+// closeIdlest closes a connection that has had our last words, or else the one that
 // has rested longest. It guards descriptors against clients that open connections
 // without end: one between requests may be closed, one that is turned away at the
 // door may hold a request.
-func (f *Front) makeRoom() {
+func (f *Front) closeIdlest() {
 	var oldest *client
 	for c := range f.clients {
 		if c.closing && c.conn.Flushed() {
 			c.conn.Close(transport.LocalDone)
 			return
 		}
-		if (oldest == nil || c.rest < oldest.rest) && c.mayEnd() {
+		if (oldest == nil || c.idleSince < oldest.idleSince) && c.mayClose() {
 			oldest = c
 		}
 	}
@@ -132,65 +132,65 @@
 
 // Data implements transport.Handler.
 func (c *client) Data(b []byte) {
-	if c.closing || c.flooded {
+	if c.closing || c.overflowed {
 		return
 	}
 	c.parser.Write(b)
-	c.arrived.add(len(b), c.f.core.ReadClock()-c.conn.InputDelay())
-	c.next()
+	c.arrivalTimes.add(len(b), c.f.core.ReadClock()-c.conn.InputDelay())
+	c.serveNext()
 	c.readAhead()
 	// Guards memory against a client that pipelines without end. What was read whole is owed
 	// an answer.
-	if c.open != nil && c.parser.Buffered()+c.behind.size() > maxBuffered {
-		c.flooded = true
+	if c.current != nil && c.parser.Buffered()+c.pipelined.size() > maxBufferedBytes {
+		c.overflowed = true
 	}
 }
 
 // Truncated implements transport.Truncated.
 func (c *client) Truncated() {
 	if !c.closing {
-		c.flooded = true
-		c.next()
+		c.overflowed = true
+		c.serveNext()
 	}
 }
 
-// next serves the requests that are whole, until one has to wait for its answer.
-func (c *client) next() {
-	for c.open == nil && !c.closing {
-		m, at, err := c.read()
+// serveNext serves the requests that are whole, until one has to wait for its answer.
+func (c *client) serveNext() {
+	for c.current == nil && !c.closing {
+		m, at, err := c.nextRequest()
 		if err != nil {
-			c.malformed(err)
+			c.rejectMalformed(err)
 			return
 		}
-		if m == nil && c.flooded {
-			c.malformed(&http1.Error{Status: 413, Reason: "too much at once"})
+		if m == nil && c.overflowed {
+			c.rejectMalformed(&http1.Error{Status: 413, Reason: "too much at once"})
 			return
 		}
 		if m == nil {
 			if !c.parser.Started() {
-				c.begun = 0
-			} else if c.begun == 0 {
-				c.begun = c.f.core.Now()
+				c.requestStartedAt = 0
+			} else if c.requestStartedAt == 0 {
+				c.requestStartedAt = c.f.core.Now()
 			}
-			c.rest = c.f.core.Now()
+			c.idleSince = c.f.core.Now()
 			if c.parser.ExpectsContinue() {
-				c.conn.Write([]byte(version + "100 Continue\r\n\r\n"))
+				c.conn.Write([]byte(httpVersion + "100 Continue\r\n\r\n"))
 			}
 			return
 		}
-		c.begun, c.served = 0, true
+		c.requestStartedAt, c.hasRequested = 0, true
 		c.f.audit.Received++
 		c.serve(m, at)
 	}
-	c.hurry()
+	c.limitCurrent()
 }
 
-func (c *client) malformed(err error) {
+func (c *client) rejectMalformed(err error) {
 	status, why := 400, err.Error()
 	if e, ok := err.(*http1.Error); ok {
 		status, why = e.Status, e.Reason
 	}
-	c.f.bad.Info().Int("status", status).Str("why", why).Msg("request refused as malformed")
+	c.f.sampledLog.Info().Int("status", status).Str("why", why).Msg("request refused as malformed")
 	c.f.audit.Received++ // it has an answer, too
 	c.reply(status, "text/plain", []byte(why+"\n"), 0, true)
 }
@@ -216,9 +216,9 @@
 		text(405, "a query is a POST")
 		return
 	}
-	q, status, why := c.f.parse(m, path)
+	q, status, why := c.f.parseQuery(m, path)
 	if status != 0 {
-		c.f.bad.Info().Int("status", status).Str("why", why).Msg("request refused as malformed")
+		c.f.sampledLog.Info().Int("status", status).Str("why", why).Msg("request refused as malformed")
 		text(status, why)
 		return
 	}
@@ -229,13 +229,13 @@
 		text(504, "out of time")
 		return
 	}
-	r := &request{c: c, close: m.Close, id: q.WireID, came: now, due: now + q.Left}
+	r := &request{c: c, close: m.Close, id: q.WireID, admittedAt: now, deadline: now + q.Left}
 	q.Responder = r
 	verdict, handle := c.f.core.Admit(q)
 	switch verdict {
 	case broker.Taken:
 		r.handle = handle
-		c.open = r
+		c.current = r
 	case broker.Crowded:
 		c.reply(503, "text/plain", []byte("too much is open\n"), front.OverloadRetryAfter, m.Close)
 	case broker.ShuttingDown:
@@ -247,14 +247,14 @@
 	}
 }
 
-// deadline is how long a request's client waits; false: it does not say so as it has to.
-func deadline(m *http1.Message) (time.Duration, bool) {
+// parseDeadline is how long a request's client waits; false: it does not say so as it has to.
+func parseDeadline(m *http1.Message) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(m.Header.Get("req-deadline-ms"), 10, 64)
-	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0 && ms <= mostDeadlineMS
+	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0 && ms <= maxDeadlineMS
 }
 
-// parse reads a query; a status other than 0 says why it is none.
-func (f *Front) parse(m *http1.Message, path string) (q broker.Query, status int, why string) {
+// parseQuery reads a query; a status other than 0 says why it is none.
+func (f *Front) parseQuery(m *http1.Message, path string) (q broker.Query, status int, why string) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	class, ok := f.classes[name]
 	if !ok {
@@ -264,7 +264,7 @@
 	if !front.ValidIdentifier(id) || strings.HasPrefix(id, front.GeneratedIDPrefix) {
 		return q, 400, "Req-Id is missing or no word"
 	}
-	left, ok := deadline(m)
+	left, ok := parseDeadline(m)
 	if !ok {
 		return q, 400, "Req-Deadline-Ms is no time"
 	}
@@ -274,7 +274,7 @@
 		q.Tenant = n
 	}
 	q.Context = tracing.ReadContext(m.Header.Get("traceparent"), m.Header.Get("tracestate"))
-	if err := front.ApplyIdempotencyKey(m.Header.Get("idempotency-key"), &f.set[class], &q); err != nil {
+	if err := front.ApplyIdempotencyKey(m.Header.Get("idempotency-key"), &f.classSettings[class], &q); err != nil {
 		return q, 400, err.Error()
 	}
 	if err := front.ParseBody(m.Body, &q); err != nil {
@@ -300,34 +300,34 @@
 		}
 		b = append(append(b, s...), '}')
 	}
-	r.done(200, "application/json", append(b, "]}"...), 0)
+	r.finish(200, "application/json", append(b, "]}"...), 0)
 }
 
 // Refused implements broker.Responder.
 func (r *request) Refused(after time.Duration) {
-	r.done(503, "text/plain", []byte("refused\n"), after)
+	r.finish(503, "text/plain", []byte("refused\n"), after)
 }
 
 // Failed implements broker.Responder.
 func (r *request) Failed(expired bool) {
 	if expired {
-		r.done(504, "text/plain", []byte("out of time\n"), 0)
+		r.finish(504, "text/plain", []byte("out of time\n"), 0)
 		return
 	}
-	r.done(500, "text/plain", []byte("failed\n"), 0)
+	r.finish(500, "text/plain", []byte("failed\n"), 0)
 }
 
-func (r *request) done(status int, kind string, body []byte, after time.Duration) {
+func (r *request) finish(status int, kind string, body []byte, after time.Duration) {
 	c := r.c
-	if c.open != r {
+	if c.current != r {
 		return // the client has gone
 	}
-	r.late(status)
-	c.open, c.said = nil, r.id
+	r.logIfLate(status)
+	c.current, c.lastAnsweredID = nil, r.id
 	c.reply(status, kind, body, after, r.close)
 	// The next pipelined request is taken in a turn of its own: this one may be
 	// within a step.
-	c.f.core.After(0, c.next)
+	c.f.core.After(0, c.serveNext)
 }
 
 func (c *client) reply(status int, kind string, body []byte, after time.Duration, closes bool) {
@@ -339,12 +339,12 @@
 	// Guards descriptors, and the connections that clients may hold, against clients
 	// that ask once and keep what they don't use.
 	// What has been read behind this request is owed an answer, too.
-	closes = closes || (c.f.closing || c.f.room.Busy()) && c.mayEnd()
-	c.conn.Write(append(head(status, kind, length, after, closes), body...))
+	closes = closes || (c.f.closing || c.f.limit.Busy()) && c.mayClose()
+	c.conn.Write(append(responseHead(status, kind, length, after, closes), body...))
 	c.f.audit.Answered++
-	c.rest = c.f.core.Now()
+	c.idleSince = c.f.core.Now()
 	if closes {
-		c.end()
+		c.startClosing()
 	}
 }
 
@@ -353,8 +353,8 @@
 	501: "Not Implemented", 503: "Service Unavailable",
 	504: "Gateway Timeout"}
 
-func head(status int, kind string, length int, after time.Duration, closes bool) []byte {
-	b := append([]byte(version), strconv.Itoa(status)...)
+func responseHead(status int, kind string, length int, after time.Duration, closes bool) []byte {
+	b := append([]byte(httpVersion), strconv.Itoa(status)...)
 	b = append(append(b, ' '), reasons[status]...)
 	b = append(append(b, "\r\nContent-Type: "...), kind...)
 	b = append(b, "\r\nContent-Length: "...)
@@ -369,13 +369,13 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// end closes the connection once all that was written has had its time to arrive.
-func (c *client) end() {
+// startClosing closes the connection once all that was written has had its time to arrive.
+func (c *client) startClosing() {
 	if c.closing {
 		return
 	}
-	c.closing, c.endBy = true, c.f.core.Now()+front.LingerTimeout
-	c.parser, c.arrived, c.behind = http1.NewRequestParser(), arrivals{}, nil // what came in holds no memory any more
+	c.closing, c.closeDeadline = true, c.f.core.Now()+front.LingerTimeout
+	c.parser, c.arrivalTimes, c.pipelined = http1.NewRequestParser(), arrivals{}, nil // what came in holds no memory any more
 	c.conn.Finish(transport.LocalDone)
 }
 
@@ -384,7 +384,7 @@
 // the same FIN. Nothing begins for it from here on, so its query ends in this turn, before
 // the module's next step; what it had sent behind that is not looked at.
 func (c *client) HalfClosed() {
-	c.gone(transport.PeerClosed)
+	c.abandonOpen(transport.PeerClosed)
 	c.conn.Close(transport.PeerClosed)
 }
 
@@ -394,29 +394,29 @@
 // Ended implements transport.Handler.
 func (c *client) Ended(e transport.End) {
 	delete(c.f.clients, c)
-	c.gone(e)
+	c.abandonOpen(e)
 }
 
-// gone ends what is open for a client that is not there any more.
-func (c *client) gone(e transport.End) {
-	c.left(e)
+// abandonOpen ends what is open for a client that is not there any more.
+func (c *client) abandonOpen(e transport.End) {
+	c.logInterrupted(e)
 	c.closing = true
-	if r := c.open; r != nil {
-		c.open = nil
+	if r := c.current; r != nil {
+		c.current = nil
 		c.f.audit.Abandoned++
 		r.handle.ClientGone()
 	}
 }
 
-// rests tells whether nothing is open for the client, and nothing has begun to come in.
-func (c *client) rests() bool { return !c.closing && c.open == nil && !c.partial() }
+// idle tells whether nothing is open for the client, and nothing has begun to come in.
+func (c *client) idle() bool { return !c.closing && c.current == nil && !c.hasPendingInput() }
 
-// partial tells whether something has come of a request that is not answered yet.
-func (c *client) partial() bool { return c.parser.Started() || len(c.behind) > 0 }
+// hasPendingInput tells whether something has come of a request that is not answered yet.
+func (c *client) hasPendingInput() bool { return c.parser.Started() || len(c.pipelined) > 0 }
 
-// mayEnd tells whether the connection may be ended without a further answer.
-func (c *client) mayEnd() bool {
-	state := gate.Connection{Open: c.open != nil, PartialRequest: c.partial()}
+// mayClose tells whether the connection may be ended without a further answer.
+func (c *client) mayClose() bool {
+	state := gate.Connection{Open: c.current != nil, PartialRequest: c.hasPendingInput()}
 	// The system is asked last.
 	state.UnreadBytes = !state.Open && !state.PartialRequest && !c.conn.InputDrained()
 	return !c.closing && gate.Close(state) == gate.Allowed
@@ -424,24 +424,24 @@
 
 // sweep looks after connections that no event comes for.
 func (f *Front) sweep() {
-	now, keep := f.core.Now(), front.IdleTimeout(f.room)
+	now, keep := f.core.Now(), front.IdleTimeout(f.limit)
 	for c := range f.clients {
-		rests := c.rests()
+		idle := c.idle()
 		switch {
 		case c.closing:
-			if now > c.endBy {
+			if now > c.closeDeadline {
 				c.conn.Close(transport.LocalDone)
 			}
-		case c.open != nil:
-		case !c.served && rests && now-c.rest > front.RequestReadTimeout && c.mayEnd():
+		case c.current != nil:
+		case !c.hasRequested && idle && now-c.idleSince > front.RequestReadTimeout && c.mayClose():
 			// Guards descriptors against clients that connect and say nothing.
-			c.end()
-		case !rests && c.begun > 0 && now-c.begun > front.RequestReadTimeout:
+			c.startClosing()
+		case !idle && c.requestStartedAt > 0 && now-c.requestStartedAt > front.RequestReadTimeout:
 			// And against those that begin a request and never end it. One that came behind
 			// another has not been looked at yet: it has no beginning.
-			c.malformed(&http1.Error{Status: 408, Reason: "the request was not whole in time"})
-		case rests && (f.closing && now-c.rest > drainQuiet || now-c.rest > keep) && c.mayEnd():
-			c.end()
+			c.rejectMalformed(&http1.Error{Status: 408, Reason: "the request was not whole in time"})
+		case idle && (f.closing && now-c.idleSince > drainIdleTimeout || now-c.idleSince > keep) && c.mayClose():
+			c.startClosing()
 		}
 	}
 	f.core.After(front.SweepInterval, f.sweep)
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -15,59 +15,59 @@
 	"kiteloft/internal/transport"
 )
 
-// desk is a core that notes what it is asked, and holds its timers until time passes.
-type desk struct {
-	now   time.Duration
-	due   []func()
-	asked []broker.Query
+// fakeCore is a core that notes what it is asked, and holds its timers until time passes.
+type fakeCore struct {
+	now      time.Duration
+	timers   []func()
+	admitted []broker.Query
 }
 
-func (d *desk) Now() time.Duration              { return d.now }
-func (d *desk) ReadClock() time.Duration        { return d.now }
-func (d *desk) After(_ time.Duration, f func()) { d.due = append(d.due, f) }
-func (d *desk) Post(fn func())                  { fn() }
-func (d *desk) Admit(q broker.Query) (broker.Admission, *broker.QueryHandle) {
-	d.asked = append(d.asked, q)
+func (d *fakeCore) Now() time.Duration              { return d.now }
+func (d *fakeCore) ReadClock() time.Duration        { return d.now }
+func (d *fakeCore) After(_ time.Duration, f func()) { d.timers = append(d.timers, f) }
+func (d *fakeCore) Post(fn func())                  { fn() }
+func (d *fakeCore) Admit(q broker.Query) (broker.Admission, *broker.QueryHandle) {
+	d.admitted = append(d.admitted, q)
 	return broker.Taken, nil
 }
 
-// pass lets time go by and runs what was waiting for that.
-func (d *desk) pass(t time.Duration) {
+// advance lets time go by and runs what was waiting for that.
+func (d *fakeCore) advance(t time.Duration) {
 	d.now += t
-	list := d.due
-	d.due = nil
+	list := d.timers
+	d.timers = nil
 	for _, fn := range list {
 		fn()
 	}
 }
 
-// line is a connection; loud says that something on it has not been looked at.
-type line struct {
-	said string
-	loud bool
-	ends []transport.End
+// fakeConn is a connection; loud says that something on it has not been looked at.
+type fakeConn struct {
+	written string
+	unread  bool
+	closes  []transport.End
 }
 
-func (l *line) Write(b []byte) int64      { l.said += string(b); return 0 }
-func (l *line) Close(e transport.End)     { l.ends = append(l.ends, e) }
-func (l *line) CloseIfReset()             {}
-func (l *line) InputDrained() bool        { return !l.loud }
-func (l *line) InputDelay() time.Duration { return 0 }
-func (l *line) Flushed() bool             { return true }
-func (l *line) Finish(e transport.End)    { l.ends = append(l.ends, e) }
+func (l *fakeConn) Write(b []byte) int64      { l.written += string(b); return 0 }
+func (l *fakeConn) Close(e transport.End)     { l.closes = append(l.closes, e) }
+func (l *fakeConn) CloseIfReset()             {}
+func (l *fakeConn) InputDrained() bool        { return !l.unread }
+func (l *fakeConn) InputDelay() time.Duration { return 0 }
+func (l *fakeConn) Flushed() bool             { return true }
+func (l *fakeConn) Finish(e transport.End)    { l.closes = append(l.closes, e) }
 
-// space is room for all, or hardly any.
-type space struct{ crowded bool }
+// fakeLimit is room for all, or hardly any.
+type fakeLimit struct{ crowded bool }
 
-func (s space) Crowded() bool { return s.crowded }
-func (s space) Busy() bool    { return s.crowded }
+func (s fakeLimit) Crowded() bool { return s.crowded }
+func (s fakeLimit) Busy() bool    { return s.crowded }
 
-func ask(owner string) []byte {
+func queryRequest(owner string) []byte {
 	body := `{"slices":[{"slice":1,"mass":1}],"filter":"x"}`
 	return fmt.Appendf(nil, "POST /read HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline-Ms: 400\r\n%sContent-Length: %d\r\n\r\n%s", owner, len(body), body)
 }
 
-func TestWhoseQueryItIs(t *testing.T) {
+func TestTenantIsReadFromHeader(t *testing.T) {
 	tenants := []decide.Tenant{{Name: "retail"}, {Name: "export"}}
 	tests := []struct {
 		name, header string
@@ -83,37 +83,37 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := &desk{now: time.Hour}
-			f := New(d, []decide.Class{{Name: "read"}}, tt.tenants, space{}, zerolog.Nop())
-			f.Accept(&line{}).Data(ask(tt.header))
-			if len(d.asked) != 1 || d.asked[0].Tenant != tt.want {
-				t.Errorf("asked %+v, want tenant %d", d.asked, tt.want)
+			d := &fakeCore{now: time.Hour}
+			f := New(d, []decide.Class{{Name: "read"}}, tt.tenants, fakeLimit{}, zerolog.Nop())
+			f.Accept(&fakeConn{}).Data(queryRequest(tt.header))
+			if len(d.admitted) != 1 || d.admitted[0].Tenant != tt.want {
+				t.Errorf("asked %+v, want tenant %d", d.admitted, tt.want)
 			}
 		})
 	}
 }
 
-// TestAConnectionIsNotShutOverARequest that has been read and not looked at, whatever it is to
+// TestConnectionWithUnreadInputStaysOpen that has been read and not looked at, whatever it is to
 // be shut for.
-func TestAConnectionIsNotShutOverARequest(t *testing.T) {
-	for _, loud := range []bool{false, true} {
+func TestConnectionWithUnreadInputStaysOpen(t *testing.T) {
+	for _, unread := range []bool{false, true} {
 		tests := []struct {
 			name string
-			do   func(d *desk, f *Front, c *client)
+			do   func(d *fakeCore, f *Front, c *client)
 		}{
-			{"it rests for too long", func(d *desk, _ *Front, c *client) { c.served = true; d.pass(time.Hour) }},
-			{"it has said nothing", func(d *desk, _ *Front, _ *client) { d.pass(front.RequestReadTimeout + time.Second) }},
-			{"the mixer ends", func(d *desk, f *Front, c *client) { c.served = true; f.Stop(); d.pass(time.Second) }},
-			{"room is made for another", func(_ *desk, f *Front, _ *client) { f.makeRoom() }},
+			{"it rests for too long", func(d *fakeCore, _ *Front, c *client) { c.hasRequested = true; d.advance(time.Hour) }},
+			{"it has said nothing", func(d *fakeCore, _ *Front, _ *client) { d.advance(front.RequestReadTimeout + time.Second) }},
+			{"the mixer ends", func(d *fakeCore, f *Front, c *client) { c.hasRequested = true; f.Stop(); d.advance(time.Second) }},
+			{"room is made for another", func(_ *fakeCore, f *Front, _ *client) { f.closeIdlest() }},
 		}
 		for _, tt := range tests {
-			t.Run(fmt.Sprintf("%s, %v", tt.name, loud), func(t *testing.T) {
-				d, l := &desk{now: time.Hour}, &line{loud: loud}
-				f := New(d, []decide.Class{{Name: "read"}}, nil, space{}, zerolog.Nop())
+			t.Run(fmt.Sprintf("%s, %v", tt.name, unread), func(t *testing.T) {
+				d, l := &fakeCore{now: time.Hour}, &fakeConn{unread: unread}
+				f := New(d, []decide.Class{{Name: "read"}}, nil, fakeLimit{}, zerolog.Nop())
 				c := f.Accept(l).(*client)
 				f.Ready()
 				tt.do(d, f, c)
-				if shut := len(l.ends) > 0; shut == loud {
+				if shut := len(l.closes) > 0; shut == unread {
 					t.Errorf("it was shut: %v", shut)
 				}
 			})
@@ -121,18 +121,18 @@
 	}
 }
 
-// TestAnAnswerClosesOnlyWhatNothingWaitsOn: few descriptors, or the mixer's end.
-func TestAnAnswerClosesOnlyWhatNothingWaitsOn(t *testing.T) {
-	for _, loud := range []bool{false, true} {
+// TestAnswerClosesOnlyConnectionsWithoutUnreadInput: few descriptors, or the mixer's end.
+func TestAnswerClosesOnlyConnectionsWithoutUnreadInput(t *testing.T) {
+	for _, unread := range []bool{false, true} {
 		for _, why := range []string{"descriptors", "end"} {
-			d, l := &desk{now: time.Hour}, &line{loud: loud}
-			f := New(d, []decide.Class{{Name: "read"}}, nil, space{crowded: why == "descriptors"}, zerolog.Nop())
+			d, l := &fakeCore{now: time.Hour}, &fakeConn{unread: unread}
+			f := New(d, []decide.Class{{Name: "read"}}, nil, fakeLimit{crowded: why == "descriptors"}, zerolog.Nop())
 			f.closing = why == "end"
-			f.Accept(l).Data(ask(""))
-			d.asked[0].Responder.Failed(false)
-			got := []bool{strings.Contains(l.said, "Connection: close"), len(l.ends) > 0}
-			if diff := cmp.Diff([]bool{!loud, !loud}, got); diff != "" {
-				t.Errorf("%s, something waits %v: %s", why, loud, diff)
+			f.Accept(l).Data(queryRequest(""))
+			d.admitted[0].Responder.Failed(false)
+			got := []bool{strings.Contains(l.written, "Connection: close"), len(l.closes) > 0}
+			if diff := cmp.Diff([]bool{!unread, !unread}, got); diff != "" {
+				t.Errorf("%s, something waits %v: %s", why, unread, diff)
 			}
 		}
 	}
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -19,9 +19,9 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	massSlack = 0.01 // by how much written shares may miss 1 for rounding
-	maxParts  = 4096
-	maxWord   = 128
+	weightTolerance    = 0.01 // by how much written shares may miss 1 for rounding
+	maxParts           = 4096
+	maxIdentifierBytes = 128
 	// GeneratedIDPrefix begins the ids of queries that come without one. A client's id may
 	// not begin so: ids of different fronts can't collide.
 	GeneratedIDPrefix = "fl-"
@@ -64,14 +64,14 @@
 // get fewer.
 func IdleTimeout(r ConnectionLimit) time.Duration {
 	if r.Busy() {
-		return busyTime
+		return reducedIdleTimeout
 	}
-	return keepTime
+	return normalIdleTimeout
 }
 
 const (
-	keepTime = 30 * time.Second
-	busyTime = 2 * time.Second
+	normalIdleTimeout  = 30 * time.Second
+	reducedIdleTimeout = 2 * time.Second
 	// SweepInterval is how often a front looks after connections that no event comes for.
 	SweepInterval = 250 * time.Millisecond
 	// RequestReadTimeout is by when a client has to have said what it wants: after it
@@ -83,7 +83,7 @@
 	ResetWait = 20 * time.Millisecond
 )
 
-type body struct {
+type queryBody struct {
 	Slices []struct {
 		Slice  *int     `json:"slice"`
 		Mass   *float64 `json:"mass"`
@@ -94,7 +94,7 @@
 
 // ParseBody reads a query's parts and text into q.
 func ParseBody(text []byte, q *broker.Query) error {
-	var b body
+	var b queryBody
 	if err := json.Unmarshal(text, &b); err != nil {
 		return errors.New("the body is not a query") // the library's words repeat the client's
 	}
@@ -113,7 +113,7 @@
 		q.Parts = append(q.Parts, broker.QueryPart{Shard: *s.Slice, Weight: *s.Mass,
 			Work: time.Duration(s.Micros * float64(time.Microsecond))})
 	}
-	if math.Abs(sum-1) > massSlack {
+	if math.Abs(sum-1) > weightTolerance {
 		return errors.New("slices: masses that are no whole")
 	}
 	q.Text = []byte(b.Filter)
@@ -147,7 +147,7 @@
 			return false
 		}
 	}
-	return s != "" && len(s) <= maxWord
+	return s != "" && len(s) <= maxIdentifierBytes
 }
 
 // NoTenant is the tenant of a query that names none, or one that the settings don't know:
