--- a/internal/fleet/member/exhaustive_test.go
+++ b/internal/fleet/member/exhaustive_test.go
@@ -8,18 +8,20 @@
 	"time"
 )
 
-// plan is one way in which a small fleet is spoilt: which directed links are cut, for how
-// many periods, who is killed when, and when it is started again; 0: not.
+// faultPlan is one sequence of faults in a small fleet: the directed links that are cut and for how
+// many periods, the process that is killed, and when it is killed and restarted (restartAfter 0:
+// never).
 type faultPlan struct {
-	cut                               int // a bit for each directed link
+	cut                               int // one bit for each directed link
 	cutPeriods                        int
-	victim                            int // -1: nobody
-	killAfter, restartAfter           int // periods after the cut begins
+	victim                            int // -1: none
+	killAfter, restartAfter           int // in periods: killAfter from the start of the cut, restartAfter from the kill
 	datagramLoss, datagramDuplication float64
 }
 
-// plans are all of a size: every set of links, of several lengths, with nobody killed or
-// any one at several times, started again or not.
+// allFaultPlans returns all plans for a fleet of n members: each set of cut links for several
+// lengths and, for up to 3 members, with nobody killed or any one member killed at several times
+// and restarted at several times or never.
 func allFaultPlans(n int) (list []faultPlan) {
 	links := n * (n - 1)
 	for cut := range 1 << links {
@@ -38,14 +40,15 @@
 		}
 	}
 	for i := range list {
-		if i%2 == 1 { // every other one with datagrams lost and doubled beside
+		if i%2 == 1 { // every other plan also loses and duplicates datagrams
 			list[i].datagramLoss, list[i].datagramDuplication = 0.1, 0.1
 		}
 	}
 	return list
 }
 
-// failing collects what the world finds wrong, in place of ending the test.
+// failureRecorder records the first failure that the simulation reports, instead of ending the
+// test.
 type failureRecorder struct {
 	testing.TB
 	failure *string
@@ -60,7 +63,7 @@
 func (f failureRecorder) Errorf(format string, args ...any) { f.Fatalf(format, args...) }
 func (f failureRecorder) Helper()                           {}
 
-// play runs one plan from a fleet at rest, and returns what it broke; "": nothing.
+// runPlan runs one plan on a settled fleet and returns the invariant that it broke; "": none.
 func runPlan(t testing.TB, n int, p faultPlan, states map[uint64]bool, ignoresIsolation bool) (failure string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -111,7 +114,7 @@
 	return failure
 }
 
-// state is a hash of all views.
+// stateHash returns a hash of all views.
 func (w *simulation) stateHash() uint64 {
 	h := fnv.New64a()
 	for _, p := range w.processes {
@@ -128,9 +131,9 @@
 	return h.Sum64()
 }
 
-// TestEverySmallTrouble plays every plan of three members and every cut of four; in CI one
-// in so many of them. In each, shares add up to 1 at most, nobody holds a duty with
-// another, and all agree in the end.
+// TestEverySmallFaultPlan runs every plan for three members and every set of cuts for four; without
+// KITELOFT_MEASURE only one in c.step of them. In each, shares add up to 1 at most, no duty has two
+// owners, and all views converge in the end.
 func TestEverySmallFaultPlan(t *testing.T) {
 	for _, c := range []struct{ n, step int }{{3, 47}, {4, 211}} {
 		all, played, states := allFaultPlans(c.n), 0, map[uint64]bool{}
@@ -148,8 +151,8 @@
 	}
 }
 
-// TestASeededFaultIsFound has members never feel cut off: some plan has to show what comes
-// of it, or the exploration shows nothing.
+// TestInjectedDefectIsFound disables the detection of isolation. At least one plan has to fail
+// then, or the exploration would prove nothing.
 func TestInjectedDefectIsFound(t *testing.T) {
 	all, states := allFaultPlans(3), map[uint64]bool{}
 	for i := 0; i < len(all); i += 7 {
--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// contest is open while another process may live under our name.
+// nameConflict is open while another process may be running under this member's name.
 type nameConflict struct {
 	open       bool
 	rival      Record
@@ -10,12 +10,13 @@
 	nextPingAt time.Duration
 }
 
-// seated reports whether we have our place in the fleet: until then we tell nobody of
-// ourselves.
+// isAdmitted reports whether this member has entered the fleet under an undisputed name. Until then
+// it sends nobody its own record.
 func (m *Machine) isAdmitted() bool { return m.joined && !m.nameConflict.open }
 
-// join asks seeds until somebody answers, and now and then while we are cut off or
-// know of nobody.
+// contactSeeds starts full exchanges with seeds until one of them answers. Later it does so from
+// time to time while this member is isolated, knows of no other live member, or has a name
+// conflict.
 func (m *Machine) contactSeeds() {
 	if m.joined && !m.isolated && m.Alive() > 1 && !m.nameConflict.open || m.now < m.nextJoinAt {
 		return
@@ -25,7 +26,7 @@
 		m.nextJoinAt = m.now + m.periods(joinInterval)
 		return
 	}
-	// Nobody is there, it seems: serve alone, go on trying, more rarely.
+	// No seed answers: serve alone and go on trying at longer intervals.
 	if m.joinTries++; m.joinTries > joinTriesBeforeAlone && !m.nameConflict.open {
 		m.enterFleet()
 	}
@@ -36,7 +37,7 @@
 	}
 }
 
-// takeSeat begins our life in the fleet.
+// enterFleet marks this member as part of the fleet and announces its record.
 func (m *Machine) enterFleet() {
 	if m.joined {
 		return
@@ -48,11 +49,12 @@
 	m.enqueue(recordKey(m.c.ID))
 	m.watchedStale = true
 	for _, p := range m.pickRandom(helperCount, func(p *peer) bool { return p.State == Alive }) {
-		m.startExchange(Target{p.ID, p.Addr}) // by which they come to know us
+		m.startExchange(Target{p.ID, p.Addr}) // the receivers learn of this member
 	}
 }
 
-// renew says that we are there, against whatever is said of our present life.
+// reassertAlive raises the turn of this member's record, so that it overrides whatever others hold
+// of the current incarnation.
 func (m *Machine) reassertAlive() {
 	m.self.Incarnation.Turn++
 	m.self.State = Alive
@@ -63,13 +65,14 @@
 	}
 }
 
-// mergeSelf takes what others say of our name.
+// mergeOwnRecord merges a record that others hold under this member's name.
 func (m *Machine) mergeOwnRecord(r Record) {
 	if r.Instance == m.c.Instance {
 		if r.State == Alive || r.Incarnation.Before(m.self.Incarnation) {
 			return
 		}
-		// We were thrown out: the others have shared out anew, and learn that we are back.
+		// The others declared this member gone and divided its share among themselves. They learn
+		// from the higher turn that it is back.
 		m.self.Incarnation.Turn = r.Incarnation.Turn
 		m.self.Ready = false
 		m.readyAt = m.now + m.propagationTime()
@@ -80,9 +83,10 @@
 		m.noteNameConflict(r)
 		return
 	}
-	// It is gone, or it had the very address that is ours now: it was we, before.
+	// The other process is gone, or has the address that is now ours: it was an earlier run of this
+	// member.
 	if m.nameConflict.open && r.Incarnation.Before(m.nameConflict.rival.Incarnation) {
-		return // this is about one still earlier
+		return // the record is of a run before the rival's
 	}
 	m.nameConflict = nameConflict{}
 	if r.Incarnation.Generation >= m.self.Incarnation.Generation {
@@ -94,10 +98,11 @@
 	}
 }
 
-// dispute looks into a process that is said to live under our name elsewhere.
+// noteNameConflict records that a process is said to run under this member's name at another
+// address.
 func (m *Machine) noteNameConflict(r Record) {
 	if m.isAdmitted() && r.Incarnation.Generation < m.self.Incarnation.Generation {
-		return // we have taken over from it; it will hear of that
+		return // this member has replaced that process, which will learn of it
 	}
 	if !m.nameConflict.open {
 		m.nameConflict = nameConflict{open: true, openSince: m.now}
@@ -105,8 +110,9 @@
 	m.nameConflict.rival = r
 }
 
-// contend asks the rival whether it is there. Silent for long, it is not: whoever is
-// gone does not keep its name.
+// advanceNameConflict marks this member as ready once its waiting time is over, and pings the rival
+// while a name conflict is open. A rival that stays silent for long is taken to be gone and loses
+// the name.
 func (m *Machine) advanceNameConflict() {
 	c := &m.nameConflict
 	if m.isAdmitted() && !m.self.Ready && m.now >= m.readyAt && !m.isolated {
@@ -129,14 +135,14 @@
 		Message{Kind: Ping, From: m.c.ID, Instance: m.c.Instance, To: m.c.ID, Target: c.rival.Instance, Seq: m.seq, Records: []Record{m.self}}})
 }
 
-// rival takes what another process under our name says to us.
+// rival handles a message from another process under this member's name.
 func (m *Machine) rival(msg Message) {
 	if msg.Instance == m.c.Instance {
-		return // our own words, come back
+		return // our own message came back
 	}
 	switch msg.Kind {
 	case Ping:
-		// It asks whether we are there. Where it stands is in its own record.
+		// The rival asks whether this process is running. Its address is in its own record.
 		for _, r := range msg.Records {
 			if r.ID == m.c.ID && r.Instance == msg.Instance && m.joined {
 				m.output.Send = append(m.output.Send, Datagram{Target{m.c.ID, r.Addr}, Message{Kind: Ack, From: m.c.ID, Instance: m.c.Instance,
@@ -148,8 +154,8 @@
 		if !c.open || msg.Instance != c.rival.Instance {
 			return
 		}
-		// The one that has its place stays. Of two that have one, the later generation does,
-		// and else the lower instance.
+		// A process that has entered the fleet keeps the name. If both have entered it, the later
+		// generation keeps it, and of two with the same generation the lower instance.
 		rivalGeneration := c.rival.Incarnation.Generation
 		if m.joined && (rivalGeneration < m.self.Incarnation.Generation || rivalGeneration == m.self.Incarnation.Generation && m.c.Instance < msg.Instance) {
 			m.nameConflict = nameConflict{}
--- a/internal/fleet/member/large_test.go
+++ b/internal/fleet/member/large_test.go
@@ -11,7 +11,8 @@
 	"kiteloft/internal/standin/pure"
 )
 
-// large is the size of a large fleet in CI; KITELOFT_MEASURE has it be 300.
+// fleetSize returns the number of members of a large fleet: 300 with KITELOFT_MEASURE, a smaller
+// number in CI.
 func fleetSize() int {
 	if os.Getenv("KITELOFT_MEASURE") != "" {
 		return 300
@@ -19,12 +20,13 @@
 	return defaultFleetSize
 }
 
-// TestALargeFleet holds the same promises as one of nine, at the same cost a member.
+// TestLargeFleet checks that a large fleet keeps the guarantees of a fleet of nine at the same cost
+// for each member.
 func TestLargeFleet(t *testing.T) {
 	fleetSize := fleetSize()
 	w := settledFleet(t, 1, fleetSize)
-	w.skipInvariants = true // the sum is looked at now and then
-	w.run(10 * time.Second) // until all has been told often enough
+	w.skipInvariants = true // checked at a few points only
+	w.run(10 * time.Second) // until all updates have been sent as often as they have to be
 	datagramsSent := w.datagramsSent
 	w.run(5 * time.Second)
 	if rate := float64(w.datagramsSent-datagramsSent) / float64(fleetSize) / 5; rate > 33 {
@@ -74,7 +76,7 @@
 	w.runUntil(40*period, "they share all", func() bool { return w.processes[5].machine.Share(w.now) > 2.97/float64(fleetSize) })
 }
 
-// TestTheSameSeedGivesTheSameRun, on one core and on all.
+// TestSameSeedGivesSameRun checks that the simulation is deterministic, on one core and on all.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	run := func() uint64 {
 		w := settledFleet(t, 7, 40)
@@ -92,7 +94,7 @@
 	}
 }
 
-// TestPure: no I/O, no clock, no goroutine.
+// TestPure checks that the package does no I/O, reads no clock and starts no goroutine.
 func TestPure(t *testing.T) {
 	pure.Imports(t, "cmp", "encoding/binary", "fmt", "github.com/zeebo/xxh3", "maps", "math/bits", "math/rand/v2", "slices", "strings", "time")
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -28,7 +28,7 @@
 		w.run(5 * time.Second)
 		if p := w.processes[int(seed)%9]; seed < 10 {
 			w.kill(p)
-		} else { // its machine vanishes with it: nobody refuses connections
+		} else { // the machine vanishes with the process: no connection is refused
 			w.pause(p, time.Hour)
 			p.machine = nil
 			w.setCut([]*process{p}, w.others(p), true)
--- a/internal/fleet/member/probe.go
+++ b/internal/fleet/member/probe.go
@@ -8,9 +8,10 @@
 	"github.com/zeebo/xxh3"
 )
 
-// choose says whom this member watches. Members stand in as many rings as one has
-// observers, each in an order of its own, and each watches the next in each: a fleet
-// of any size costs a member the same, and the graph has no narrow place.
+// selectWatched selects the members that this one observes. All members are placed on
+// observersPerMember rings, on each in a different pseudo-random order, and each member observes
+// its successor on each ring. The cost for a member does not depend on the fleet's size, and no
+// small set of links connects two halves of the graph of observers.
 func (m *Machine) selectWatched() {
 	m.watchedStale = false
 	var alive []*peer
@@ -21,7 +22,7 @@
 	}
 	chosen := map[string]bool{}
 	for ring := range observersPerMember {
-		// The next behind us that we don't watch already.
+		// The successor on the ring among those that are not selected yet.
 		var best *peer
 		for _, p := range alive {
 			if !chosen[p.ID] && (best == nil || p.ringPositions[ring]-m.ringPositions[ring] < best.ringPositions[ring]-m.ringPositions[ring]) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// ringsOf is where a member stands in each ring.
+// ringPositionsOf returns the position of a member on each ring.
 func ringPositionsOf(id string) (at [observersPerMember]uint64) {
 	for ring := range at {
 		at[ring] = hash(id, uint64(ring))
@@ -57,12 +58,13 @@
 	return at
 }
 
+// hash returns a hash of an id that differs for each salt.
 func hash(id string, salt uint64) uint64 {
 	return xxh3.Hash(binary.BigEndian.AppendUint64([]byte(id), salt))
 }
 
-// probe pings those that are due, asks others to, and tries those that stay silent
-// over a connection.
+// probeWatched pings the members that are due, requests indirect pings, and tries a connection to
+// those that stay silent.
 func (m *Machine) probeWatched() {
 	for seq, w := range m.pending {
 		if m.now-w.sentAt > m.periods(lateAckTimeout) {
@@ -94,7 +96,7 @@
 	}
 }
 
-// tryStray pings one of those that are gone, in turn: they may be back.
+// pingOneGone pings one of the gone members, in turn: it may be back.
 func (m *Machine) pingOneGone() {
 	for range m.sortedIDs {
 		m.gonePingIndex = (m.gonePingIndex + 1) % len(m.sortedIDs)
@@ -105,7 +107,7 @@
 	}
 }
 
-// ping pings a member, on behalf of another or of ourselves.
+// ping pings a member, for this member (requester "") or for the sender of a PingRequest.
 func (m *Machine) ping(p *peer, requester string, requesterSeq uint64) {
 	m.seq++
 	if requester == "" {
@@ -117,16 +119,16 @@
 	m.send(p, msg)
 }
 
-// tellFate has a message say to a member that is not deemed alive what it is deemed:
-// it can refute only what it hears of.
+// appendTargetRecord adds the receiver's record to a message if the receiver is not alive in this
+// view: a member can refute only what it hears of.
 func (m *Machine) appendTargetRecord(msg *Message, p *peer) {
 	if p.State != Alive {
 		msg.Records = append(msg.Records, p.current(m.now))
 	}
 }
 
-// ask has a few others ping a member for us: first the one by whom it was last
-// reached, then others, of as many zones as there are.
+// requestIndirectPings asks a few members to ping another one: first the helper by which it was
+// last reached, then others from as many zones as possible.
 func (m *Machine) requestIndirectPings(p *peer) {
 	var chosen []*peer
 	zones := map[string]bool{}
@@ -139,7 +141,7 @@
 		take(h)
 	}
 	others := m.pickRandom(4*helperCount, eligible)
-	for _, newZonesOnly := range []bool{true, false} { // one of each zone before a second of any
+	for _, newZonesOnly := range []bool{true, false} { // one helper of each zone before a second of any zone
 		for _, h := range others {
 			if len(chosen) < helperCount && !slices.Contains(chosen, h) && (!newZonesOnly || !zones[h.Zone]) {
 				take(h)
@@ -151,15 +153,18 @@
 	}
 }
 
+// answerPing answers a ping if its sender is known.
 func (m *Machine) answerPing(msg Message, p *peer) {
 	if p == nil || p.Instance != msg.Instance {
-		return // it will try a connection
+		return // the sender will try a connection
 	}
 	ack := Message{Kind: Ack, Seq: msg.Seq}
 	m.appendTargetRecord(&ack, p)
 	m.send(p, ack)
 }
 
+// handleAck records the round trip that an Ack completes, and passes the answer on to the sender of the
+// PingRequest if there is one.
 func (m *Machine) handleAck(msg Message) {
 	w, ok := m.pending[msg.Seq]
 	if !ok || w.peerID != msg.From {
@@ -172,13 +177,13 @@
 	}
 }
 
-// hear notes a round trip with a member.
+// noteRoundTrip records a completed round trip with a member.
 func (m *Machine) noteRoundTrip(p *peer) {
 	p.lastRoundTrip, p.refused = m.now, false
 	m.withdrawDoubt(p)
 }
 
-// withdraw takes our doubt of a member back.
+// withdrawDoubt withdraws this member's doubt of another.
 func (m *Machine) withdrawDoubt(p *peer) {
 	if p.ownDoubt == nil || p.ownDoubt.Withdrawn {
 		return
@@ -186,7 +191,7 @@
 	m.publishDoubt(p, true)
 }
 
-// say tells all whether we hear a member.
+// publishDoubt publishes a doubt of a member, or its withdrawal.
 func (m *Machine) publishDoubt(p *peer, withdrawn bool) {
 	p.ownDoubtVersion++
 	p.ownDoubtSentAt = m.now
@@ -196,15 +201,15 @@
 	m.enqueue(doubtKey(p.ID, m.c.ID))
 }
 
-// silence is for how long a member that we watch has been silent, as far as that can be
-// held against it: not while we stood still, nor before it began its present life.
+// silentFor returns how long a watched member has been silent. Time in which this process was
+// stalled and time before the member's present incarnation do not count.
 func (m *Machine) silentFor(p *peer) time.Duration {
 	return m.now - max(p.lastRoundTrip, p.observedSince, p.incarnationSince, m.awakeSince)
 }
 
-// lease is until when a majority counts as being within reach, by our own round trips
-// alone. Where we watch all, it is one of the base; in a larger fleet it is one of those
-// that we watch.
+// quorumLease returns the time until which a majority counts as being in reach, by this member's
+// own round trips alone. If this member observes all others, it is a majority of the quorum base;
+// in a larger fleet it is a majority of the observed members.
 func (m *Machine) quorumLease() time.Duration {
 	need, voter := m.quorumNeeded()
 	if m.aliveCount-1 > observersPerMember {
@@ -226,7 +231,7 @@
 	return roundTrips[len(roundTrips)-need] + m.periods(isolatedAfterSilence)
 }
 
-// pick draws up to n members.
+// pickRandom returns up to n random members that are eligible.
 func (m *Machine) pickRandom(n int, eligible func(*peer) bool) []*peer {
 	var list []*peer
 	for _, id := range m.sortedIDs {
--- a/internal/fleet/member/scenarios_test.go
+++ b/internal/fleet/member/scenarios_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// others is all processes but one.
+// others returns all processes except one.
 func (w *simulation) others(p *process) []*process {
 	return slices.DeleteFunc(slices.Clone(w.processes), func(q *process) bool { return q == p })
 }
@@ -34,8 +34,9 @@
 	}
 }
 
-// halfCut has one process lose all that it says, or all that it should hear: it knows
-// that it is cut off before the others throw it out, and is back when the fault is over.
+// testOneWayCut cuts one process off in one direction: everything that it sends, or everything that
+// is sent to it, is lost. The process has to find that it is isolated before the others declare it
+// gone, and has to rejoin after the cut.
 func testOneWayCut(t *testing.T, mute bool) {
 	for seed := range uint64(5) {
 		w := settledFleet(t, seed, 9)
@@ -95,7 +96,7 @@
 		name   string
 		length time.Duration
 		many   int
-		out    bool // they are thrown out, and come back
+		out    bool // they are declared gone, and come back
 	}{{"half a second", period, 1, false}, {"two", 2 * time.Second, 1, false}, {"two, three at once", 2 * time.Second, 3, false},
 		{"ten", 10 * time.Second, 1, true}, {"ten, three at once", 10 * time.Second, 3, true}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -242,14 +243,14 @@
 	w.processes = w.processes[:5]
 	w.runUntil(4*period, "the view is as it was", w.converged)
 	for _, c := range w.changes {
-		if !c.FirstSeen { // the second saw them all, before it stopped
+		if !c.FirstSeen { // the second process saw all members for the first time before it stopped
 			t.Errorf("%+v", c)
 		}
 	}
 	t.Run("whose owner is gone", func(t *testing.T) {
 		w.kill(w.processes[3])
 		w.processes[3] = &process{id: "n003", zone: "c", addr: "h777"}
-		w.processes = append(w.processes, &process{id: "dead", addr: "h003"}) // nobody listens there now
+		w.processes = append(w.processes, &process{id: "dead", addr: "h003"}) // nobody listens at this address any more
 		w.start(w.processes[3])
 		w.run(100 * ms)
 		w.runUntil(30*time.Second, "it has its place", func() bool { return w.processes[3].machine.Share(w.now) > 0.16 })
@@ -259,8 +260,9 @@
 	})
 }
 
-// TestOldWordsChangeNothing says again what was said at the start, to a fleet that has
-// moved on; a killed and forgotten member stays forgotten.
+// TestReplayedMessagesChangeNothing replays messages from the start of a fleet whose state has
+// moved on. Without the checks on incarnations and ages they would bring back a member that was
+// killed and forgotten.
 func TestReplayedMessagesChangeNothing(t *testing.T) {
 	w := newSimulation(t, 9, 5)
 	var old []Datagram
@@ -289,9 +291,9 @@
 	}
 }
 
-// TestTwoHalvesNeverShareOutTwice cuts the fleet in every kind of two, for times of every
-// length, over many seeds; the world adds the shares up all the while and asks who holds
-// a duty.
+// TestPartitionsNeverOverspendSharedBudget partitions the fleet in random ways, for random times
+// and with many seeds. All the while the simulation checks that the shares add up to 1 at most and
+// that no duty has two owners.
 func TestPartitionsNeverOverspendSharedBudget(t *testing.T) {
 	most := 0.0
 	for seed := range uint64(25) {
@@ -321,7 +323,7 @@
 	t.Logf("the shares added up to %.4f at most", most)
 }
 
-// fault spoils something, by lot.
+// injectRandomFault injects one random fault.
 func (w *simulation) injectRandomFault() {
 	perm := w.rng.Perm(len(w.processes))
 	split := func() (a, b []*process) {
@@ -337,9 +339,9 @@
 	}
 	p := w.processes[perm[0]]
 	switch a, b := split(); w.rng.IntN(6) {
-	case 0: // one way
+	case 0: // one direction
 		w.setCut(a, b, true)
-	case 1: // both ways
+	case 1: // both directions
 		w.setCut(a, b, true)
 		w.setCut(b, a, true)
 	case 2:
--- a/internal/fleet/member/share.go
+++ b/internal/fleet/member/share.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Whole reports whether a majority is within reach; until is when that has to be asked
-// again at the latest. It looks at the clock that it is given, not at the last Tick: a
-// process that stood still is not whole when it wakes.
+// HasQuorum reports whether a majority is in reach, and the time until which the answer holds; the
+// caller has to ask again by then. The answer depends on the time passed in, not on the last Tick:
+// a process that wakes from a stall has no quorum.
 func (m *Machine) HasQuorum(now time.Duration) (quorum bool, until time.Duration) {
 	if until = m.quorumLease(); m.ignoresIsolation {
 		until = forever
@@ -16,27 +16,30 @@
 	return m.joined && !m.leaving && !m.nameConflict.open && !m.isolated && now < until, until
 }
 
-// Share is what this mixer may use of a budget that all mixers share, from 0 to 1. The
-// sum over all processes that live, whatever each of them knows, stays at 1 or under:
-// one that becomes known is counted at once by all and begins when all have counted it;
-// one that is cut off takes half of its share before the others, who leave it that half,
-// hold it as gone; those that were never seen keep what the settings give them.
+// Share returns the part of a budget shared by all mixers that this one may use, from 0 to 1. Over
+// all running processes the sum stays at 1 or below, whatever each of them knows:
+//
+// A member that becomes known is counted by all at once, and uses its share only after all have
+// counted it. An isolated member drops to half of its share before the others declare it gone, and
+// they reserve that half for it. Members that were never seen keep the share that the settings give
+// them.
 func (m *Machine) Share(now time.Duration) float64 {
 	if !m.joined || m.leaving || m.nameConflict.open || !m.self.Ready {
 		return 0
 	}
 	if quorum, _ := m.HasQuorum(now); !quorum || now < m.recoveredAt {
 		if m.isolated && now-m.isolationChangedAt > m.c.Forget/2 {
-			return 0 // the others may have forgotten us
+			return 0 // the others may have forgotten this member
 		}
 		return isolatedShareFactor * m.lastQuorumShare
 	}
 	return min(m.cap, m.fairShare())
 }
 
-// settle lets our share grow once all have had the time to learn why: whoever of them has
-// not is cut off by then and uses less. It shrinks at once. The largest that it
-// was to be of late is what somebody who was cut off may have.
+// updateShareLimit raises the limit of the share only after all members have had time to learn the
+// reason; one that has not learned it by then is isolated and uses less. It lowers the limit at
+// once. It also keeps the largest recent share, which is what a member that has become isolated may
+// be using.
 func (m *Machine) updateShareLimit() {
 	now := m.fairShare()
 	if now != m.pendingShare {
@@ -50,13 +53,14 @@
 	}
 }
 
-// part is a member's share as this view has it.
+// fairShare returns the share of one member according to this view.
 func (m *Machine) fairShare() float64 {
 	m.refreshSummary()
 	return m.fairShareNow
 }
 
-// claim is how strongly a member claims a duty: one of the zone before all others.
+// dutyClaim is a member's priority for a duty in rendezvous hashing. Members of the preferred zone
+// come before all others.
 type dutyClaim struct {
 	inZone bool
 	hash   uint64
@@ -70,8 +74,8 @@
 	return c.inZone && !o.inZone || c.inZone == o.inZone && c.hash > o.hash
 }
 
-// Owner is the member that has a duty: one of the zone, if any is there. "": nobody
-// can be named.
+// Owner returns the member that owns a duty; members of the zone are preferred. It returns "" if no
+// member is eligible.
 func (m *Machine) Owner(zone, key string) string {
 	best, eligible := m.self.claimOn(zone, key)
 	owner := ""
@@ -86,8 +90,9 @@
 	return owner
 }
 
-// Rank is how many members come before this one for a duty. Whoever stands in for an owner
-// that says nothing waits by it, so that not all do at once.
+// Rank returns how many members precede this one in the order of claims to a duty. Members that
+// step in for a silent owner wait according to their rank, so that they do not all act at the same
+// time.
 func (m *Machine) Rank(zone, key string) (n int) {
 	own, _ := m.self.claimOn(zone, key)
 	for _, id := range m.sortedIDs {
@@ -98,9 +103,9 @@
 	return n
 }
 
-// Mine reports whether a duty is this mixer's, and until when it may act on that without
-// asking again. Two never hold one at once: who takes it over waits until the other has
-// lost it by its own clock, or said so.
+// Mine reports whether this mixer owns a duty, and the time until which it may act as the owner
+// without asking again. Two mixers never own a duty at the same time: a new owner waits until the
+// previous one has lost it by its own clock or has given it up.
 func (m *Machine) Mine(now time.Duration, zone, key string) (bool, time.Duration) {
 	quorum, until := m.HasQuorum(now)
 	if !quorum || !m.self.Ready || now < m.recoveredAt || now < m.readyAt+m.propagationTime() || m.Owner(zone, key) != m.c.ID {
@@ -109,17 +114,17 @@
 	return true, until
 }
 
-// Entry is a member as this view has it.
+// MemberStatus is a member in this view.
 type MemberStatus struct {
 	Record
 	State     State
-	Since     time.Duration // when it came to that
-	Doubters  []string      // who doubts it
-	LastHeard time.Duration // when we last had a round trip with it; 0: we never had
+	Since     time.Duration // when it entered the state
+	Doubters  []string      // ids of the observers that doubt it
+	LastHeard time.Duration // last round trip with it; 0: none
 	Self      bool
 }
 
-// View is all members, by id.
+// View returns all members, sorted by id.
 func (m *Machine) View() []MemberStatus {
 	list := []MemberStatus{{Record: m.self, State: m.self.State, Since: m.isolationChangedAt, Doubters: sortedKeys(m.doubtsAboutSelf), LastHeard: m.now, Self: true}}
 	if m.isolated {
@@ -142,13 +147,13 @@
 	return list
 }
 
-// Isolated reports whether this mixer deems itself cut off.
+// Isolated reports whether this mixer holds itself isolated from the majority.
 func (m *Machine) Isolated() bool { return m.isolated }
 
-// Self is this mixer's own record.
+// Self returns this mixer's own record.
 func (m *Machine) Self() Record { return m.self }
 
-// Find is the record of a member, whatever its state.
+// Find returns the record of a member in any state.
 func (m *Machine) Find(id string) (Record, bool) {
 	if p := m.peers[id]; p != nil && !p.forgotten {
 		return p.Record, true
@@ -156,7 +161,7 @@
 	return Record{}, false
 }
 
-// Live names those that are there, this mixer among them, by name.
+// Live returns the ids of the live members including this mixer, sorted.
 func (m *Machine) Live() []string {
 	list := []string{m.c.ID}
 	for _, id := range m.sortedIDs {
--- a/internal/fleet/member/simulation_test.go
+++ b/internal/fleet/member/simulation_test.go
@@ -17,8 +17,8 @@
 	period = 500 * ms
 )
 
-// world is a fleet of machines on a network that a test spoils. It runs on one
-// goroutine and draws from a seed: the same seed gives the same run, to the byte.
+// simulation is a fleet of Machines on a simulated network with faults. It runs on one goroutine
+// and draws from one seed: the same seed gives exactly the same run.
 type simulation struct {
 	t              testing.TB
 	rng            *rand.Rand
@@ -27,17 +27,17 @@
 	eventCount     uint64
 	processes      []*process
 	lossRate       float64
-	maxDelay       time.Duration // most, one way
-	duplicateRate  float64       // share of datagrams that come twice
+	maxDelay       time.Duration // maximum, one way
+	duplicateRate  float64       // probability that a datagram is delivered twice
 	cut            map[[2]string]bool
 	byAddr         map[string]*process
 	datagramsSent  int
-	maxUpdates     int // updates in a datagram
+	maxUpdates     int // most updates in one datagram
 	changes        []observedChange
 	stopReasons    []string
-	shareSum       float64 // the largest sum of shares
-	skipInvariants bool    // the sum is not looked at
-	traceHash      uint64  // of all that happened
+	shareSum       float64 // largest sum of shares seen
+	skipInvariants bool    // checkInvariants is not called
+	traceHash      uint64  // hash of all events
 }
 
 type observedChange struct {
@@ -45,13 +45,13 @@
 	Change
 }
 
-// proc is one process. Its machine is nil while it is dead.
+// process is one simulated process. Its machine is nil while it is not running.
 type process struct {
 	id, zone, addr string
 	machine        *Machine
-	pausedUntil    time.Duration // until then
-	generation     uint32        // on its disk
-	heldBack       []func()      // what came while it stood still
+	pausedUntil    time.Duration // the process is stalled until then
+	generation     uint32        // as stored on its disk
+	heldBack       []func()      // deliveries during a stall
 	starts         int
 }
 
@@ -68,7 +68,7 @@
 	w.events.Add(w.now+d, do)
 }
 
-// start starts a process, with the first three as its seeds.
+// start starts a process with the first three processes as its seeds.
 func (w *simulation) start(p *process) {
 	p.starts++
 	var seeds []string
@@ -98,7 +98,7 @@
 	w.schedule(max(machine.periods(tickInterval), p.pausedUntil-w.now), func() { w.tick(p, machine) })
 }
 
-// pause stops a process for a while; what comes meanwhile waits for it.
+// pause stalls a process for a while; deliveries wait until it resumes.
 func (w *simulation) pause(p *process, d time.Duration) {
 	p.pausedUntil = w.now + d
 	w.schedule(d, func() {
@@ -108,8 +108,7 @@
 	})
 }
 
-// wake hands a process what came while it stood still; half of the time its clock is
-// looked at first.
+// resume delivers what arrived during a stall; in half of the cases the process ticks first.
 func (w *simulation) resume(p *process) {
 	heldBack := p.heldBack
 	p.heldBack = nil
@@ -142,7 +141,7 @@
 	return time.Duration(1 + w.rng.Int64N(int64(w.maxDelay)))
 }
 
-// deliver runs something at a process, once it does not stand still.
+// deliver runs a function at a process, once the process is not stalled.
 func (w *simulation) deliver(p *process, machine *Machine, do func()) {
 	if machine == nil || p.machine != machine {
 		return
@@ -157,7 +156,7 @@
 	}
 }
 
-// carry carries out what a machine wants.
+// applyOutput carries out what a machine asks for.
 func (w *simulation) applyOutput(p *process) {
 	machine := p.machine
 	out := machine.TakeOutput()
@@ -196,15 +195,15 @@
 	w.traceHash = h.Sum64()
 }
 
-// exchange is a connection: loss only delays it, a cut ends it in silence, and a dead
-// process's machine refuses it.
+// runExchange simulates a connection: loss only delays it, a cut ends it without an answer, and the
+// machine of a dead process refuses it.
 func (w *simulation) runExchange(p *process, machine *Machine, x Exchange) {
 	to := w.processAt(x.Addr)
 	open := func() bool { return !w.cut[[2]string{p.id, to.id}] && !w.cut[[2]string{to.id, p.id}] }
 	connectionLatency := func() time.Duration {
 		d := w.latency()
 		for w.rng.Float64() < w.lossRate {
-			d += 200 * ms // sent again
+			d += 200 * ms // retransmission
 		}
 		return d
 	}
@@ -227,7 +226,7 @@
 	})
 }
 
-// run lets time go by.
+// run advances the simulation by a time.
 func (w *simulation) run(d time.Duration) {
 	w.events.Run(&w.now, d, func() {
 		if !w.skipInvariants && w.eventCount%16 == 0 {
@@ -236,8 +235,8 @@
 	})
 }
 
-// look adds up what all processes that run may use of a shared budget, and asks who
-// holds a duty. One that stands still uses nothing: it asks anew when it wakes.
+// checkInvariants checks that the shares of all running processes add up to 1 at most and that no
+// duty has two owners. A stalled process uses nothing: it asks again when it resumes.
 func (w *simulation) checkInvariants() {
 	shareSum, owner := 0.0, ""
 	for _, p := range w.processes {
@@ -257,7 +256,7 @@
 	}
 }
 
-// views shows what each process holds of the others.
+// describeViews returns the view of each process as text.
 func (w *simulation) describeViews() string {
 	var b strings.Builder
 	for _, p := range w.processes {
@@ -274,8 +273,8 @@
 	return b.String()
 }
 
-// agree reports whether all that run hold the same: those that run are alive, nobody
-// else is.
+// converged reports whether all running processes have the same view: exactly the running ones are
+// alive.
 func (w *simulation) converged() bool {
 	up := map[string]bool{}
 	for _, p := range w.processes {
@@ -299,7 +298,7 @@
 	return true
 }
 
-// until runs until a condition holds and returns how long that took.
+// runUntil runs the simulation until a condition holds and returns how long that took.
 func (w *simulation) runUntil(limit time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
 	begun := w.now
@@ -312,7 +311,7 @@
 	return w.now - begun
 }
 
-// settle starts a fleet and lets it come to rest.
+// settledFleet starts a fleet and runs it until it has settled.
 func settledFleet(t testing.TB, seed uint64, n int) *simulation {
 	w := newSimulation(t, seed, n)
 	w.startAll()
@@ -326,7 +325,7 @@
 	return w
 }
 
-// cutOff cuts every link from one side to the other.
+// setCut cuts or restores all links from one side to the other.
 func (w *simulation) setCut(from, to []*process, cut bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -348,7 +347,7 @@
 	return in, out
 }
 
-// thrownOut is the changes by which somebody was held as gone.
+// declaredGone returns the changes by which a member was declared gone.
 func (w *simulation) declaredGone() (list []observedChange) {
 	for _, c := range w.changes {
 		if c.To == Gone {
@@ -358,8 +357,8 @@
 	return list
 }
 
-// flaps is the most often that one view changed one member's state since the changes
-// were last cleared.
+// maxChangesPerMember returns the largest number of changes of one member's state in one view since
+// the changes were last cleared.
 func (w *simulation) maxChangesPerMember() (most int) {
 	count := map[[2]string]int{}
 	for _, c := range w.changes {
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -10,7 +10,7 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// merge takes a message's updates.
+// merge merges the updates of a message into the view.
 func (m *Machine) merge(msg Message) {
 	for _, r := range msg.Records {
 		m.mergeRecord(r)
@@ -23,19 +23,19 @@
 	}
 }
 
-// mergeRecord takes what is told of a member, if it is newer than what we hold.
+// mergeRecord merges the record of a member if it is newer than the known one.
 func (m *Machine) mergeRecord(r Record) {
 	if r.ID == m.c.ID {
 		m.mergeOwnRecord(r)
 		return
 	}
 	if r.ID == "" || r.State > Left || r.State == Doubted {
-		return // guards against what no member of ours would say
+		return // no member sends such a record
 	}
 	p := m.peers[r.ID]
 	if p == nil {
-		// Guards against those forgotten here: whoever still remembers them must not bring
-		// them back.
+		// Guards against members that are forgotten here: those that still remember them must not
+		// bring them back.
 		if r.State != Alive && r.Age > m.c.Forget/2 || !m.makeRoom() {
 			return
 		}
@@ -48,7 +48,7 @@
 	}
 	if r.Incarnation == p.Incarnation && r.Instance == p.Instance && r.State == Gone && p.State == Gone && r.RetainedShare > p.RetainedShare {
 		m.summaryStale = true
-		p.RetainedShare = min(r.RetainedShare, 1) // whoever knew it longer knows what it may still use
+		p.RetainedShare = min(r.RetainedShare, 1) // a member that knew the gone one for longer knows better what it may still use
 		m.enqueue(recordKey(p.ID))
 	}
 	switch {
@@ -56,12 +56,13 @@
 	case r.Incarnation.Before(p.Incarnation), r.Instance != p.Instance, r.State <= p.State:
 		return
 	case r.State == Gone && m.now-p.lastRoundTrip < m.periods(doubtAfterSilence):
-		return // we hear it; it will be told what is said of it, and say that it is there
+		return // we hear it; it will be told of this record and refute it
 	}
 	m.adopt(p, r, changeCause(p, r), false)
 }
 
-// room makes room for one more member, in place of the one forgotten for longest.
+// makeRoom makes room for one more member; if the table is full, it evicts the forgotten member
+// that has been gone for longest. It returns false if there is none.
 func (m *Machine) makeRoom() bool {
 	if len(m.peers) < maxMembers {
 		return true
@@ -80,6 +81,7 @@
 	return true
 }
 
+// changeCause returns the cause to report for a change that another member's record makes.
 func changeCause(p *peer, r Record) string {
 	switch {
 	case r.State == Left:
@@ -94,7 +96,7 @@
 	return "it says that it is there"
 }
 
-// adopt holds a member as told from now on.
+// adopt stores a new record of a member.
 func (m *Machine) adopt(p *peer, r Record, cause string, isNew bool) {
 	if p.Instance != r.Instance {
 		p.ownDoubtVersion, p.ownDoubt, p.lastRoundTrip, p.lastHelper, p.observed = 0, nil, 0, "", false
@@ -125,7 +127,7 @@
 	m.reportState(p, r.State, cause, nil, isNew)
 }
 
-// show tells the caller of a state that has changed.
+// reportState reports a change of a member's state to the caller.
 func (m *Machine) reportState(p *peer, to State, cause string, observers []string, isNew bool) {
 	if p.reportedState == to && !isNew {
 		return
@@ -134,7 +136,7 @@
 	p.reportedState, p.reportedAt = to, m.now
 }
 
-// mergeDoubt takes an observer's word.
+// mergeDoubt merges another observer's doubt.
 func (m *Machine) mergeDoubt(d Doubt) {
 	if d.Observer == m.c.ID || d.Observer == d.Subject || d.SilentFor < 0 {
 		return
@@ -150,7 +152,7 @@
 	m.enqueue(doubtKey(d.Subject, d.Observer))
 }
 
-// doubtsOf is what is held against a member's present life.
+// doubtsOf returns the doubts about a member's present incarnation; nil unless the member is alive.
 func (m *Machine) doubtsOf(id string) (map[string]*receivedDoubt, Incarnation) {
 	if id == m.c.ID {
 		return m.doubtsAboutSelf, m.self.Incarnation
@@ -161,17 +163,18 @@
 	return nil, Incarnation{}
 }
 
-// Alive is the number of members deemed alive, this one among them.
+// Alive returns the number of members in state Alive, including this one.
 func (m *Machine) Alive() int { return m.aliveCount }
 
-// evidence is what observers say of a member's present life.
+// evidence is the sum of the doubts about a member's present incarnation.
 type evidence struct {
-	observers []string      // who doubts it
-	refusals  int           // of them, whom its machine refuses
-	quorum    bool          // they are enough, and stand in enough zones
-	lastHeard time.Duration // when anybody last heard it
+	observers []string      // those that doubt it
+	refusals  int           // doubts with a refused connection
+	quorum    bool          // the observers are a majority and of enough zones
+	lastHeard time.Duration // last time that any observer heard it
 }
 
+// weighDoubts sums up the doubts about a member. lastHeard is when this member heard it itself.
 func (m *Machine) weighDoubts(id string, doubts map[string]*receivedDoubt, lastHeard time.Duration) evidence {
 	e := evidence{lastHeard: lastHeard}
 	n := m.Alive()
@@ -182,7 +185,7 @@
 		if name != m.c.ID {
 			p := m.peers[name]
 			if p == nil || p.State != Alive {
-				continue // whoever is gone itself proves nothing
+				continue // the doubt of a member that is gone itself does not count
 			}
 			zone = p.Zone
 		}
@@ -207,13 +210,14 @@
 			otherZones[p.Zone] = true
 		}
 	}
-	// Guards against a cut between two zones: one zone's word alone throws nobody out.
+	// Guards against a cut between two zones: the observers of one zone alone cannot declare a
+	// member gone.
 	e.quorum = len(doubtingZones) >= min(2, len(otherZones))
 	return e
 }
 
-// expire drops doubts that nobody says any more, and forgets those long gone: they are
-// told of and counted no more.
+// expire drops doubts that are no longer repeated, and forgets members that have been gone for
+// long: they are neither sent to others nor counted any more.
 func (m *Machine) expire() {
 	if m.now < m.nextExpireAt {
 		return
@@ -229,12 +233,13 @@
 	drop(m.doubtsAboutSelf)
 	for _, p := range m.peers {
 		drop(p.doubts)
-		// Its last life is kept, so that old words don't bring it back.
+		// The last incarnation is kept, so that stale records do not bring the member back.
 		p.forgotten = p.State != Alive && m.now-p.goneSince > m.c.Forget
 	}
 }
 
-// judge says what we doubt, and decides who is gone, and whether we are cut off.
+// judgeMembers publishes this member's doubts, decides which members are gone, and whether this
+// member is isolated.
 func (m *Machine) judgeMembers() {
 	for _, p := range m.watched {
 		silent := m.silentFor(p) >= m.periods(doubtAfterSilence)
@@ -268,7 +273,7 @@
 	m.judgeIsolation()
 }
 
-// judgeOne decides on a member that somebody has something to say of.
+// judgePeer decides on a member that at least one observer has reported on.
 func (m *Machine) judgePeer(p *peer, undoubted int) {
 	e := m.weighDoubts(p.ID, p.doubts, max(p.lastRoundTrip, p.incarnationSince))
 	silentFor := m.now - e.lastHeard
@@ -285,13 +290,13 @@
 	p.doubted = len(e.observers) > 0
 }
 
-// mayBury reports whether our judgement may throw somebody out: only whoever has a
-// majority within reach and has been awake for long enough to hear it.
+// mayDeclareGone reports whether this member may declare others gone: it needs a majority in reach,
+// and must have run without a stall for long enough to hear from them.
 func (m *Machine) mayDeclareGone() bool {
 	return m.ignoresIsolation || m.self.Ready && !m.isolated && m.now < m.quorumLease() && m.now-m.awakeSince >= m.periods(doubtAfterSilence)
 }
 
-// sound counts the members that nobody doubts, ourselves among them.
+// undoubted returns the number of live members that nobody doubts, including this one.
 func (m *Machine) undoubted() int {
 	n := 1
 	for _, p := range m.peers {
@@ -306,7 +311,7 @@
 	return n
 }
 
-// bury holds a member as gone, by our own judgement.
+// declareGone stores a member as gone by this member's own decision.
 func (m *Machine) declareGone(p *peer, confirmed bool, cause string, e evidence) {
 	r := p.Record
 	r.State, r.ConfirmedGone = Gone, confirmed
@@ -314,16 +319,17 @@
 	m.adopt(p, r, cause, false)
 }
 
-// base is the members of whom a majority has to be within reach: those that were ready,
-// but for those that left or are proved to be gone. Whoever is gone in silence only stays
-// in it, for it may live: so no two parts of a fleet that was cut hold a majority, however
-// often it is cut. Before anybody is ready, it is what the settings name.
+// quorumBase returns the number of members of which a majority has to be in reach: those that were
+// ready, without those that left or are confirmed gone. A member that went silent stays in the
+// base, as it may be alive; so no two parts of a partitioned fleet both hold a majority, however
+// often the fleet is partitioned. It is 0 before any member is ready.
 func (m *Machine) quorumBase() int {
 	m.refreshSummary()
 	return m.quorumBaseSize
 }
 
-// needed is how many others have to be within reach. Voters are those that count.
+// quorumNeeded returns how many other members have to be in reach, and which members count. Before
+// any member is ready, the number comes from the settings.
 func (m *Machine) quorumNeeded() (othersNeeded int, voter func(Record) bool) {
 	n := m.quorumBase()
 	if n == 0 {
@@ -336,8 +342,8 @@
 	return othersNeeded, func(r Record) bool { return r.Ready }
 }
 
-// judgeSelf decides whether we are cut off: too few of those that we watch answer us, or
-// too many of the others are doubted by whoever we still hear.
+// judgeIsolation decides whether this member is isolated: too few of the watched members answer, or
+// too many of the others are doubted by those that are still heard.
 func (m *Machine) judgeIsolation() {
 	need, voter := m.quorumNeeded()
 	reachable := 0
@@ -345,7 +351,8 @@
 		if p.State != Alive || !voter(p.Record) {
 			continue
 		}
-		// What we see ourselves counts before what others say: one that hears nothing doubts all.
+		// Own observations take precedence over the reports of others: a member that hears nothing
+		// doubts all.
 		if p.observed && m.now < p.lastRoundTrip+m.periods(isolatedAfterSilence) || !p.observed && !p.doubted {
 			reachable++
 		}
@@ -368,23 +375,24 @@
 		from, to, cause = Doubted, Alive, "a majority is within reach"
 	}
 	if !m.isAdmitted() {
-		return // it is in no fleet yet
+		return // not part of a fleet yet
 	}
 	m.output.Changes = append(m.output.Changes, Change{At: m.now, ID: m.c.ID, From: from, To: to, Incarnation: m.self.Incarnation, Cause: cause, Observers: sortedKeys(m.doubtsAboutSelf)})
 }
 
-// settled is by when all members know of a change.
+// propagationTime returns the time after which all members know of a change.
 func (m *Machine) propagationTime() time.Duration {
 	return m.periods(2 * float64(max(2, bits.Len(uint(m.Alive()-1)))))
 }
 
-// viewDigest is a hash of who is alive in this view, whatever the order.
+// viewDigest returns a hash of the live members in this view that does not depend on their order.
 func (m *Machine) viewDigest() uint64 {
 	m.refreshSummary()
 	return m.digest
 }
 
-// freshen works out what is kept of the view as a whole, after a change of it.
+// refreshSummary computes the digest, the quorum base and the fair share again after a change of
+// the view.
 func (m *Machine) refreshSummary() {
 	if !m.summaryStale {
 		return
@@ -397,7 +405,7 @@
 		}
 	}
 	count(m.self)
-	for _, id := range m.sortedIDs { // in one order: sums of fractions depend on it
+	for _, id := range m.sortedIDs { // in a fixed order, as a sum of floating-point numbers depends on it
 		p := m.peers[id]
 		m.digest += p.digestTerm
 		if p.forgotten {
@@ -415,7 +423,7 @@
 	m.fairShareNow = max(0, 1-reserved) / float64(m.aliveCount)
 }
 
-// mark is what a member adds to the digest.
+// digestTerm returns the contribution of a member to the digest.
 func digestTerm(r Record) uint64 {
 	if r.State != Alive {
 		return 0
@@ -423,8 +431,8 @@
 	return hash(r.ID, r.Instance^uint64(r.Incarnation.Generation)<<32^uint64(r.Incarnation.Turn))
 }
 
-// compare begins a full exchange with somebody whose view has differed from ours for a
-// while: what should have told one of us was lost.
+// compareDigest starts a full exchange with a member whose view has differed from ours for a while:
+// an update between the two was lost.
 func (m *Machine) compareDigest(p *peer, digest uint64) {
 	switch {
 	case digest == m.viewDigest():
