--- a/decide/api.go
+++ b/decide/api.go
@@ -1,88 +1,87 @@
-// Package decide holds the decisions of an aggregator that reads many shards
-// for one query: which replica gets each part, when a copy is hedged, when a
-// query is answered, refused or failed, and how servers are judged.
+// Package decide holds the decisions of an aggregator that reads many shards for one query: which
+// replica gets each part, when a late part gets a copy (a hedged attempt), when a query is
+// answered, refused or failed, and how the health of servers is judged.
 //
-// This file is the interface. The caller owns the clock and the transport: it
-// makes a Module with New, hands every instant's events to Step, and carries
-// out the returned actions in order. A Module is a pure state machine; it does
-// no I/O, keeps no goroutine and reads no clock. Use one Module per aggregator
-// and call it from one goroutine at a time.
+// This file is the interface. The caller owns the clock and the transport: it makes a StateMachine
+// with New, hands every instant's events to Step, and carries out the returned actions in order. A
+// StateMachine does no I/O, starts no goroutine and reads no clock. Use one per aggregator and call
+// it from one goroutine at a time.
 package decide
 
 import "time"
 
-// Semantics tells whether a part may be repeated.
+// Idempotency tells whether a part may be sent again after an attempt that may have run.
 type Idempotency int
 
-// The kinds of repetition that a class allows.
+// Which parts may be repeated.
 const (
 	Idempotent    Idempotency = iota // may be repeated and refused freely
-	Deduplicated                     // a repeat is dropped for MemorySpan after the first attempt
-	NonIdempotent                    // repeated only when no earlier attempt ran
+	Deduplicated                     // servers drop a repeat within DedupWindow of the first attempt
+	NonIdempotent                    // repeated only if no earlier attempt can have run
 )
 
-// Class describes one class of query.
+// Class describes one class of queries. Weights and fractions are from 0 to 1.
 type Class struct {
 	Name                 string
 	Idempotency          Idempotency
-	LatencyTarget        time.Duration // an answer within it earns the full worth
-	LatencyTargetPerWork float64       // the aim grows by this multiple of the query's own work
-	Deadline             time.Duration // how long a client waits over all its tries
-	DedupWindow          time.Duration // Keyed only: how long repeats are dropped
-	Value                float64       // worth of a whole answer
-	LateValue            float64       // fraction of the worth earned after the aim
-	RequiredWeight       float64       // fraction of the weight that makes an answer whole
-	MinWeight            float64       // least fraction for any answer
-	PartialValue         float64       // factor on the worth of an answer that is not whole
-	SecondStepParts      int           // parts of a second step; 0 means one step
+	LatencyTarget        time.Duration // an answer within it earns the full value
+	LatencyTargetPerWork float64       // the target grows by this multiple of the query's Work
+	Deadline             time.Duration // how long a client waits, over all its tries
+	DedupWindow          time.Duration // Deduplicated only: how long servers drop repeats
+	Value                float64       // value of a complete answer, relative to other classes
+	LateValue            float64       // fraction of the value earned after the target
+	RequiredWeight       float64       // weight of parts that makes an answer complete; 0: all
+	MinWeight            float64       // least weight for any answer; 0: RequiredWeight
+	PartialValue         float64       // factor on the value of a partial answer
+	SecondStepParts      int           // parts of a second step; 0: the query has one step
 }
 
-// Tenant describes one tenant's share over all aggregators.
+// Tenant describes what one tenant may use of all aggregators together.
 type Tenant struct {
 	Name      string
-	Allowance float64 // queries per second within its share, all aggregators together
+	Allowance float64 // queries per second, over all aggregators
 }
 
-// Settings are the figures that an aggregator is given at its start. The zero
-// value of an optional figure means that the right or rule does not apply.
+// Settings configure a StateMachine. The zero value of an optional setting turns the right or rule
+// off.
 type Settings struct {
 	Aggregators int           // how many share the servers
-	Zone        int           // this aggregator's
+	Zone        int           // of this aggregator
 	Tick        time.Duration // least time between two steps
 	Classes     []Class
 	Tenants     []Tenant
 
-	Cells         int // shard s is held by cells (s+k) mod Cells, k < Span
+	Cells         int // shard s is held by cells (s+k) mod Cells, 0 <= k < CellsPerShard; 0: by all
 	CellsPerShard int
 	PartsPerCall  int // parts that one call to a server carries
 
-	WatchDiscovery bool // the server list must be asked for (Watch, ReadList)
+	WatchDiscovery bool // the server list has to be asked for (Watch, ReadList)
 
 	MaxOpen        int // queries and parts held at once
-	MaxAttempts    int // attempts per part
+	MaxAttempts    int // attempts per part; 0: no limit
 	CancelAllowed  bool
-	CopiesAllowed  bool // a part may have two attempts out
+	CopiesAllowed  bool // a part may have two attempts in flight
 	ProbesAllowed  bool
-	SendRetryAfter bool // clients are given a time to stay away
+	SendRetryAfter bool // refused clients are told how long to wait
 	MaxRetryAfter  time.Duration
 
-	ListRefreshInterval time.Duration // without a subscription, ask at least this often
+	ListRefreshInterval time.Duration // a list that no subscription keeps up is asked for at least this often
 	DrainGrace          time.Duration // sends to a stopping server end within it
-	WarmupStartShare    float64       // share of capacity at a server's start
-	WarmupTime          time.Duration // a server is warm this long after its start
-	ColdBudgetWindow    time.Duration // window of the cold budget
-	ColdBudgetFactor    float64       // cold budget as a multiple of present capacity
-	RetryBudgetWindow   time.Duration // window of the further-attempt budget; 0: no such rule
-	RetryBudgetBase     float64       // further attempts allowed on top
-	RetryBudgetRatio    float64       // further attempts per query or part taken
-
-	ValueByWork        bool    // worth counts in proportion to work
-	OverAllowanceValue float64 // worth factor above a tenant's share
-
-	ReportShortages bool // the caller wants Remark actions
+	WarmupStartShare    float64       // share of its capacity that a server has at its start
+	WarmupTime          time.Duration // a server has its full capacity this long after its start
+	ColdBudgetWindow    time.Duration // window of the budget of sends to a cold server
+	ColdBudgetFactor    float64       // cold budget as a multiple of the server's present capacity
+	RetryBudgetWindow   time.Duration // window of the budget for retries and copies; 0: no limit
+	RetryBudgetBase     float64       // retries and copies allowed on top of the ratio
+	RetryBudgetRatio    float64       // retries and copies allowed per query or part received
+
+	ValueByWork        bool    // the value of an answer is in proportion to its work
+	OverAllowanceValue float64 // factor on the value of queries above their tenant's allowance
+
+	ReportShortages bool // the caller wants ShortageReport actions
 }
 
-// ShortestAim is of all classes; 0: none has one.
+// ShortestLatencyTarget returns the shortest latency target of all classes, or 0 if none has one.
 func (s Settings) ShortestLatencyTarget() (least time.Duration) {
 	for _, c := range s.Classes {
 		if c.LatencyTarget > 0 && (least == 0 || c.LatencyTarget < least) {
@@ -108,23 +107,23 @@
 	Zone         int
 	Cell         int
 	State        ServerState
-	CapacityHint float64       // relative capacity, if known
+	CapacityHint float64       // relative capacity; 0: unknown
 	Started      time.Duration // time of its last start; 0: long ago
 }
 
 // Event is something that happened at the time of a Step.
 type Event interface{ event() }
 
-// ListChange brings news of the server list. Full lists name every server;
-// other lists only those that changed.
+// ServerListUpdate brings changes of the server list. A full list names every server, any other
+// only those that changed.
 type ServerListUpdate struct {
 	Full    bool
 	Version int64
-	Told    time.Duration // since when what drains or is gone on it counts as told; 0: since now
+	Told    time.Duration // since when servers that stop or are gone count as known to do so; 0: since now
 	Servers []Server
 }
 
-// told is since when the change counts as told.
+// knownSince returns since when the change counts as known, which is never in the future.
 func (e ServerListUpdate) knownSince(now time.Duration) time.Duration {
 	if e.Told == 0 {
 		return now
@@ -132,10 +131,10 @@
 	return min(e.Told, now)
 }
 
-// ListLost says that a Watch or ReadList failed or a subscription broke.
+// WatchFailed says that a Watch or ReadList failed, or that a subscription broke.
 type WatchFailed struct{}
 
-// QueryArrived brings a query; its parts follow in the same Step.
+// QueryArrived brings a query. Its parts follow in the same Step.
 type QueryArrived struct {
 	ID     string
 	Number int64 // ties the parts to the query; unique at this aggregator
@@ -150,31 +149,31 @@
 // PartArrived brings one part of a query, of its first or second step.
 type PartArrived struct {
 	ID     string
-	Number int64 // its query's
+	Number int64 // of its query
 	Shard  int
-	Weight float64       // a step's weights sum to 1
-	Work   time.Duration // 0: unknown
+	Weight float64       // the weights of one step sum to 1
+	Work   time.Duration // expected work; 0: unknown
 }
 
-// Outcome is how an attempt ended.
+// Outcome is how an attempt or a probe ended.
 type Outcome int
 
 // The outcomes of an attempt or a probe.
 const (
 	Failed        Outcome = iota // an error; it may have run
 	OK                           // answered
-	Full                         // turned away unseen
+	Full                         // rejected by the server before it ran
 	TimedOut                     // no answer in time; it may have run
 	ConnectFailed                // no connection; it never ran
 	Reset                        // the connection broke; it may have run
-	Cancelled                    // called off; it may have run
+	Cancelled                    // cancelled by the caller; it may have run
 	NotSent                      // never sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
-// Load is a server's report of itself. Unknown values are negative.
+// Load is a server's report of its own load. Unknown values are negative.
 type Load struct {
 	Latency time.Duration // recent service time
 	Queue   float64       // parts waiting
@@ -183,21 +182,21 @@
 // AttemptDone ends an attempt. Every Send gets exactly one.
 type AttemptDone struct {
 	Part    string
-	Attempt int // 0, 1, 2 ... in the order of the part's sends
+	Attempt int // 0, 1, 2, ... in the order of the part's sends
 	Server  string
 	Outcome Outcome
 	Latency time.Duration
 	Load    *Load // nil: none attached
 }
 
-// Sharers says how many aggregators live, in place of the number in the Settings, and
-// what this one may use of what all share.
+// AggregatorsChanged says how many aggregators are alive, in place of Settings.Aggregators, and
+// which share of the tenants' allowances this one may use.
 type AggregatorsChanged struct {
 	Live  int
 	Share float64 // from 0 to 1
 }
 
-// Limits change figures of the Settings while the Module runs.
+// Limits replace some of the Settings of a running StateMachine.
 type Limits struct {
 	MaxAttempts      int // attempts per part; 0: no limit
 	CopiesAllowed    bool
@@ -205,10 +204,10 @@
 	RetryBudgetBase  float64
 	ColdBudgetFactor float64
 	Allowances       []float64 // by tenant
-	Shares           []float64 // by zone, of the parts that its servers would get; none: the whole
+	Shares           []float64 // by zone, of the parts routed there; nil: all
 }
 
-// StreamBegun says that an attempt's streamed answer has begun.
+// StreamStarted says that the streamed answer of an attempt has begun.
 type StreamStarted struct {
 	Part    string
 	Attempt int
@@ -219,7 +218,7 @@
 // ClientGone says that the client no longer waits for the query.
 type ClientGone struct{ Query string }
 
-// Woken is a Wake that is due.
+// TimerFired says that a SetTimer is due.
 type TimerFired struct{ Token string }
 
 // ProbeDone is the result of a Probe.
@@ -230,7 +229,7 @@
 	Load    *Load
 }
 
-// PeerMessage is a Tell of another aggregator.
+// PeerMessage brings what another aggregator sent by SendToPeer.
 type PeerMessage struct {
 	Sender int
 	Body   []byte
@@ -252,43 +251,43 @@
 // Action is something that the caller carries out.
 type Action interface{ action() }
 
-// Choice is why a part goes to a server.
+// SendReason tells why a part goes to a server.
 type SendReason uint8
 
-// The choices.
+// The reasons for a Send.
 const (
-	ByOffset       SendReason = iota // it stands at the query's offset
-	OffsetAvoided                    // the one at the offset may not be used, or would be too late
-	NextBestHolder                   // an earlier attempt has ended, and it is the best that is left
-	LateCopy                         // the part is late where it is
-	ForcedCopy                       // no attempt of the part is likely to be answered in time
+	ByOffset       SendReason = iota // it is the server at the query's offset
+	OffsetAvoided                    // the server at the offset may not be used, or would answer too late
+	NextBestHolder                   // an earlier attempt has ended, and this is the best holder left
+	LateCopy                         // the part is late on its server
+	ForcedCopy                       // no attempt is likely to be answered in time: a copy without a token
 )
 
-// Cause is why a query ends without an answer.
+// EndReason tells why a query ends without an answer.
 type EndReason uint8
 
-// The causes.
+// The reasons for a Refuse or a Fail.
 const (
 	NoEndReason       EndReason = iota
-	TargetUnreachable           // it can't be in time, and nothing of it was begun
-	TimeExpired                 // its time is up
+	TargetUnreachable           // an answer in time can't be expected, and nothing of the query was started
+	TimeExpired                 // its time is over
 	PartUnavailable             // a part that it needs can't be had any more
-	NoServerReached             // half of its time is over and no server has seen it
-	InvalidQuery                // it has a class without figures, or an id that is open
+	NoServerReached             // half of its time is over and no attempt has reached a server
+	InvalidQuery                // its class is unknown, or a query with its id is open
 )
 
-// Shortage is what kept the module from sending a part.
+// Shortage tells what kept the StateMachine from sending a part.
 type Shortage uint8
 
-// The shortages.
+// The kinds of shortage.
 const (
-	NoCopyToken      Shortage = iota // a late part was not copied: no token
-	RetryBudgetSpent                 // a further attempt was not made: the rule's budget is spent
-	ColdBudgetSpent                  // every holder that could take it is cold and has had its share
+	NoCopyToken      Shortage = iota // a late part was not copied: the token bucket is empty
+	RetryBudgetSpent                 // a retry or copy was not sent: the retry budget is spent
+	ColdBudgetSpent                  // all holders that could take the part are cold without budget
 )
 
-// Send starts an attempt for a part. Sends of one Step to one server share
-// calls of up to PartsPerCall parts.
+// Send starts an attempt for a part. Sends of one Step to one server share calls of up to
+// PartsPerCall parts.
 type Send struct {
 	Part   string
 	Server string
@@ -296,8 +295,8 @@
 	Reason SendReason
 }
 
-// Remark says what a part lacked, once for each kind. It comes only where the
-// Settings ask for Remarks.
+// ShortageReport says what a part lacked, once for each kind. It comes only where
+// Settings.ReportShortages is set.
 type ShortageReport struct {
 	Part string
 	Kind Shortage
@@ -309,10 +308,10 @@
 	Attempt int
 }
 
-// Answer ends the query, or its first step, from the parts that are in.
+// Answer ends the query, or its first step, from the parts that have arrived.
 type Answer struct {
 	Query string
-	Whole bool
+	Whole bool // no part that the class requires is missing
 }
 
 // Refuse ends the query and tells the client that asking again is harmless.
@@ -328,31 +327,31 @@
 	Reason EndReason
 }
 
-// Wake asks for a Woken event.
+// SetTimer asks for a TimerFired event after a while.
 type SetTimer struct {
 	After time.Duration
 	Token string
 }
 
-// Watch subscribes to changes of the server list, or ends that.
+// Watch subscribes to changes of the server list, or ends the subscription.
 type Watch struct{ On bool }
 
 // ReadList asks for the whole server list once.
 type ReadList struct{}
 
-// Probe checks a server.
+// Probe asks for a health check of a server, which ProbeDone answers.
 type Probe struct{ Server string }
 
 // CloseIdle closes idle connections to a server.
 type CloseIdle struct{ Server string }
 
-// Tell sends a message to another aggregator, or to all (-1).
+// SendToPeer sends a message to another aggregator, or to all of them (-1).
 type SendToPeer struct {
 	Recipient int
 	Body      []byte
 }
 
-// Log is a line for those on call.
+// Log is a line for the operators.
 type Log struct{ Line string }
 
 func (Send) action()           {}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,9 +1,8 @@
 package decide
 
-// All decisions of the aggregator. The interface that they serve (settings, events, actions, outcomes) is
-// in api.go, the bookkeeping without decisions in state.go. Read top-down: Step, then the sections
-// choice, attempts, admission, answering. The list of servers is in
-// list.go, hedging in hedge.go, outlier detection in health.go.
+// Step and the decisions of routing, sending, admission and answering, in this order. The interface is in
+// api.go, the state in state.go, the server list in list.go, hedging in hedge.go, outlier detection in
+// health.go and zone shares in shares.go.
 
 import (
 	"cmp"
@@ -12,71 +11,67 @@
 	"time"
 )
 
-// Tuned values, each with its reason. Shares are of a setting or of something observed.
+// Parameters of the decisions. Shares are of a setting or of something observed.
 const (
-	sketchSwap       = 10 * time.Second // design: the sketch pair changes roles this often
-	sketchAccuracy   = 0.01             // relative error, as in the paper
-	hedgeQuantile    = 0.90             // design: a part is late past this quantile of its server
-	hedgeFloor       = time.Millisecond // design: no trigger under it
-	defaultLateShare = 0.5              // design: share of the aim that stands in before any answer
-	tokenShare       = 0.10             // design: copies per part
-	// bucket size in time of refill: a short stall may be copied at once
-	tokenBurst        = 3 * time.Second
-	forcedCopyShare   = 0.2  // share of a query's parts that may be given up so
-	minForcedWinShare = 0.33 // share of such sends that must be the first to answer
-	// share of the aim after which an attempt is no longer counted on
-	giveUpShare = 0.5
-	// share of the idle time of a broken connection that is taken for safe
-	safeIdleShare = 0.5
-	// excess of attempts lost on idle connections that tells of drops
-	idleLossExcess = 0.25
-	lossWeight     = 0.1 // weight of a new attempt in those shares
-	// after so long without such a break, idle connections are used again
-	idleLimitMemory       = sketchSwap
-	copyBudgetShare       = 0.7              // copies leave the rest of the further-attempt budget to retries
+	sketchSwap        = 10 * time.Second // age at which the two latency sketches of a server change roles
+	sketchAccuracy    = 0.01             // relative error, as in the DDSketch paper
+	hedgeQuantile     = 0.90             // a part is late past this quantile of its server's latency
+	hedgeFloor        = time.Millisecond // least late threshold
+	defaultLateShare  = 0.5              // of the latency target: late threshold before any answer
+	tokenShare        = 0.10             // copies per part
+	tokenBurst        = 3 * time.Second  // bucket size in time of refill, for the parts of a short stall
+	forcedCopyShare   = 0.2              // of a query's parts that may be missing for forced copies
+	minForcedWinShare = 0.33             // of forced copies that must be the first to answer
+	giveUpShare       = 0.5              // of the latency target: age at which an attempt is not counted on
+
+	safeIdleShare   = 0.5        // of the idle time of a broken connection that is taken for safe
+	idleLossExcess  = 0.25       // excess of losses on idle connections that shows that these are dropped
+	lossWeight      = 0.1        // weight of a new attempt in those loss shares
+	idleLimitMemory = sketchSwap // idle connections are used again this long after the last such break
+	copyBudgetShare = 0.7        // of the retry budget that copies may use; the rest is for retries
+
 	rateWindow            = 10 * time.Second // rates follow the traffic at the pace of the sketches
 	latencyWeight         = 0.2              // weight of a new answer in a server's mean latency
 	failureWeight         = 0.3              // two failures in a row make a suspect, one does not
-	maxMissedAttempts     = 2                // in a row, however far apart, after which a server is probed
-	suspectFailureShare   = 0.5              // failing share that makes a suspect
-	singleTryFailureShare = 0.15             // the same for a part that has only one try
-	failureCalls          = 4                // calls that a failing server counts as holding: it looks idle
-	// share of DrainGrace in which a draining server may be sent parts
-	drainSendShare     = 0.8
-	crossZoneCalls     = 1e-6 // calls that a way into another zone counts as: a tie is broken
-	silenceTargetShare = 0.5  // share of the shortest aim that a server may stay silent
-	silenceLateFactor  = 1.5  // the same as a multiple of its own late mark
-	trialTargetShare   = 0.5  // share of the shortest aim between trials of a suspect
-	// a part leaves its offset when it would use this share of its time
-	avoidShare          = 0.25
+	maxMissedAttempts     = 2                // in a row, however far apart, before a server is probed
+	suspectFailureShare   = 0.5              // failure share that makes a suspect
+	singleTryFailureShare = 0.15             // the same for a part that may not be repeated
+	failureCalls          = 4                // calls counted for a failing server, which would look idle
+	drainSendShare        = 0.8              // of DrainGrace in which a draining server may be sent parts
+	crossZoneCalls        = 1e-6             // calls counted for a server in another zone, to break a tie
+	silenceTargetShare    = 0.5              // of the shortest latency target that a server may be silent
+	silenceLateFactor     = 1.5              // the same as a multiple of the server's late threshold
+	trialTargetShare      = 0.5              // of the shortest latency target between trials of a suspect
+
+	avoidShare          = 0.25 // a part avoids its offset if it would use this share of its time there
 	avoidRatio          = 2.0  // and another holder is this many times faster
-	singleTryAvoidShare = 0.15 // departShare for a part that has only one try
-	// share of the time to the aim that the cheapest query may expect
-	minAdmitShare = 0.7
-	maxAdmitShare = 1.0 // the same for the most valuable
-	// share of the aim under which the time left is a client's patience
-	shortTimeoutShare  = 0.5
-	coldBudgetShare    = 0.75            // share of the cold budget that is used: it is an estimate
-	maxColdPause       = 4               // windows of the cold budget in which one part may go
-	maxTrialPause      = 5 * time.Second // a suspect is left alone for no longer
-	watchDelayShare    = 0.5             // share of AskWithin that a first or repeated call waits at most
-	watchSpreadEach    = 40 * hedgeFloor // of the first call, for each aggregator
+	singleTryAvoidShare = 0.15 // avoidShare for a part that may not be repeated
+	minAdmitShare       = 0.7  // of the time to its target that the least valuable query may need
+	maxAdmitShare       = 1.0  // the same for the most valuable
+	shortTimeoutShare   = 0.5  // of the latency target below which a timeout is the client's choice
+
+	coldBudgetShare    = 0.75            // of the cold budget that is used: it is an estimate
+	maxColdPause       = 4               // windows of the cold budget between two parts
+	maxTrialPause      = 5 * time.Second // a suspect waits for its next trial no longer
+	watchDelayShare    = 0.5             // of ListRefreshInterval: longest wait of a first or repeated call
+	watchSpreadEach    = 40 * hedgeFloor // span of the first calls, for each aggregator
 	answerMarginTicks  = 2               // ticks kept between an answer and the moment it is due,
 	minAnswerMargin    = hedgeFloor * 10 // or this, the least that the way to the client may take
-	timeoutJitterTicks = 4               // ticks that a client's time may vary on its way here
-	latePollTicks      = 2               // ticks between looks at a part that is past its trigger
+	timeoutJitterTicks = 4               // ticks by which equal timeouts of clients may differ on arrival
+	latePollTicks      = 2               // ticks between checks of a part that is past its copy delay
 	weightTolerance    = 5e-5            // weights sum to 1 with rounding
 )
 
-// HeldUp is how long the mixer may be held up between reading its clock and writing, by the operators'
-// acceptance terms. DrainMargin is kept of the grace of a server that drains: that, and the time that the
-// news of it may have been under way.
+// MaxProcessPause is how long the process may be held up between reading its clock and writing, by the
+// operators' acceptance terms. DrainMargin is kept of the grace of a draining server: that pause, and the
+// time for which the news of the drain may have been under way.
 const (
 	MaxProcessPause = 150 * time.Millisecond
 	DrainMargin     = MaxProcessPause + 100*time.Millisecond
 )
 
-// Step takes all events of one instant and returns the actions to carry out, in order.
+// Step takes all events of one instant and returns the actions to carry out, in order. A now before that of
+// an earlier Step counts as that one.
 func (m *StateMachine) Step(now time.Duration, events []Event) []Action {
 	m.now = max(now, m.now)
 	m.actions, m.calls = nil, map[*server]*call{}
@@ -98,6 +93,7 @@
 	return m.actions
 }
 
+// handle takes over one event.
 func (m *StateMachine) handle(e Event) {
 	switch e := e.(type) {
 	case ServerListUpdate:
@@ -123,7 +119,8 @@
 	}
 }
 
-// wake sets one timer at the earliest due moment: each step looks at everything anew, a stale one is no harm.
+// scheduleTimer asks for one timer at the earliest due moment. Each step checks everything anew, so a stale
+// timer does no harm.
 func (m *StateMachine) scheduleTimer() {
 	due := time.Duration(math.MaxInt64)
 	if m.settings.WatchDiscovery && m.watchAt >= 0 {
@@ -148,6 +145,7 @@
 	m.emit(SetTimer{After: due - m.now, Token: "due"})
 }
 
+// nextDue is when the query next has to be looked at if no event comes before.
 func (m *StateMachine) nextDue(q *query) time.Duration {
 	due := m.latestEnd(q)
 	if t := m.unreachedEnd(q); t > m.now && q.reachedNoServer() {
@@ -169,11 +167,11 @@
 	return due
 }
 
-// ---- choice: the offset rule, and when a part leaves it ----
+// Routing: the offset rule, and when a part leaves its offset.
 
-// chooseOffset returns the offset whose servers have the fewest of our calls out; of equal ones that which
-// crosses zones least, then one by lot. A failing server counts as holding up to faultCalls more, or its
-// quick failures would make it look idle; a rare failure breaks no tie.
+// chooseOffset returns the offset whose servers have the fewest open calls of this aggregator. Of equal
+// ones it takes the one that crosses zones least, then one at random. A failing server counts as holding up
+// to failureCalls more, or its quick failures would make it look idle; a rare failure breaks no tie.
 func (m *StateMachine) chooseOffset(parts []*part) int {
 	offsets := 0
 	for _, p := range parts {
@@ -194,6 +192,7 @@
 	return best
 }
 
+// offsetLoad is the number of calls that the servers at the offset would hold, with penalties.
 func (m *StateMachine) offsetLoad(parts []*part, j int) float64 {
 	load := 0.0
 	count := map[*server]int{}
@@ -228,8 +227,8 @@
 	return best
 }
 
-// departs guards against parts that would come too late from the server at their offset (slow, stalled,
-// failing or overloaded) while another holder has room. A part that gets only one try departs earlier.
+// shouldAvoid tells whether the part would be answered too late by the server at its offset (slow, stalled,
+// failing or overloaded) while another holder has room. A part that may not be repeated avoids it earlier.
 func (m *StateMachine) shouldAvoid(p *part, s, best *server) bool {
 	share := avoidShare
 	if !m.mayRepeat(p) {
@@ -242,7 +241,8 @@
 	return m.expectedDelay(s) > share*left && m.expectedDelay(s) > avoidRatio*m.expectedDelay(best)
 }
 
-// bestHolder returns the holder with the least expected delay: sound before suspect, untried before tried.
+// bestHolder returns the holder with the least expected delay. Suspects come last, servers that have had an
+// attempt of the part before them.
 func (m *StateMachine) bestHolder(p *part) *server {
 	var best *server
 	bestRank := math.Inf(1)
@@ -255,7 +255,7 @@
 			rank += 1e3
 		}
 		if s.retiring {
-			rank = avoidRatio*rank + hedgeFloor.Seconds() // leaving
+			rank = avoidRatio*rank + hedgeFloor.Seconds() // a draining server
 		}
 		if m.isSuspect(s) {
 			rank += 1e6
@@ -267,9 +267,9 @@
 	return best
 }
 
-// delay is the expected time of an answer in seconds: what answers took of late, scaled by our calls out
-// now against those out then, the other aggregators holding as many as we usually do; no less than the
-// silence so far, and longer where answers fail.
+// expectedDelay is the expected time of an answer in seconds: the recent mean latency, scaled by the calls
+// open now against those open then, where the other aggregators are taken to hold as many as this one
+// usually does. It is no less than the silence so far, and longer where answers fail.
 func (m *StateMachine) expectedDelay(s *server) float64 {
 	latency, depth := m.serverMeans(s)
 	shared := depth * float64(max(m.settings.Aggregators, 1))
@@ -280,17 +280,18 @@
 	return d / max(1-s.failureShare, 0.1)
 }
 
-// ---- attempts: the one gate for every send ----
+// Attempts: every send goes through startAttempt.
 
-// allowed tells whether the rules let the part go to the server now.
+// maySend tells whether the rules let the part go to the server now.
 func (m *StateMachine) maySend(p *part, s *server) bool {
 	return (!s.retiring && s.State == Running || m.acceptsWhileDraining(s)) &&
 		m.withinZoneShare(p, s) && m.withinColdBudget(s)
 }
 
-// leaving tells whether the server drains and may still take its share, unless it turns parts away. It guards
-// the other holders, which the rest of its load would fall on at once while the list is behind with the
-// successors: the rule leaves DrainGrace, of which leaveShare is used, since a send may wait to be written.
+// acceptsWhileDraining tells whether the server drains and may still take its share of parts, unless it
+// rejects them. Otherwise its load would fall on the other holders at once while the list lacks the
+// successors. The rule leaves DrainGrace, of which drainSendShare is used, since a send may wait to be
+// written.
 func (m *StateMachine) acceptsWhileDraining(s *server) bool {
 	window := min(time.Duration(drainSendShare*float64(m.settings.DrainGrace)),
 		m.settings.DrainGrace-DrainMargin)
@@ -298,8 +299,8 @@
 		m.now-s.retiringAt < window
 }
 
-// coldRoom keeps a cold server's budget in every window: what a warm server bears from us, times the cold
-// one's share of capacity now, times the multiple.
+// withinColdBudget keeps to the budget of a cold server in every window: the rate that a warm server
+// handles for this aggregator, times the cold one's present share of capacity, times ColdBudgetFactor.
 func (m *StateMachine) withinColdBudget(s *server) bool {
 	if !s.cold {
 		return true
@@ -316,14 +317,15 @@
 	if room >= 1 {
 		return float64(len(s.coldSends)+1) <= room
 	}
-	// A share of less than one part a window is one part in more than a window: with one in each, many
-	// aggregators would come to several times what the server bears. The first is spread, too.
+	// A budget of less than one part in a window means one part in more than a window: with one in each,
+	// many aggregators would exceed the capacity of the server several times over. The first part is
+	// spread, too.
 	pause := time.Duration(float64(m.settings.ColdBudgetWindow) * min(1/max(room, 0.01), maxColdPause))
 	last := s.coldKnownAt - time.Duration(s.coldJitter*float64(pause))
 	return m.now >= max(last, s.lastColdSend)+pause
 }
 
-// budget tells whether one more further attempt is within the share of the budget.
+// withinRetryBudget tells whether one more retry or copy is within the given share of the retry budget.
 func (m *StateMachine) withinRetryBudget(share float64) bool {
 	if m.settings.RetryBudgetWindow <= 0 {
 		return true
@@ -334,7 +336,7 @@
 	return float64(len(m.extraAttempts)+1) <= share*limit
 }
 
-// mayTry tells whether the part's effect allows another attempt now.
+// mayAttempt tells whether MaxAttempts and the idempotency of the part allow another attempt now.
 func (m *StateMachine) mayAttempt(p *part) bool {
 	if p.done || p.q.ended || (m.settings.MaxAttempts > 0 && len(p.attempts) >= m.settings.MaxAttempts) {
 		return false
@@ -355,10 +357,10 @@
 	return false
 }
 
-// repeatable tells whether a part that ran may ever be sent again.
+// mayRepeat tells whether a part that may have run may ever be sent again.
 func (m *StateMachine) mayRepeat(p *part) bool { return p.q.class.Idempotency != NonIdempotent }
 
-// place is the gate through which every send goes.
+// startAttempt is the only way to send a part: it checks all rules, and reports whether it sent the part.
 func (m *StateMachine) startAttempt(p *part, s *server, why SendReason) bool {
 	if !m.mayAttempt(p) || !m.maySend(p, s) || (len(p.attempts) > 0 && !m.withinRetryBudget(1)) {
 		return false
@@ -389,9 +391,10 @@
 	return true
 }
 
-// idle returns how long the connection that a send to the server will use has shown no sign of life, and
-// closes it first where such ones broke of late. Guards against connections that are dropped unseen between
-// us and sound servers: a reset on one says nothing of its server, so it is not blamed.
+// idle returns how long the connection that a send to the server will use has been idle, and closes it
+// first if connections idle for as long broke recently. This guards against connections that are dropped
+// unseen between the aggregator and a sound server: a reset on one says nothing of its server, so that is
+// not blamed.
 func (m *StateMachine) idle(s *server) time.Duration {
 	if m.now-m.idleLimitSetAt > idleLimitMemory {
 		m.idleLimit = math.MaxInt64
@@ -408,7 +411,7 @@
 	return 0
 }
 
-// stopAt ends attempts when their answer can earn nothing more.
+// attemptDeadline is when an attempt is given up: when its answer has no value any more.
 func (m *StateMachine) attemptDeadline(q *query) time.Duration {
 	if q.class.LateValue > 0 {
 		return q.deadline
@@ -416,6 +419,7 @@
 	return min(q.target, q.deadline)
 }
 
+// handleOutcome takes the end of an attempt.
 func (m *StateMachine) handleOutcome(e AttemptDone) {
 	p := m.parts[e.Part]
 	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) || p.attempts[e.Attempt].ended {
@@ -427,6 +431,7 @@
 	m.afterOutcome(a)
 }
 
+// afterOutcome brings the part up to date with the end of one of its attempts.
 func (m *StateMachine) afterOutcome(a *attempt) {
 	p := a.p
 	switch {
@@ -445,8 +450,8 @@
 	}
 }
 
-// expire gives up attempts whose outcome is overdue by a whole aim: a lost outcome must not hold state for
-// good.
+// expireAttempts gives up attempts whose outcome is overdue by a whole shortest latency target: a lost
+// outcome must not keep its state for good.
 func (m *StateMachine) expireAttempts() {
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(a *attempt) bool {
 		if !a.ended && m.now > a.deadline+m.shortestTarget {
@@ -460,7 +465,8 @@
 	})
 }
 
-// callOff cancels what is still out for the part; one that was already late leaves its age as a sample.
+// cancelAttempts cancels what is in flight for the part. An attempt that is late already leaves its age as
+// a sample.
 func (m *StateMachine) cancelAttempts(p *part) {
 	for _, a := range p.attempts {
 		if a.ended || a.cancelled {
@@ -477,13 +483,15 @@
 	}
 }
 
-// ---- admission: what is begun at all ----
+// Admission: which queries are started at all.
 
+// addQuery opens a query. Its parts follow in the same step.
 func (m *StateMachine) addQuery(e QueryArrived) {
 	m.countArrival()
 	if m.queries[e.Number] != nil || m.queriesByID[e.ID] != nil ||
 		e.Class >= len(m.settings.Classes) || e.Class < 0 {
-		m.emit(Fail{Query: e.ID, Reason: InvalidQuery}) // a class without figures: still one final answer
+		// Every query gets exactly one final answer, this one, too.
+		m.emit(Fail{Query: e.ID, Reason: InvalidQuery})
 		return
 	}
 	c := &m.settings.Classes[e.Class]
@@ -498,10 +506,11 @@
 	}
 }
 
-// elapsed tells how long ago the client began: its aim counts from there. First tries of a class get the
-// same time, and most tries are first ones; any other time is what is left of the deadline to a later try.
-// A time far under the aim is a client's patience, and worth a try while answers take half of it: hardly a
-// later try is left so little. The network takes its uneven bit off the time, which is not counted.
+// elapsed estimates how long ago the client began; its latency target counts from there. First tries of a
+// class have the same timeout, and most tries are first ones. Any other timeout is what is left of the
+// deadline to a later try, unless it is far below the latency target: then it is the client's choice, and
+// the query is worth starting while answers take half of it, since hardly a later try has so little left.
+// The network takes a varying bit off the timeout, which is not counted.
 func (m *StateMachine) elapsed(e QueryArrived, c *Class) time.Duration {
 	u := &m.commonTimeout[e.Class]
 	if (e.Left - u.timeout).Abs() <= timeoutJitterTicks*m.tick() {
@@ -519,8 +528,9 @@
 	return max(0, c.Deadline-e.Left)
 }
 
-// admit begins the queries that can be in time, the most valuable first, and refuses the others while
-// nothing of them is out: work that comes too late takes the servers' time from work that would not.
+// admitQueries starts the queries that can be answered in time, the most valuable first, and refuses the
+// others before anything of them is sent: work that comes too late takes the servers' time from work that
+// would not.
 func (m *StateMachine) admitQueries() {
 	var fresh []*query
 	for _, q := range m.active {
@@ -544,7 +554,7 @@
 	}
 }
 
-// worth is a query's worth for the same work, as a share of the greatest.
+// relativeValue is a query's value for the same work, as a share of the greatest of any class.
 func (m *StateMachine) relativeValue(q *query) float64 {
 	w := 1.0
 	if m.maxValue > 0 {
@@ -559,6 +569,7 @@
 	return w
 }
 
+// overAllowance tells whether the tenant sends more than this aggregator's share of its allowance.
 func (m *StateMachine) overAllowance(tenant int) bool {
 	if tenant < 0 || tenant >= len(m.tenantRates) || m.settings.Tenants[tenant].Allowance <= 0 {
 		return false
@@ -566,7 +577,8 @@
 	return m.tenantRates[tenant].rate(m.now) > m.settings.Tenants[tenant].Allowance*m.allowanceShare
 }
 
-// inTime tells whether all needed parts can be expected within the query's share of the time to its aim.
+// canMeetTarget tells whether all needed parts can be expected within the query's share of the time to its
+// target.
 func (m *StateMachine) canMeetTarget(q *query) bool {
 	until := q.target
 	if q.class.LateValue > 0 && q.target <= m.now {
@@ -580,8 +592,9 @@
 	reach := 0.0
 	for _, p := range q.parts {
 		s := m.route(p, q.offset)
-		// A suspect due for trial counts: no lone signal condemns its shards. So does an idle one that has
-		// been slow while others are not: nothing would show that it no longer is.
+		// A suspect due for a trial counts, so that one signal alone can't make its shards unavailable. So
+		// does an idle server that has been slow while others are not: nothing would show that it no longer
+		// is.
 		if s != nil && (m.expectedDelay(s) <= limit ||
 			m.now >= s.trialAt && (m.isSuspect(s) || s.inFlight == 0 && m.latency() <= limit)) {
 			reach += p.Weight
@@ -590,7 +603,8 @@
 	return reach >= q.class.MinWeight-weightTolerance
 }
 
-// try sends a part's first or next attempt: by the offset rule at first, then to the best other holder.
+// sendNextAttempt sends a part's first or next attempt: the first by the offset rule, later ones to the
+// best other holder.
 func (m *StateMachine) sendNextAttempt(p *part) {
 	s, why := m.route(p, p.q.offset), ByOffset
 	if len(p.attempts) > 0 {
@@ -606,15 +620,15 @@
 	}
 }
 
-// ---- answering: one gate for every final answer ----
+// Answering: every final answer goes through answerQuery or endUnanswered.
 
-// margin is kept between an answer and the moment it is due. It guards against answers that leave in time
-// and come too late: a tick may be shorter than our own turns and the client's network take.
+// answerMargin is kept between an answer and the moment it is due. It guards against answers that leave in
+// time and come too late: a tick may be shorter than the work of one step and the client's network take.
 func (m *StateMachine) answerMargin() time.Duration {
 	return max(answerMarginTicks*m.tick(), minAnswerMargin)
 }
 
-// lastCall is the moment at which a query must be ended.
+// latestEnd is when the query has to be ended.
 func (m *StateMachine) latestEnd(q *query) time.Duration {
 	if q.class.LateValue > 0 || q.started && q.inSecondStep {
 		return q.deadline - m.answerMargin()
@@ -622,13 +636,13 @@
 	return min(q.target, q.deadline) - m.answerMargin()
 }
 
-// halfCall is half of the query's time: a query that no server has seen is not kept for longer.
+// unreachedEnd is when a query that no server has seen is ended: after half of its time.
 func (m *StateMachine) unreachedEnd(q *query) time.Duration {
 	return q.deadline - q.Left/2 - m.answerMargin()
 }
 
-// shortCall is the moment from which a short answer earns more than waiting: just before the aim, and
-// earlier where a second step has still to be fetched, which takes as long as its slowest parts.
+// partialAnswerTime is the moment from which a partial answer is worth more than waiting: just before the
+// target, and earlier if a second step has still to be fetched, which takes as long as its slowest parts.
 func (m *StateMachine) partialAnswerTime(q *query) time.Duration {
 	t := q.target - m.answerMargin()
 	if q.class.SecondStepParts > 0 && !q.inSecondStep {
@@ -637,7 +651,8 @@
 	return t
 }
 
-// settle answers a query when its parts are in, ends it when it is due or hopeless, and retries failed parts.
+// settleQuery answers a query when its parts have arrived, ends it when it is due or can't be answered, and
+// retries failed parts.
 func (m *StateMachine) settleQuery(q *query) {
 	if q.ended || !q.started {
 		if !q.ended && m.now >= m.latestEnd(q) {
@@ -675,13 +690,13 @@
 	}
 }
 
-// answerable tells whether a short answer could be given now.
+// canAnswerPartially tells whether a partial answer could be given now.
 func (m *StateMachine) canAnswerPartially(q *query) bool {
 	weight, _ := q.receivedWeight()
 	return q.class.MinWeight < q.class.RequiredWeight && weight >= q.class.MinWeight-weightTolerance
 }
 
-// hopeless tells whether parts that can never come leave too little for any answer.
+// cannotBeAnswered tells whether parts that can never arrive leave too little weight for any answer.
 func (m *StateMachine) cannotBeAnswered(q *query) bool {
 	reach := 0.0
 	for _, p := range q.parts {
@@ -692,7 +707,7 @@
 	return len(q.parts) > 0 && reach < q.class.MinWeight-weightTolerance
 }
 
-// answer gives the parts that are in. The first answer of two steps opens the second.
+// answerQuery answers with the parts that have arrived. The first answer of two steps opens the second.
 func (m *StateMachine) answerQuery(q *query, whole bool) {
 	m.emit(Answer{Query: q.ID, Whole: whole})
 	if q.class.SecondStepParts > 0 && !q.inSecondStep {
@@ -703,7 +718,8 @@
 	m.close(q)
 }
 
-// end refuses where that is honest, else fails. A refusal promises that nothing ran which may not run twice.
+// endUnanswered refuses the query if nothing ran that may not run twice, since a refusal promises that, and
+// fails it otherwise.
 func (m *StateMachine) endUnanswered(q *query, why EndReason) {
 	if q.inSecondStep || (q.class.Idempotency != Idempotent &&
 		slices.ContainsFunc(q.parts, func(p *part) bool {
@@ -716,7 +732,8 @@
 	m.close(q)
 }
 
-// stayAway asks for the longest pause when the query has lost its worth already.
+// retryAfter is the time that the client is asked to wait: the longest if the query has lost its value
+// already.
 func (m *StateMachine) retryAfter(q *query) time.Duration {
 	if !m.settings.SendRetryAfter {
 		return 0
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"kiteloft/decide"
 )
 
-// A gatherer owns the clock and the transport; the module only decides.
+// An aggregator owns the clock and the transport; the StateMachine only decides.
 func Example() {
 	m := decide.New(decide.Settings{
 		Aggregators: 1, Tick: time.Millisecond, Cells: 1, CellsPerShard: 1, PartsPerCall: 4, CopiesAllowed: true,
--- a/decide/first_query_test.go
+++ b/decide/first_query_test.go
@@ -5,9 +5,11 @@
 	"time"
 )
 
-// TestTheFirstQueryAtASilentServer: all parts of a mixer's first query go to one server, which
-// says nothing; the other holder is sound. There is no traffic for tokens to come from, and
-// with all parts out none counts as stranded: it waited in vain for four times its aim.
+// TestFirstQueryToASilentServerIsAnswered guards against a first query that fails on one silent
+// server. All parts of the first query of an aggregator go to one server, which never responds,
+// while the other holder is sound. There is no traffic that would bring copy tokens, and as all
+// parts are missing, none may have a forced copy: the query waited in vain for four times its
+// latency target.
 func TestFirstQueryToASilentServerIsAnswered(t *testing.T) {
 	set := testSettings()
 	set.RetryBudgetWindow, set.Aggregators, set.Classes[0].LateValue = 0, 5, 0.1
@@ -35,9 +37,9 @@
 	}
 }
 
-// TestLatePartsAreLookedAtNowAndThen: a part is past its trigger and can't be copied. Where a
-// tick is short, looking at it every other tick cost a mixer all the CPU that it may use: in the
-// seconds in which a zone was cut off, queries were lost.
+// TestLatePartIsNotCheckedEveryTick guards against the CPU cost of a part that is past its copy
+// delay and can't be copied. With a short tick, checking it every other tick took all the CPU that
+// an aggregator may use, and queries were lost in the seconds in which a zone was cut off.
 func TestLatePartIsNotCheckedEveryTick(t *testing.T) {
 	set := testSettings()
 	set.Tick, set.RetryBudgetWindow, set.Classes[0].LateValue = ms, 0, 0.1
--- a/decide/fleet_size_bench_test.go
+++ b/decide/fleet_size_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkFleetSize is a minute of a module's work, 30 queries a second of four parts, with few and
-// with many servers of which none or half are cold. The terms allow 1.4 times the CPU, and 0.03 s more
-// for each thousand servers.
+// BenchmarkFleetSize runs a minute of one StateMachine, with 30 queries of four parts a second, for
+// few and many servers of which none or half are cold. The acceptance terms allow 1.4 times the
+// CPU, and 0.03 s more for each thousand servers.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		for _, cold := range []bool{false, true} {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// A fleet at grown size: many aggregators that know nothing of each other share servers. The checker counts for
-// itself, over all aggregators, what reaches a server that has just started.
+// A simulated fleet of realistic size: many aggregators that know nothing of each other share
+// servers. Its checks count independently, over all aggregators, what reaches a server that has
+// just started.
 const (
-	fleetRate  = 13.0 // parts a second that a warm server can do
-	fleetLoad  = 0.5  // of what all can do
-	fleetParts = 10   // of a query
+	fleetRate  = 13.0 // parts a second that a warm server handles
+	fleetLoad  = 0.5  // of the capacity of all servers
+	fleetParts = 10   // parts of a query
 	fleetAim   = time.Second
 )
 
+// fleetSimulation steps many StateMachines against simulated servers.
 type fleetSimulation struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -26,22 +28,22 @@
 	inbox           [][]Event
 	due             map[time.Duration][]fleetEvent // by tick
 	silent          map[string]bool
-	serverIDs       []string // of the servers, by cell
+	serverIDs       []string // by cell
 	started         map[string]time.Duration
-	goneAt          map[string]time.Duration   // when a server was told to be gone
-	coldSends       map[string][]time.Duration // sends to servers that have just started
+	goneAt          map[string]time.Duration   // from when on a server counts as known to be gone
+	coldSends       map[string][]time.Duration // sends to servers that are warming up
 	queries         int
-	partAnswers     int                      // of parts
-	openQueries     map[string]time.Duration // queries without a final answer, by when they came
-	answeredInTime  []time.Duration          // when queries that were answered within the aim had come
-	arrivals        []time.Duration          // when queries came
-	finals          map[string]int           // final answers, by query
-	attempts        map[string]int           // attempts, by part
-	load            float64                  // of what all servers can do
-	busyAggregators int                      // of the first so many aggregators each gets as much as busyTimes others
-	allowChance     bool                     // a cold server bears what chance adds to its limit
-	informedAt      []time.Duration          // when each aggregator was told of the start; none: all at once
-	uninformedSends map[string][]time.Duration
+	partAnswers     int                        // of parts
+	openQueries     map[string]time.Duration   // arrival times of queries without a final answer
+	answeredInTime  []time.Duration            // arrival times of the queries that were answered within the latency target
+	arrivals        []time.Duration            // arrival times of all queries
+	finals          map[string]int             // final answers, by query
+	attempts        map[string]int             // by part
+	load            float64                    // of the capacity of all servers
+	busyAggregators int                        // this many aggregators get busyFactor times the queries of any other
+	allowChance     bool                       // the limit of a cold server has room for chance
+	informedAt      []time.Duration            // when each aggregator learned of the start; nil: all at once
+	uninformedSends map[string][]time.Duration // coldSends of aggregators that had not learned of the start
 }
 
 const busyFactor = 6
@@ -74,7 +76,7 @@
 	return f
 }
 
-// begin starts an aggregator, anew if it was there, with the list that it is given.
+// startAggregator starts an aggregator, or restarts it without its state, with the given list.
 func (f *fleetSimulation) startAggregator(i int, l ServerListUpdate) {
 	f.machines[i] = New(f.settings, f.rng.Uint64())
 	f.inbox[i] = nil
@@ -101,7 +103,7 @@
 		i = (i - len(f.machines)) / (busyFactor - 1)
 	}
 	if f.machines[i] == nil {
-		return // the client finds nobody there
+		return // the aggregator is down
 	}
 	f.arrivals, f.openQueries[id] = append(f.arrivals, f.now), f.now
 	f.schedule(0, i, QueryArrived{ID: id, Number: int64(f.queries), Left: 4 * time.Second})
@@ -111,14 +113,15 @@
 	}
 }
 
-// restart brings a server back cold, known to all at once: the worst case for many that act alike.
+// restartCold brings a server back cold and tells all aggregators at once: the worst case, as all
+// act alike.
 func (f *fleetSimulation) restartCold(cell int) {
 	id := f.server(cell).ID
 	f.started[id], f.silent[id] = f.now, false
 	f.announce(f.settings.Tick, f.server(cell))
 }
 
-// tell has all hear of a change of the list after a while.
+// announce tells all aggregators of a change of the list after a while.
 func (f *fleetSimulation) announce(after time.Duration, s Server) {
 	for i := range f.machines {
 		f.schedule(after, i, ServerListUpdate{Servers: []Server{s}})
@@ -172,7 +175,8 @@
 	}
 }
 
-// share is the part of the queries that came from one moment on, for so long, that was answered within the aim.
+// answeredShare is the share of the queries that arrived in a span that was answered within the
+// latency target.
 func (f *fleetSimulation) answeredShare(from, length time.Duration) float64 {
 	count := func(list []time.Duration) (n float64) {
 		for _, at := range list {
@@ -202,9 +206,9 @@
 	f.schedule(d, i, AttemptDone{Part: a.Part, Attempt: n, Server: a.Server, Outcome: OK, Latency: d})
 }
 
-// checkCold sums over all aggregators and takes the capacity in the middle of the window; slack
-// for chance, as the rule has it, only where the test says so.
-// A fall of which a third or more came from aggregators that had not been told is nobody's fault.
+// checkColdBudget sums over all aggregators and takes the capacity in the middle of the window. It
+// allows for chance, as the rule does, only where the test says so. An excess does not count if a
+// third or more of the parts came from aggregators that had not yet learned of the start.
 func (f *fleetSimulation) checkColdBudget(id string, started time.Duration, module int) {
 	f.coldSends[id] = append(f.coldSends[id], f.now)
 	if len(f.informedAt) > 0 && f.now < f.informedAt[module] {
@@ -236,10 +240,10 @@
 	}
 }
 
-// TestColdServersUnderFewAndManyAggregators: some of them get several times the traffic of
-// others, all are near what the servers can do, the other holder of what a cold server holds is
-// silent, and they hear of the start one after another. The sum of what all send stays within
-// what the rule leaves, with what chance adds to it.
+// TestColdBudgetHoldsForFewAndManyAggregators loads the servers near their capacity, gives some
+// aggregators several times the traffic of others, silences the other holder of what a cold server
+// holds, and tells the aggregators of the start one after another. The sum of all sends has to stay
+// within the limit of the rule, with its room for chance.
 func TestColdBudgetHoldsForFewAndManyAggregators(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// rig drives one Module with hand-written events and keeps what it did.
+// harness drives one StateMachine with hand-written events and keeps what it did.
 type harness struct {
 	t       *testing.T
 	m       *StateMachine
@@ -61,7 +61,7 @@
 	return r.actions
 }
 
-// pass lets time go by in ticks, without events.
+// advance lets time pass in ticks, without events.
 func (r *harness) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
@@ -69,7 +69,7 @@
 	}
 }
 
-// query hands in a query of so many parts of shard 0 and returns their ids.
+// query adds a query with this many parts of shard 0 and returns their IDs.
 func (r *harness) query(class, parts int) (string, []string) {
 	r.queries++
 	id := fmt.Sprintf("q%d", r.queries)
@@ -83,7 +83,7 @@
 	return id, ids
 }
 
-// done reports the outcome of the part's n-th attempt.
+// finish reports the outcome of the part's n-th attempt.
 func (r *harness) finish(part string, n int, o Outcome, latency time.Duration) []Action {
 	r.t.Helper()
 	if n >= len(r.sent[part]) {
@@ -92,7 +92,7 @@
 	return r.step(AttemptDone{Part: part, Attempt: n, Server: r.sent[part][n].Server, Outcome: o, Latency: latency})
 }
 
-// warm answers queries of one part on every server, so that each has a known latency.
+// warmUp has queries of one part answered by every server, so that each has a known latency.
 func (r *harness) warmUp(rounds int, latency time.Duration) {
 	r.t.Helper()
 	for range rounds {
--- a/decide/health.go
+++ b/decide/health.go
@@ -1,14 +1,15 @@
 package decide
 
-// Outlier detection: which servers fail, refuse or stay silent, how long they are left alone, and how
-// they are found again.
+// Outlier detection: which servers fail, reject parts or stay silent, how long they get no parts, and how
+// it is found out that they have recovered.
 
 import (
 	"time"
 )
 
-// silence is how long the server has left us without a word while something was out. With nothing out it
-// fades as fast as it grew: evidence that nothing renews must not keep a server out for good.
+// silence is how long the server has sent nothing while an attempt was in flight there. With
+// nothing in flight it shrinks as fast as it grew: evidence that nothing renews must not keep a
+// server out for good.
 func (m *StateMachine) silence(s *server) time.Duration {
 	if s.inFlight == 0 {
 		return max(0, s.lastSilence-(m.now-s.idleSince))
@@ -16,7 +17,8 @@
 	return m.now - s.unansweredSince
 }
 
-// heard ends a silence. After a long one the server may have restarted unseen, so it counts as cold.
+// recordResponse ends a silence. After one of more than four times the shortest latency target the
+// server may have restarted unseen, so it counts as cold.
 func (m *StateMachine) recordResponse(s *server) {
 	if m.shortestTarget > 0 && m.silence(s) > 4*m.shortestTarget && m.settings.WarmupTime > 0 {
 		m.markCold(s, m.now)
@@ -24,6 +26,7 @@
 	s.lastSilence, s.unansweredSince, s.unresponsive, s.missedAttempts = 0, m.now, false, 0
 }
 
+// recordOutcome updates what is known of the server by the end of an attempt.
 func (m *StateMachine) recordOutcome(s *server, a *attempt, e AttemptDone) {
 	switch e.Outcome {
 	case OK:
@@ -45,7 +48,7 @@
 		if e.Outcome != Reset || a.idle == 0 {
 			m.recordFailure(s)
 		} else {
-			m.idleLossShare = 1 // it was certainly dropped
+			m.idleLossShare = 1 // the connection was certainly dropped
 			m.lowerIdleLimit(a)
 		}
 	case ConnectFailed:
@@ -56,6 +59,7 @@
 	}
 }
 
+// recordFailure raises the server's failure share and sets when it may have its next trial.
 func (m *StateMachine) recordFailure(s *server) {
 	if m.isSuspect(s) {
 		s.failedTrials++
@@ -64,13 +68,15 @@
 	s.trialAt = m.now + m.nextTrialPause(s)
 }
 
+// baseTrialPause is the pause between trials of a suspect before any trial has failed.
 func (m *StateMachine) baseTrialPause() time.Duration {
 	return time.Duration(trialTargetShare * float64(m.shortestTarget))
 }
 
-// missed notes an attempt that was called off late, without a word from its server since it was sent. Guards
-// against a server that is gone and known by nothing: a copy answers each of its parts before its silence is
-// long, and the next part comes when that has faded. Connections that may have been dropped prove nothing.
+// recordMissed notes an attempt that was cancelled late and whose server has sent nothing since it
+// was sent. This finds a server that is gone without a sign: a copy answers each of its parts
+// before its silence is long, and the silence is over before the next part comes. Attempts on
+// connections that may have been dropped prove nothing.
 func (m *StateMachine) recordMissed(a *attempt) {
 	s := a.s
 	if s.unansweredSince > a.sentAt || a.idle > 0 && m.idleLossShare > m.freshLossShare {
@@ -84,9 +90,10 @@
 	}
 }
 
-// restPause is how long a suspect is left alone: no shorter than the time between the parts that a server
-// gets from us anyway, and twice as long after each trial that failed. Guards against suspicion that changes
-// nothing: where each of many aggregators meets a server once in seconds, every part would be a trial.
+// nextTrialPause is how long a suspect gets no part. It is no shorter than the time between the
+// parts that a server gets from this aggregator anyway, and doubles with each failed trial, up to
+// maxTrialPause. Without the first rule, where each of many aggregators sends to a server once in
+// seconds, every part would be a trial and suspicion would change nothing.
 func (m *StateMachine) nextTrialPause(s *server) time.Duration {
 	pause := m.baseTrialPause()
 	if rate := m.partRate.rate(m.now); rate > 0 {
@@ -97,20 +104,22 @@
 		(0.75 + 0.5*m.jitter.Float64()))
 }
 
-// suspect guards against servers that fail, refuse or stay silent, for whatever cause.
+// isSuspect tells whether the server fails, rejects parts or stays silent, for whatever cause.
 func (m *StateMachine) isSuspect(s *server) bool {
 	return s.failureShare > suspectFailureShare || s.unresponsive || m.tooSilent(s)
 }
 
+// tooSilent tells whether the silence is long both by the latency target and by the server's own
+// latency.
 func (m *StateMachine) tooSilent(s *server) bool {
 	silence := m.silence(s)
 	return silence > time.Duration(silenceTargetShare*float64(m.shortestTarget)) &&
 		silence > time.Duration(silenceLateFactor*float64(m.lateThreshold(s, m.shortestTarget)))
 }
 
-// attend probes servers that have fallen silent until they are heard of again. Guards against giving such a
-// one real parts over and over: when the last part out there is called off, its silence proves nothing any
-// more and fades, though nothing shows that it is over.
+// probeSilentServers probes servers that have fallen silent until they respond. Without it, such a
+// server would be given parts over and over: once its last attempt is cancelled its silence
+// shrinks, though nothing shows that it is over.
 func (m *StateMachine) probeSilentServers() {
 	if !m.settings.ProbesAllowed {
 		return
@@ -126,15 +135,16 @@
 	}
 }
 
+// handleProbe takes the result of a probe.
 func (m *StateMachine) handleProbe(e ProbeDone) {
 	s := m.servers[e.Server]
 	if s == nil {
 		return
 	}
 	if s.unresponsive && (e.Outcome == OK || e.Outcome == Failed || e.Outcome == Full) {
-		m.recordResponse(s) // an error is a word, too
+		m.recordResponse(s) // an error is a response, too
 		if e.Outcome == OK {
-			s.failureShare, s.failedTrials = 0, 0 // a probe is served as parts are
+			s.failureShare, s.failedTrials = 0, 0 // the server handles a probe as it handles parts
 		}
 	} else if e.Outcome != NotSent {
 		s.failedTrials++
@@ -142,8 +152,9 @@
 	s.probeInFlight, s.probeAt = false, m.now+m.nextTrialPause(s)
 }
 
-// fit tells whether the server may take the part by the offset rule: a suspect gets a repeatable part now
-// and then, as a trial, so that it is found again when it is sound; a silent one is probed instead.
+// usableAtOffset tells whether the server may take the part by the offset rule. A suspect gets a
+// part that may be repeated now and then, as a trial that shows when it has recovered; an
+// unresponsive one is probed instead.
 func (m *StateMachine) usableAtOffset(p *part, s *server) bool {
 	if !m.maySend(p, s) {
 		return false
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -1,13 +1,14 @@
 package decide
 
-// Hedging: which parts that are late get a second copy, and from which budget.
+// Hedging: which late parts get a copy, and from which budget.
 
 import (
 	"slices"
 	"time"
 )
 
-// lateMark is the server's p90, or startShare of the aim before any answer.
+// lateThreshold is the 90th percentile of the server's latency, or defaultLateShare of the latency
+// target before any answer.
 func (m *StateMachine) lateThreshold(s *server, target time.Duration) time.Duration {
 	s.swapSketches(m.now)
 	k := s.readSketch
@@ -21,19 +22,21 @@
 	return max(hedgeFloor, time.Duration(v*float64(time.Second)))
 }
 
-// trigger is the late mark, but no later than the start value: a server that stays slow, or a stall that
-// filled its sketch, would push it to where a copy has no time left.
+// copyDelay is the age at which a part may be copied: the late threshold, but no more than its
+// default. A server that stays slow, or a stall that filled its sketch, would otherwise raise it to
+// where a copy has no time left.
 func (m *StateMachine) copyDelay(p *part) time.Duration {
 	target := p.q.class.LatencyTarget
 	return min(m.lateThreshold(p.active().s, target), time.Duration(defaultLateShare*float64(target)))
 }
 
+// mayCopy reports whether the part waits for an attempt and may have a second one besides.
 func (m *StateMachine) mayCopy(p *part) bool {
 	return m.settings.CopiesAllowed && !p.done && m.mayRepeat(p) &&
 		p.active() != nil && m.now < m.latestEnd(p.q)
 }
 
-// refill lets tokens grow at tokenShare of the measured part rate.
+// refillTokens adds copy tokens at tokenShare of the measured part rate.
 func (m *StateMachine) refillTokens() {
 	rate := tokenShare * m.partRate.rate(m.now)
 	m.copyTokens += rate * (m.now - m.tokensRefilledAt).Seconds()
@@ -41,7 +44,8 @@
 	m.tokensRefilledAt = m.now
 }
 
-// hedge copies late parts, those of queries that wait for the fewest parts first, while tokens last.
+// sendCopies copies late parts while tokens last, those of the queries that miss the fewest parts
+// first.
 func (m *StateMachine) sendCopies() {
 	var list []*part
 	for _, q := range m.active {
@@ -61,7 +65,8 @@
 	}
 }
 
-// copyRank puts queries that can be answered short behind those that get nothing without their last parts.
+// copyPriority is lower for queries that are copied first. Queries that can be answered partially
+// come after those that get no answer without their last parts.
 func (m *StateMachine) copyPriority(q *query) int {
 	if m.canAnswerPartially(q) {
 		return len(q.parts) + q.missingParts()
@@ -69,9 +74,9 @@
 	return q.missingParts()
 }
 
-// copyPart sends the copy if the other holder is expected to answer sooner than the part has already
-// waited: on a hot shard or in a general stall it is not, and the token is kept. A stranded part needs no
-// token.
+// copyPart sends a copy if the other holder is expected to answer it in less time than the part has
+// already waited. On a hot shard or in a general stall it is not, and the token is kept. A forced
+// copy needs no token.
 func (m *StateMachine) copyPart(p *part) {
 	needsForcedCopy := m.needsForcedCopy(p)
 	share := copyBudgetShare
@@ -104,10 +109,12 @@
 	}
 }
 
-// stranded tells whether none of the part's attempts is likely to be answered in time: its server has
-// answered what was sent well after it, or it is out for giveUpShare of the aim. Guards against lost messages
-// and silent or slow servers where one copy is not enough or tokens are short: the parts that are in were
-// for nothing without the last one. The further-attempt budget bounds it.
+// needsForcedCopy tells whether none of the part's attempts is likely to be answered in time: its
+// server has answered what was sent well after it, or it has been in flight for giveUpShare of the
+// latency target. This covers lost messages and silent or slow servers, where one copy is not
+// enough or tokens are short: the parts that have arrived are worth nothing without the last one.
+// The age counts only for queries that miss few parts and can't be answered partially, and only
+// while enough forced copies are the first to answer. The retry budget bounds forced copies.
 func (m *StateMachine) needsForcedCopy(p *part) bool {
 	many := float64(p.q.missingParts()) > max(1, forcedCopyShare*float64(len(p.q.parts))) ||
 		m.canAnswerPartially(p.q) ||
@@ -121,6 +128,7 @@
 	return true
 }
 
+// giveUpAfter is the age after which an attempt of the part is no longer counted on.
 func (m *StateMachine) giveUpAfter(p *part) time.Duration {
 	return time.Duration(giveUpShare * float64(p.q.class.LatencyTarget))
 }
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// directory is one discovery for many aggregators: it works through calls in turn, so
-// many a second, and fails what has waited for too long.
+// fakeDiscovery is a discovery service that many aggregators share. It handles calls one after the
+// other at a fixed rate and fails those that have waited too long.
 type fakeDiscovery struct {
 	rate     float64       // calls a second
-	maxWait  time.Duration // longest wait for a turn
-	nextFree time.Duration // when its turn is free
-	fails    func() bool   // calls that fail all the same
+	maxWait  time.Duration // longest wait of a call
+	nextFree time.Duration // when the next call can be handled
+	fails    func() bool   // whether the present call fails nevertheless
 	calls    []time.Duration
-	listedAt map[int]time.Duration // when each aggregator had its list
+	listedAt map[int]time.Duration // when each aggregator had its list, after the start
 }
 
-// call returns when a call ends, and whether by a list.
+// call returns when a call ends, and whether it brings a list.
 func (d *fakeDiscovery) call(now time.Duration) (time.Duration, bool) {
 	d.calls = append(d.calls, now)
 	if d.fails != nil && d.fails() {
@@ -32,8 +32,7 @@
 	return d.nextFree, true
 }
 
-// follow starts so many aggregators at one moment and has them ask for the list until
-// the end.
+// run starts n aggregators at the same moment and steps them for the length of time.
 func (d *fakeDiscovery) run(n int, length time.Duration) {
 	set := testSettings()
 	set.WatchDiscovery, set.ListRefreshInterval, set.Tick, set.Aggregators = true, 10*time.Second, ms, n
@@ -79,9 +78,9 @@
 	}
 }
 
-// TestManyAggregatorsShareOneDiscovery: most are killed at once and come back with an old
-// list, and discovery can answer a fraction of them before the others' calls have waited
-// for too long. Those went without a list for 7 to 9 s.
+// TestRestartedAggregatorsAllGetTheServerList guards against a restart of most aggregators at once,
+// with an old list, while discovery can answer only a fraction of them before the calls of the
+// others have waited too long. Those went without a list for 7 to 9 s.
 func TestRestartedAggregatorsAllGetTheServerList(t *testing.T) {
 	const n = 56
 	d := fakeDiscovery{rate: 14, maxWait: 2 * time.Second}
@@ -96,7 +95,7 @@
 	}
 }
 
-// TestFailingDiscoveryIsNotStormed fails nine calls in ten for 10 s.
+// TestFailingDiscoveryIsNotFloodedWithCalls fails nine calls in ten for 10 s.
 func TestFailingDiscoveryIsNotFloodedWithCalls(t *testing.T) {
 	const n = 80
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -121,7 +120,7 @@
 	if len(d.listedAt) < n || late > 0 {
 		t.Errorf("%d of %d had a list, %d of them more than 10s after discovery was sound", len(d.listedAt), n, late)
 	}
-	// In step, they would all come back within a few milliseconds.
+	// Without random pauses they would all come back within a few milliseconds.
 	most, first := 0, d.calls[n:]
 	for i, c := range first {
 		j := i
--- a/decide/outage_test.go
+++ b/decide/outage_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// The troubles of a full fleet, without sockets: as many aggregators as the operators run, each with a few queries a
-// second, over shared servers. Besides what each test asks, the fleet checks that no cold server gets more than it
-// bears from all together, that nothing goes to a server that has been gone for longer than the rule allows, and that
-// no query is answered twice.
+// Outages of a full fleet, without sockets: as many aggregators as the operators run, each with a
+// few queries a second, over shared servers. Besides the checks of each test, the fleet checks that
+// all aggregators together send no cold server more than it can handle, that nothing goes to a
+// server that has been gone for longer than the rule allows, and that no query is answered twice.
 const (
 	manyAggregators = 300
 	manyServers     = 200
 )
 
-// unanswered fails the test for each query that had its time and got no answer.
+// checkAllAnswered fails the test for each query that is past its timeout and has no final answer.
 func (f *fleetSimulation) checkAllAnswered() {
 	f.t.Helper()
 	for id, came := range f.openQueries {
@@ -25,8 +25,8 @@
 	}
 }
 
-// replace has a machine vanish without a word and one with another id begin in its place, cold; all hear of
-// both after a while.
+// replaceServer has a server disappear without notice and one with another ID start cold in its
+// place. All aggregators learn of both after a delay.
 func (f *fleetSimulation) replaceServer(cell int, late time.Duration) {
 	old := f.server(cell)
 	old.State = Deleted
@@ -52,15 +52,16 @@
 	f.checkAllAnswered()
 	before, during, after := f.answeredShare(first-5*time.Second, 4*time.Second), f.answeredShare(first, 9*time.Second), f.answeredShare(first+10*time.Second, 6*time.Second)
 	t.Logf("answered in time: %.2f before, %.2f in the 9 s, %.2f after", before, during, after)
-	// Most queries touch a cell both of whose holders are gone and not listed yet, so little can be had in the 9 s.
+	// Most queries touch a cell of which both holders are gone and not listed yet, so few can be
+	// answered in the 9 s.
 	if before < 0.95 || after < 0.85 {
 		t.Errorf("answered in time: %.2f before and %.2f after", before, after)
 	}
 }
 
-// A third of 200 servers is cold at once, and hundreds of windows of each are looked at: on most
-// seeds one of them is over the limit by chance alone, so what the rule leaves to chance is left
-// here, too, on four seeds.
+// A third of 200 servers is cold at once, and hundreds of windows of each are checked: on most
+// seeds one of them exceeds the limit by chance alone. The room that the rule leaves for chance is
+// therefore given here, on four seeds.
 func TestZoneFailsAndReturnsColdWithTheSameIDs(t *testing.T) {
 	for seed := range uint64(4) {
 		testZoneRestart(t, seed)
@@ -83,8 +84,9 @@
 	f.checkAllAnswered()
 	dim, back := f.answeredShare(dark, 5*time.Second), f.answeredShare(dark+7*time.Second, 8*time.Second)
 	t.Logf("answered in time: %.2f while the zone is dark, %.2f once it is back", dim, back)
-	// An aggregator that meets a server once in 46 s can't learn in 5 s that it is gone, nor copy a third of its parts:
-	// little is served meanwhile. What counts here is the return: all of it, and nobody pushed over.
+	// An aggregator that sends to a server once in 46 s can't find out in 5 s that it is gone, nor
+	// copy a third of its parts, so little is served meanwhile. What is checked is the return: all
+	// queries are served, and no server is overloaded.
 	if back < 0.95 {
 		t.Errorf("answered in time: %.2f once the zone is back", back)
 	}
@@ -101,10 +103,10 @@
 	for i := range manyAggregators * 7 / 10 {
 		f.machines[i] = nil
 	}
-	clear(f.openQueries) // whoever was killed answers nothing, and its clients are told so
+	clear(f.openQueries) // a killed aggregator answers nothing, and its clients are told so
 	f.run(time.Second)
 	again, named := f.now, len(f.goneAt)
-	// A list that is told counts from when it is told: whoever starts with an old one has not been told yet.
+	// An aggregator that starts with an old list does not know yet which servers are gone.
 	clear(f.goneAt)
 	for i := range manyAggregators * 7 / 10 {
 		f.startAggregator(i, stale)
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// world feeds a Module with random legal events and checks every action against the rules. It shares no code with
-// the decisions: it counts for itself.
+// ruleChecker feeds a StateMachine with random legal events and checks every action against the
+// rules. It counts for itself and shares no code with the decisions.
 type ruleChecker struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -37,7 +37,7 @@
 	e  Event
 }
 
-// lostOutcome is an attempt's end of which the module never hears.
+// lostOutcome ends an attempt without an event for the StateMachine.
 type lostOutcome struct {
 	part string
 	n    int
@@ -50,7 +50,7 @@
 	started       time.Duration
 	down          bool
 	stopping      bool
-	stoppingSince time.Duration // 0: not, or told since that it runs
+	stoppingSince time.Duration // since when the StateMachine has known that it stops; 0: not, or it runs again
 	cold          []time.Duration
 }
 
@@ -98,7 +98,7 @@
 	return l
 }
 
-// step delivers all that is due and checks what comes back.
+// step delivers all events that are due and checks the resulting actions.
 func (w *ruleChecker) step() {
 	var events []Event
 	w.pending = slices.DeleteFunc(w.pending, func(p pendingEvent) bool {
@@ -127,7 +127,7 @@
 	}
 }
 
-// note keeps what the module has been told.
+// recordEvent keeps what the StateMachine has been told.
 func (w *ruleChecker) recordEvent(e Event) {
 	switch e := e.(type) {
 	case QueryArrived:
@@ -154,7 +154,7 @@
 	case AttemptDone:
 		p := w.parts[e.Part]
 		if p == nil || e.Attempt >= len(p.attempts) || !p.attempts[e.Attempt].inFlight {
-			return // a duplicate or a stranger
+			return // a duplicate or unknown attempt
 		}
 		p.attempts[e.Attempt].inFlight, p.attempts[e.Attempt].outcome = false, e.Outcome
 		if e.Outcome == OK && !p.ended {
@@ -328,7 +328,8 @@
 	}
 }
 
-// checkCold holds the sends against this aggregator's share of what the server can do: 60 parts a second when warm.
+// checkColdBudget checks the sends against this aggregator's share of the server's capacity, which
+// is 60 parts a second when warm.
 func (w *ruleChecker) checkColdBudget(s *modelServer) {
 	s.cold = append(s.cold, w.now)
 	n := countSince(s.cold, w.now-w.settings.ColdBudgetWindow)
@@ -354,7 +355,7 @@
 	return time.Duration(1+w.rng.IntN(most)) * ms
 }
 
-// answer schedules the attempt's outcome: soon, late, at its time-out, twice or never.
+// scheduleOutcome schedules the outcome of an attempt: soon, late, at its deadline, twice or never.
 func (w *ruleChecker) scheduleOutcome(p *modelPart, n int, s *modelServer, a Send) {
 	e := AttemptDone{Part: p.id, Attempt: n, Server: a.Server, Outcome: OK}
 	d := w.randomDelay(300)
@@ -453,7 +454,7 @@
 	for end := w.now + 8*time.Second; w.now < end; w.now += w.settings.Tick {
 		w.step()
 	}
-	w.schedule(0, TimerFired{}) // what is overdue is given up at the next step, whatever brings it
+	w.schedule(0, TimerFired{}) // overdue attempts are given up at the next step, whatever its event
 	w.step()
 }
 
--- a/decide/shares.go
+++ b/decide/shares.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// What a zone is to get is decided elsewhere, for the whole fleet. Here it is kept to.
+// Zone shares: which share of its parts each zone gets is decided elsewhere, for the whole fleet, and
+// applied here.
 
-// Steps of a sequence that is spread evenly over 0 to 1 however it is cut: of the queries, and
-// of the shards of one.
+// Steps of low-discrepancy sequences, whose fractional parts are spread evenly over 0 to 1 in any
+// run: over the queries, and over the shards of one query.
 const (
 	queryStep   = 0.6180339887498949
 	shardStep   = 0.7548776662466927
-	queryPeriod = 1 << 20
+	queryPeriod = 1 << 20 // period of the sequence over the queries
 )
 
-// within keeps to the share of the parts that the server's zone is to get, unless nobody else
-// may take the part. The draw is the part's own, and spread evenly over all: what is kept from
-// a zone once is not sent there as a copy either.
+// withinZoneShare keeps to the share of the parts that the server's zone is to get, unless nobody
+// else may take the part. Whether the zone gets a part depends on the part alone and is spread
+// evenly over all parts: what is kept from a zone once is not sent there as a copy either.
 func (m *StateMachine) withinZoneShare(p *part, s *server) bool {
 	if len(m.zoneShares) == 0 || m.inZoneShare(p, s) {
 		return true
@@ -27,7 +28,7 @@
 	})
 }
 
-// drawn reports whether a part is of those that the server's zone is to get.
+// inZoneShare reports whether the part is one of those that the server's zone is to get.
 func (m *StateMachine) inZoneShare(p *part, s *server) bool {
 	if s.Zone < 0 || s.Zone >= len(m.zoneShares) || m.zoneShares[s.Zone] >= 1 {
 		return true
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// shared is a rig with three shards, each held in two of three zones, and the zones' shares.
+// newZoneHarness has three shards, each held in two of three zones, and the given shares of the
+// zones.
 func newZoneHarness(t *testing.T, shares ...float64) *harness {
 	set := testSettings()
 	set.Cells, set.CellsPerShard, set.Zone, set.MaxOpen = 3, 2, 0, 0
@@ -20,8 +21,8 @@
 	return r
 }
 
-// spread has many queries for a shard answered and returns what share of its parts went to
-// each zone.
+// zoneSplit has n queries for a shard answered and returns which share of its parts went to each
+// zone.
 func (r *harness) zoneSplit(shard, n int) (to [3]float64) {
 	for range n {
 		r.queries++
@@ -41,12 +42,13 @@
 	return to
 }
 
-// TestAZoneGetsItsShare, evenly over any run of parts, and no more by copies.
+// TestZoneGetsItsShareOfParts checks that a zone gets its share evenly over any run of parts, and
+// no more by copies.
 func TestZoneGetsItsShareOfParts(t *testing.T) {
 	for _, share := range []float64{0.05, 0.12, 0.25, 0.45, 0.7} {
 		r := newZoneHarness(t, share, 1, 1)
 		for _, n := range []int{100, 400} {
-			// Shard 0 is held in zones 0 and 1; zone 0 is near, and would get all.
+			// Shard 0 is held in zones 0 and 1; zone 0 is the aggregator's own and would get all.
 			if got := r.zoneSplit(0, n); math.Abs(got[0]-share) > 0.03 {
 				t.Errorf("share %v: zone 0 got %v of %d parts", share, got[0], n)
 			}
@@ -57,10 +59,11 @@
 	}
 }
 
-// TestWhatNobodyElseHoldsIsAskedThere whatever the zone's share is.
+// TestOnlyHolderGetsPartsBeyondItsZoneShare checks that parts without another holder are sent
+// whatever the zone's share.
 func TestOnlyHolderGetsPartsBeyondItsZoneShare(t *testing.T) {
 	r := newZoneHarness(t, 1, 0.05, 0.05)
-	if got := r.zoneSplit(1, 200); got[1]+got[2] < 1 { // held in zones 1 and 2 alone
+	if got := r.zoneSplit(1, 200); got[1]+got[2] < 1 { // held in zones 1 and 2 only
 		t.Errorf("parts that zones 1 and 2 alone hold: %v", got)
 	}
 	if got := r.zoneSplit(0, 200); math.Abs(got[1]-0) > 0.1 || got[0] < 0.9 {
--- a/decide/source_size_test.go
+++ b/decide/source_size_test.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// TestModuleStaysReadable bounds each file of the module.
+// TestSourceFilesStaySmall bounds the lines and columns of each source file of the package.
 func TestSourceFilesStaySmall(t *testing.T) {
 	const mostLines, mostColumns = 700, 110
 	files, err := filepath.Glob("*.go")
--- a/decide/sparse_traffic_test.go
+++ b/decide/sparse_traffic_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// seldom is one aggregator of many: it meets each of 30 servers about once in 1.5 s.
+// newSparseHarness returns one of many aggregators, which sends a part to each of 30 servers about
+// once in 1.5 s.
 func newSparseHarness(t *testing.T) *harness {
 	set := testSettings()
 	set.Aggregators, set.Cells, set.CellsPerShard, set.RetryBudgetWindow, set.ProbesAllowed = 80, 30, 2, 0, true
@@ -20,7 +21,7 @@
 	return r
 }
 
-// ask hands in one part for the shard.
+// queryShard adds a query of one part for the shard.
 func (r *harness) queryShard(shard int) string {
 	r.queries++
 	id := fmt.Sprintf("q%d", r.queries)
@@ -29,9 +30,8 @@
 	return id + ".0"
 }
 
-// live lets time go by in which every server but the silent one answers within 40 ms, 20
-// parts a second come, and probes of the silent one come to nothing. It returns how many
-// parts and probes went to that.
+// runTraffic lets time pass with 20 parts a second. Every server but the silent one answers within
+// 40 ms, and probes of the silent one time out. It returns how many parts and probes went to that.
 func (r *harness) runTraffic(length time.Duration, silent string) (parts, probes int) {
 	type answer struct {
 		at   time.Duration
@@ -79,9 +79,9 @@
 	return parts, probes
 }
 
-// TestSilentServerIsKnownThoughCopiesAnswerFirst: a copy answered each part of a server
-// that was gone before its silence was long enough, and that had faded when the next part
-// came: it went on getting its share for as long as it was gone.
+// TestSilentServerIsDetectedThoughCopiesAnswerFirst guards against a server that is gone and keeps
+// its share of parts: copies answered each of its parts before its silence was long enough, and the
+// silence had faded when the next part came.
 func TestSilentServerIsDetectedThoughCopiesAnswerFirst(t *testing.T) {
 	r := newSparseHarness(t)
 	if parts, _ := r.runTraffic(20*time.Second, ""); parts > 0 {
@@ -91,20 +91,20 @@
 	if parts > 6 {
 		t.Errorf("a server that answers nothing got %d parts in 20s, its share is about 13", parts)
 	}
-	// Eighty aggregators with thirty silent servers must not probe them to death.
+	// Eighty aggregators with thirty silent servers must not overload them with probes.
 	if probes > 12 {
 		t.Errorf("it was probed %d times in 20s", probes)
 	}
 }
 
-// TestVerdictEndsSoonAfterItsCause: however often trials failed, a server that answers
-// again has its share again within restMost and a few parts.
+// TestSuspicionEndsSoonAfterRecovery checks that a server that answers again has its share again
+// within maxTrialPause and a few parts, however often its trials failed.
 func TestSuspicionEndsSoonAfterRecovery(t *testing.T) {
 	r := newSparseHarness(t)
 	r.runTraffic(20*time.Second, "")
 	r.runTraffic(20*time.Second, "s07")
 	if s := r.m.servers["s07"]; s.unresponsive {
-		r.advance(2 * maxTrialPause) // its probe, which is answered now
+		r.advance(2 * maxTrialPause) // its probe is due, and is answered now
 		r.step(ProbeDone{Server: "s07", Outcome: OK})
 	}
 	r.runTraffic(12*time.Second, "")
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestColdServerThatAloneHoldsASliceGetsPartsButNotAll: eighty aggregators start in one
-// moment, know nothing of what servers bear, and all need it.
+// TestColdOnlyHolderOfAShardIsNotOverloaded starts eighty aggregators at the same moment that know
+// nothing of the capacity of the only server and all need it.
 func TestColdOnlyHolderOfAShardIsNotOverloaded(t *testing.T) {
 	const n = 80
 	set := testSettings()
--- a/decide/state.go
+++ b/decide/state.go
@@ -1,6 +1,6 @@
 package decide
 
-// The state that the decisions keep, and bookkeeping on it. Nothing is decided here.
+// The state on which the decisions rest, and its bookkeeping.
 
 import (
 	"fmt"
@@ -15,88 +15,91 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Module decides for one aggregator. Make it with New.
+// StateMachine decides for one aggregator. Make it with New.
 type StateMachine struct {
 	settings       Settings
-	allowanceShare float64 // of what all aggregators share
+	allowanceShare float64 // share of the tenants' allowances that this aggregator may use
 	rng            *rand.Rand
-	jitter         *rand.Rand // for waits that are spread over the aggregators
+	jitter         *rand.Rand // for delays that are spread over the aggregators
 	now            time.Duration
 	actions        []Action
-	shortestTarget time.Duration // shortest aim of all classes
+	shortestTarget time.Duration // of all classes
 	maxValue       float64
 
 	servers       map[string]*server
-	sortedServers []*server         // by id
-	zoneShares    []float64         // by zone, of what would be sent there; none: the whole
-	holders       map[int][]*server // by shard, in the order of order; rebuilt when the list changes
+	sortedServers []*server         // by ID
+	zoneShares    []float64         // by zone, the share of the parts routed there; nil: all
+	holders       map[int][]*server // by shard, in the order of sortedServers; rebuilt when the list changes
 	queries       map[int64]*query  // by number
-	queriesByID   map[string]*query // by id
+	queriesByID   map[string]*query // by ID
 	active        []*query          // in order of arrival
-	parts         map[string]*part  // held while their query lives or an attempt is out
-	calls         map[*server]*call // calls of this step that still have room
+	parts         map[string]*part  // kept while their query is open or an attempt is in flight
+	calls         map[*server]*call // calls of this step that have room for more parts
 	commonTimeout []commonTimeout   // by class
 
-	// times of arrivals and of further attempts, within FurtherWindow
-	arrivals, extraAttempts      []time.Duration
-	partRate                     meter
-	tenantRates                  []meter
-	copyTokens                   float64
-	tokensRefilledAt             time.Duration
-	forcedCopies, forcedCopyWins meter             // parts sent again without a token, and those so answered
-	latencySum, answerCount      meter             // seconds and number of answers, over all servers
-	slowLatency                  quantileEstimator // time of slow answers, in seconds, over all servers
-	timerAt                      time.Duration     // of the timer that is set; 0: none
-	idleLimit                    time.Duration     // connections idle for longer are closed before use
-	idleLimitSetAt               time.Duration
-	// shares of attempts lost on connections that had been idle, and on others
-	idleLossShare, freshLossShare float64
-	inFlight                      []*attempt // in the order of their sends
-	warmRateCache                 warmRateCache
-	recentWarmRate                recentMax // what a warm server bore from us
-	maintenanceAt                 time.Duration
+	// Times within RetryBudgetWindow: of queries and parts, and of retries and copies.
+	arrivals, extraAttempts       []time.Duration
+	partRate                      meter
+	tenantRates                   []meter
+	copyTokens                    float64
+	tokensRefilledAt              time.Duration
+	forcedCopies, forcedCopyWins  meter             // copies without a token; those that answered first
+	latencySum, answerCount       meter             // seconds and number of answers, over all servers
+	slowLatency                   quantileEstimator // seconds that slow answers take, over all servers
+	timerAt                       time.Duration     // when the timer that was asked for last is due; 0: none
+	idleLimit                     time.Duration     // connections idle for longer are closed before use
+	idleLimitSetAt                time.Duration
+	idleLossShare, freshLossShare float64       // of attempts, on connections that had been idle; on others
+	inFlight                      []*attempt    // in the order of their sends
+	warmRateCache                 warmRateCache // last result of warmServerRate
+	recentWarmRate                recentMax     // recent maximum of the rate of warm servers
+	maintenanceAt                 time.Duration // when maintain is due
 	watchAt                       time.Duration
-	watchAttempts                 int
+	watchAttempts                 int // calls since the last update of the list
 	subscribed                    bool
 }
 
+// server is a listed server, or one that was listed and still has attempts in flight, with what is
+// known of it.
 type server struct {
 	Server
 	listed                    bool
-	retiring                  bool          // Stopping, Deleted or gone from the list
-	retiringAt                time.Duration // when that last changed
-	fillSketch, readSketch    *ddsketch.DDSketch
+	retiring                  bool               // Stopping, Deleted or gone from the list
+	retiringAt                time.Duration      // when that last changed
+	fillSketch, readSketch    *ddsketch.DDSketch // latencies of the present and of the previous sketchSwap
 	sketchSwapAt              time.Duration
-	inFlight                  int // attempts
-	calls                     int
-	latency, depth            float64 // means of late answers: seconds, and our calls out when they were sent
+	inFlight                  int     // attempts
+	calls                     int     // calls with an attempt in flight
+	latency, depth            float64 // recent means: seconds to an answer, and calls when it was sent
 	sampledAt                 time.Duration
-	failureShare              float64 // failing share of late outcomes
-	unansweredSince           time.Duration
-	lastSilence, idleSince    time.Duration // silence when the last one out ended, and when that was
-	trialAt                   time.Duration
-	failedTrials              int // that failed since the last answer
-	missedAttempts            int // parts called off late since the last word
+	failureShare              float64       // failed share of recent outcomes
+	unansweredSince           time.Duration // since when it has sent nothing
+	lastSilence, idleSince    time.Duration // silence when its last attempt ended, and when that was
+	trialAt                   time.Duration // when a suspect may have its next part
+	failedTrials              int           // since the last answer
+	missedAttempts            int           // attempts cancelled late since its last response
 	answerRate                meter
-	lastAnsweredSentAt        time.Duration // when the latest answered attempt was sent
-	connUsedAt                time.Duration // last sign of life of our connection; 0: none open
-	loggedSuspect             bool          // logged as a suspect
-	unresponsive              bool          // fallen silent, and not heard of since
-	probeInFlight             bool          // a probe is out
-	probeAt                   time.Duration // mute: when it is probed
-	coldSince                 time.Duration
-	cold                      bool
-	coldSends                 []time.Duration
-	coldKnownAt, lastColdSend time.Duration // when we learned that it is cold, and of the latest send
-	coldJitter                float64       // that spreads the first sends of all aggregators
-}
-
+	lastAnsweredSentAt        time.Duration // when its latest answered attempt was sent
+	connUsedAt                time.Duration // last sign of life of the connection to it; 0: none open
+	loggedSuspect             bool          // the log says that it is a suspect
+	unresponsive              bool          // it has fallen silent and not responded since
+	probeInFlight             bool
+	probeAt                   time.Duration   // when an unresponsive one is probed next
+	coldSince                 time.Duration   // since when it counts as cold
+	cold                      bool            // it is warming up
+	coldSends                 []time.Duration // within ColdBudgetWindow
+	coldKnownAt, lastColdSend time.Duration   // when that was learned; when the latest part was sent
+	coldJitter                float64         // spreads the first sends of all aggregators
+}
+
+// call is one call to a server, which carries several parts.
 type call struct{ parts, room int }
 
+// query is an open query, in its first or second step.
 type query struct {
 	QueryArrived
 	class                          *Class
-	deadline, target               time.Duration // clock times: last answer, full worth
+	deadline, target               time.Duration // latest clock times of any answer; of one with full value
 	parts                          []*part       // of the present step
 	inSecondStep, firstStepPartial bool
 	started                        bool
@@ -104,17 +107,20 @@
 	ended                          bool
 }
 
+// part is one part of the present step of a query, or of one that is over but has an attempt in
+// flight.
 type part struct {
 	PartArrived
 	q                *query
 	attempts         []*attempt
 	done             bool
 	copied           bool
-	shed             bool // its step or query is over
-	retryAt          time.Duration
-	shortageReported [3]bool // by Shortage
+	shed             bool          // its step or query is over
+	retryAt          time.Duration // when the next attempt may be sent
+	shortageReported [3]bool       // by Shortage
 }
 
+// attempt is one send of a part to a server.
 type attempt struct {
 	p           *part
 	number      int
@@ -123,14 +129,15 @@
 	sentAt      time.Duration
 	deadline    time.Duration
 	idle        time.Duration // how long its connection had been idle
-	depth       int           // calls out at the server when it was sent
+	depth       int           // calls of the server when it was sent
 	ended       bool
 	lossCounted bool // as lost or answered
-	forced      bool // sent without a token
-	cancelled   bool // cancelled by us
+	forced      bool // a copy sent without a token
+	cancelled   bool // by this aggregator
 	outcome     Outcome
 }
 
+// active returns the first attempt that is in flight and not cancelled, or nil.
 func (p *part) active() *attempt {
 	for _, a := range p.attempts {
 		if !a.ended && !a.cancelled {
@@ -140,7 +147,7 @@
 	return nil
 }
 
-// mayHaveRun returns the first attempt that is not proved never to have run.
+// mayHaveRun returns the first attempt that is not proved never to have run, or nil.
 func (p *part) mayHaveRun() *attempt {
 	for _, a := range p.attempts {
 		if !a.ended || !a.outcome.NeverRan() {
@@ -158,6 +165,7 @@
 	return slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.s == s })
 }
 
+// meter counts with exponential decay over rateWindow.
 type meter struct {
 	sum       float64
 	at, start time.Duration
@@ -171,7 +179,8 @@
 	r.at = now
 }
 
-// rate corrects for a short past; under a second of it would say too much.
+// rate is the count per second. It allows for a short history; less than a second of it would say
+// too much.
 func (r *meter) rate(now time.Duration) float64 {
 	if r.start == 0 {
 		return 0
@@ -180,11 +189,13 @@
 	return r.count(now) / rateWindow.Seconds() / (1 - math.Exp(-seen))
 }
 
-// count is the number of late, older ones counting less.
+// count is the decayed number of occurrences: older ones count less.
 func (r *meter) count(now time.Duration) float64 {
 	return r.sum * math.Exp(-(now-r.at).Seconds()/rateWindow.Seconds())
 }
 
+// receivedWeight returns the weight of the parts that have been answered, and whether these are
+// all.
 func (q *query) receivedWeight() (weight float64, all bool) {
 	all = len(q.parts) > 0
 	for _, p := range q.parts {
@@ -197,7 +208,7 @@
 	return weight, all
 }
 
-// untouched tells whether no attempt of the query has reached a server, as far as is known.
+// reachedNoServer tells whether no attempt of the query has reached a server, as far as is known.
 func (q *query) reachedNoServer() bool {
 	return !q.inSecondStep && !slices.ContainsFunc(q.parts, func(p *part) bool {
 		return slices.ContainsFunc(p.attempts, func(a *attempt) bool {
@@ -216,7 +227,7 @@
 	return n
 }
 
-// since drops the times before from.
+// dropBefore drops the leading times before from. The times are in ascending order.
 func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] < from {
@@ -233,6 +244,7 @@
 	return ddsketch.NewDDSketch(mp, store.NewDenseStore(), store.NewDenseStore())
 }
 
+// observe adds a latency to the server's sketch.
 func (s *server) observe(now time.Duration, latency time.Duration) {
 	s.swapSketches(now)
 	if latency > 0 {
@@ -240,6 +252,7 @@
 	}
 }
 
+// swapSketches empties the older sketch and fills it from now on, once every sketchSwap.
 func (s *server) swapSketches(now time.Duration) {
 	if now < s.sketchSwapAt {
 		return
@@ -249,6 +262,7 @@
 	s.sketchSwapAt = now + sketchSwap
 }
 
+// finishAttempt takes an attempt out of the server's counts.
 func (m *StateMachine) finishAttempt(a *attempt, o Outcome) {
 	a.ended, a.outcome = true, o
 	if a.c.parts--; a.c.parts == 0 {
@@ -259,27 +273,29 @@
 	}
 }
 
+// removeUnlessInFlight forgets a finished part once none of its attempts is in flight.
 func (m *StateMachine) removeUnlessInFlight(p *part) {
 	if !slices.ContainsFunc(p.attempts, func(a *attempt) bool { return !a.ended }) {
 		delete(m.parts, p.ID)
 	}
 }
 
-// usual is the time that most queries of a class bring, by majority vote.
+// commonTimeout is the timeout that most queries of a class arrive with, by majority vote.
 type commonTimeout struct {
 	timeout time.Duration
 	votes   int
 }
 
+// resetStatistics forgets what was learned of the server, as after a restart.
 func (s *server) resetStatistics(now time.Duration) {
 	s.fillSketch, s.readSketch, s.sketchSwapAt =
 		newSketch(sketchAccuracy), newSketch(sketchAccuracy), now+sketchSwap
 	s.latency, s.failureShare, s.lastSilence, s.unansweredSince, s.unresponsive = 0, 0, 0, now, false
 	s.trialAt, s.failedTrials, s.missedAttempts = 0, 0, 0
-	s.sampledAt = now - 1000*sketchSwap // nothing is known: infinitely old
+	s.sampledAt = now - 1000*sketchSwap // so old that it has no weight
 }
 
-// limit takes other figures.
+// updateLimits takes over other figures.
 func (m *StateMachine) updateLimits(e Limits) {
 	m.settings.MaxAttempts, m.settings.CopiesAllowed = e.MaxAttempts, e.CopiesAllowed
 	m.settings.RetryBudgetRatio, m.settings.RetryBudgetBase = e.RetryBudgetRatio, e.RetryBudgetBase
@@ -291,7 +307,8 @@
 	m.zoneShares = e.Shares
 }
 
-// New returns a Module that has seen nothing yet.
+// New returns a StateMachine that has seen nothing yet. The same seed, events and times lead to the
+// same actions.
 func New(settings Settings, seed uint64) *StateMachine {
 	m := &StateMachine{
 		settings: settings, rng: rand.New(rand.NewPCG(seed, 0)), jitter: rand.New(rand.NewPCG(seed, 1)),
@@ -317,6 +334,8 @@
 	return m
 }
 
+// holdersOf returns the listed servers that hold the shard, by ID. Which of them may be used is up
+// to the caller.
 func (m *StateMachine) holdersOf(shard int) []*server {
 	if hs, ok := m.holders[shard]; ok {
 		return hs
@@ -343,6 +362,7 @@
 	m.parts[e.ID] = p
 }
 
+// countArrival adds a query or part to those that the retry budget grows with.
 func (m *StateMachine) countArrival() {
 	if m.settings.RetryBudgetWindow > 0 {
 		m.arrivals = append(dropBefore(m.arrivals, m.now-m.settings.RetryBudgetWindow+1), m.now)
@@ -361,6 +381,7 @@
 	}
 }
 
+// close forgets the query and cancels what is in flight for it.
 func (m *StateMachine) close(q *query) {
 	q.ended = true
 	m.shed(q)
@@ -368,8 +389,8 @@
 	delete(m.queriesByID, q.ID)
 }
 
-// latency is the mean of late answers over all servers. It goes by time, not by the order of the answers: the
-// last ones of a query are its slowest.
+// latency is the mean of recent answers over all servers, in seconds. It is weighted by time, not
+// by the order of the answers: the last ones of a query are its slowest.
 func (m *StateMachine) latency() float64 {
 	if m.answerCount.start == 0 {
 		return 0
@@ -377,8 +398,8 @@
 	return m.latencySum.rate(m.now) / m.answerCount.rate(m.now)
 }
 
-// sample takes an answer's time, or the age of an attempt given up late: a lower bound, without which a slow
-// server would be known only by the answers that came.
+// recordSample records the latency of an answer, or the age of an attempt given up late: a lower
+// bound, without which a slow server would be known only by the answers that came.
 func (m *StateMachine) recordSample(a *attempt, latency time.Duration) {
 	s := a.s
 	mean, depth := m.serverMeans(s)
@@ -389,20 +410,23 @@
 	m.slowLatency.observe(latency.Seconds())
 }
 
-// usualAt is what answers of the server took of late, and our calls out when they were sent. Old evidence
-// fades into what all servers took: where aggregators are many, one learns of a server too rarely to let
-// the last word stand until the next.
+// serverMeans returns how many seconds recent answers of the server took, and how many calls were
+// open there when they were sent. Old evidence gives way to the mean over all servers: where there
+// are many aggregators, each hears from a server too rarely to rely on the last answer until the
+// next.
 func (m *StateMachine) serverMeans(s *server) (latency, depth float64) {
 	k, all := m.freshness(s), m.latency()
 	return all + k*(s.latency-all), 1 + k*(s.depth-1)
 }
 
+// freshness is the weight of what was last learned of the server, from 1 down to 0 with its age.
 func (m *StateMachine) freshness(s *server) float64 {
 	return math.Exp(-(m.now - s.sampledAt).Seconds() / sketchSwap.Seconds())
 }
 
-// tally keeps the shares of attempts that broke or are out for too long on connections that had been idle and
-// on new ones: while idle ones are lost far more often, connections are dropped unseen.
+// countLoss keeps the shares of attempts that broke or are in flight for too long, on connections
+// that had been idle and on new ones. While idle ones are lost far more often, connections are
+// dropped unseen.
 func (m *StateMachine) countLoss(a *attempt, lost float64) {
 	if a.lossCounted {
 		return
@@ -421,29 +445,29 @@
 	}
 }
 
-// learnIdle has connections closed before use that have rested for half as long as one that broke, or longer.
-// Not those that were in use a moment ago, however short the time after which it broke: one that breaks under
-// use tells of its server or of the way there. Taken for the measure, it had a connection closed before every
-// third send, and a new one opened, on which the first part waits for the handshake.
+// lowerIdleLimit has connections closed before use that have been idle for at least half as long as
+// one that broke. The limit never falls below half of the shortest latency target: a connection
+// that breaks while in use tells of its server or the network, not of idle time. Without this
+// bound, one such break had a connection closed before every third send, and a new one opened, on
+// which the first part waits for the handshake.
 func (m *StateMachine) lowerIdleLimit(a *attempt) {
 	limit := time.Duration(safeIdleShare * float64(max(a.idle, m.shortestTarget)))
 	m.idleLimit, m.idleLimitSetAt = min(m.idleLimit, limit), m.now
 	a.idle = 0
 }
 
-// chill notes that a server counts as cold from then on.
+// markCold notes that a server counts as cold since then.
 func (m *StateMachine) markCold(s *server, since time.Duration) {
 	s.cold, s.coldSince, s.coldKnownAt, s.coldJitter = true, since, m.now, m.jitter.Float64()
 }
 
-// quantile follows the hedgeQuantile of values that change: each that is above lifts it,
-// each below lowers it a little, so that in the long run as many are above as should be.
-// It goes by the latest few dozen values, however long ago the one before them came.
-// Guards against a mean of the last rateSpan, which says that all is well while the
-// servers that still run are swamped.
+// quantileEstimator follows the hedgeQuantile of a changing series: each value above it raises it,
+// each value below lowers it a little, so that in the long run the right share of them is above. It
+// depends on the latest few dozen values, however long ago the one before them came. A mean over
+// rateWindow would say that all is well while the servers that still run are overloaded.
 type quantileEstimator struct{ value float64 }
 
-// quantileStep is by how much one value above moves it.
+// quantileStep is the relative step of the estimate for each value.
 const quantileStep = 0.05
 
 func (q *quantileEstimator) observe(v float64) {
@@ -457,61 +481,61 @@
 	}
 }
 
+// emit adds an action to those that Step returns.
 func (m *StateMachine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// note writes a rare line for those on call.
+// logf writes a rare line for the operators.
 func (m *StateMachine) logf(format string, args ...any) {
 	m.emit(Log{Line: fmt.Sprintf(format, args...)})
 }
 
-// askWithin is AskWithin, where it is set.
+// listRefreshInterval is ListRefreshInterval, but at least a second.
 func (m *StateMachine) listRefreshInterval() time.Duration {
 	return max(m.settings.ListRefreshInterval, time.Second)
 }
 
-// askSpan is the span over which the calls of all aggregators are spread.
+// watchSpread is the span over which the calls of all aggregators are spread.
 func (m *StateMachine) watchSpread() time.Duration {
 	all := time.Duration(max(m.settings.Aggregators, 1)) * watchSpreadEach
 	return min(all, time.Duration(watchDelayShare*float64(m.listRefreshInterval())))
 }
 
-// coldShare is the share of its capacity that a cold server has now at the least.
+// warmupShare is the least share of its capacity that a cold server has now.
 func (m *StateMachine) warmupShare(s *server) float64 {
 	return WarmupShare(m.now-s.coldSince, m.settings.WarmupTime, m.settings.WarmupStartShare)
 }
 
-// ColdShare is the share of its capacity that a server has at an age: from what it has at its
-// start to all, once it is warm.
+// WarmupShare is the share of its capacity that a server has at an age: it grows evenly from the
+// start share to 1 at the end of its warm-up.
 func WarmupShare(age, cold time.Duration, from float64) float64 {
 	return from + (1-from)*max(0, min(age, cold).Seconds())/cold.Seconds()
 }
 
-// bears is how many parts a second a warm server is known to bear from us: midway
-// between the mean and the busiest of what warm ones answer. Answers are within
-// capacity, but one aggregator's busiest hour is not every aggregator's. While none is
-// warm, as after an outage of them all, it is what was so shortly before, or what cold
-// ones answer for the capacity that they have by now: guards against a fleet of cold
-// servers that is sent next to nothing, until the last of them is warm, for want of a
-// warm one to judge by.
+// warmServerRate is how many parts a second a warm server is known to handle for this aggregator:
+// midway between the mean and the maximum of what warm ones answer. Answers are within capacity,
+// but the peak of one aggregator is not the peak of all. While no server is warm, as after an
+// outage of them all, it is the rate from shortly before, or what cold ones answer divided by the
+// share of capacity that they have by now. Otherwise a fleet of cold servers would be sent next to
+// nothing until the last of them is warm, for want of a warm one to measure.
 func (m *StateMachine) warmServerRate() float64 {
-	// Looked at for each candidate, and over all servers: it changes slowly.
+	// It is read for each candidate, is computed over all servers and changes slowly.
 	if !m.warmRateCache.known || m.now >= m.warmRateCache.at+warmRateInterval {
 		m.warmRateCache = warmRateCache{m.measureWarmRate(), m.now, true}
 	}
 	return m.warmRateCache.rate
 }
 
-// bearsPace is how often what servers bear is worked out anew; it is a mean over rateSpan.
+// warmRateInterval is how often warmServerRate is computed anew. It is a mean over rateWindow.
 const warmRateInterval = 100 * time.Millisecond
 
-// borne is what servers were found to bear, and when that was.
+// warmRateCache is the last result of warmServerRate and when it was computed.
 type warmRateCache struct {
 	rate  float64
 	at    time.Duration
 	known bool
 }
 
-// surveyLoad works out what bears returns.
+// measureWarmRate computes what warmServerRate returns.
 func (m *StateMachine) measureWarmRate() float64 {
 	busiest, sum, n, cold := 0.0, 0.0, 0.0, 0.0
 	for _, w := range m.sortedServers {
@@ -531,8 +555,8 @@
 	return now
 }
 
-// remember keeps up what warm servers bear, once a second: when the last of them has
-// gone it is too late to look.
+// maintain does periodic work once a second. It keeps warmServerRate up to date, since it is too
+// late to measure it when the last warm server has gone.
 func (m *StateMachine) maintain() {
 	if m.now >= m.maintenanceAt {
 		m.maintenanceAt = m.now + time.Second
@@ -541,9 +565,9 @@
 	}
 }
 
-// forgive lets a doubt fade that no trial renews, once a second. Guards servers that are
-// met seldom: one failure makes the offset rule pass them over, so that nothing would
-// ever speak for them. A suspect is left to its trials.
+// decayFailureShares lowers failure shares over time, once a second. Otherwise, one failure makes
+// the offset rule pass over a server that rarely gets parts, and no answer would ever lower its
+// share. A suspect is left to its trials.
 func (m *StateMachine) decayFailureShares() {
 	for _, s := range m.sortedServers {
 		if s.failureShare <= suspectFailureShare {
@@ -552,19 +576,20 @@
 	}
 }
 
-// recent is the greatest value of late: of this span of bearSpan and of the one before.
-// It stands still while nothing is noted.
+// recentMax is the maximum of the present span of recentMaxSpan and the one before. It does not age
+// while nothing is added.
 type recentMax struct {
 	current, previous float64
 	since             time.Duration
 }
 
-// coldMargin is the share of that which is relied on: aggregators come back at the same
-// moment, each with the queries that clients have saved up for it.
+// coldFleetShare is the share of the measured rate that is used while no server is warm:
+// aggregators return at the same moment, each with the queries that clients have held back
+// meanwhile.
 const coldFleetShare = 0.7
 
-// bearSpan is at least how far back what servers bore is remembered: what they answer
-// fades in the first seconds of an outage, before it is known as one.
+// recentMaxSpan is the least time for which the rate of warm servers is remembered: the measured rate
+// falls in the first seconds of an outage, before that is known as one.
 const recentMaxSpan = 20 * time.Second
 
 func (r *recentMax) add(now time.Duration, v float64) {
@@ -576,7 +601,7 @@
 
 func (r *recentMax) value() float64 { return max(r.current, r.previous) }
 
-// remark tells, once a part and kind, what kept it from being sent.
+// reportShortage reports, once for each part and kind, what kept the part from being sent.
 func (m *StateMachine) reportShortage(p *part, what Shortage) {
 	if m.settings.ReportShortages && !p.shortageReported[what] {
 		p.shortageReported[what] = true
@@ -584,7 +609,7 @@
 	}
 }
 
-// coldOnly tells whether cold servers without room are all that keep a part.
+// blockedByColdBudget tells whether a part is kept only by cold servers that have had their budget.
 func (m *StateMachine) blockedByColdBudget(p *part) bool {
 	cold := false
 	for _, s := range m.holdersOf(p.Shard) {
@@ -598,7 +623,7 @@
 	return cold
 }
 
-// insert keeps order sorted by id.
+// insertServer adds a server and keeps sortedServers sorted by ID.
 func (m *StateMachine) insertServer(entry Server) *server {
 	s := &server{Server: entry}
 	s.resetStatistics(m.now)
@@ -610,7 +635,7 @@
 	return s
 }
 
-// dropUnlisted forgets servers that are off the list with nothing out, and who holds what.
+// removeUnlisted forgets servers that are off the list with nothing in flight, and who holds what.
 func (m *StateMachine) removeUnlisted() {
 	m.sortedServers = slices.DeleteFunc(m.sortedServers, func(s *server) bool {
 		gone := !s.listed && s.inFlight == 0
@@ -628,7 +653,7 @@
 	}
 }
 
-// joinCall adds a part to this step's call to the server, or to a new one where that is full.
+// joinCall adds a part to this step's call to the server, or to a new call if that is full.
 func (m *StateMachine) joinCall(s *server) *call {
 	c := m.calls[s]
 	if c == nil || c.room == 0 {
--- a/decide/statemachine_test.go
+++ b/decide/statemachine_test.go
@@ -32,7 +32,7 @@
 
 func TestCopyDelayBeforeAnyAnswerIsHalfTheLatencyTarget(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
-	r.warmUp(20, 40*ms) // tokens; then both servers start anew
+	r.warmUp(20, 40*ms) // for copy tokens; then both servers restart
 	l := listOf("a", "b")
 	l.Servers[0].Started, l.Servers[1].Started = 1*ms, 1*ms
 	r.step(l)
@@ -97,7 +97,7 @@
 
 func TestDeduplicatedPartIsNotRepeatedAfterItsDedupWindow(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
-	_, parts := r.query(2, 1) // no tokens yet: no copy
+	_, parts := r.query(2, 1) // no copy tokens yet, so no copy
 	r.advance(1100 * ms)
 	before := len(r.sent[parts[0]])
 	r.finish(parts[0], 0, TimedOut, 1100*ms)
@@ -133,18 +133,19 @@
 		r.now += 20 * ms
 		r.finish(parts[0], 0, OK, 20*ms)
 	}
-	// A warm server bears up to 20 parts a second: 2 x (0.2 to 0.36) of that for 2 s.
+	// A warm server handles up to 20 parts a second: 2 x (0.2 to 0.36) of that for 2 s.
 	if cold == 0 || cold > 28 {
 		t.Errorf("%d of about 100 parts went to the cold server, want a few", cold)
 	}
 }
 
-// A server whose attempts were all cancelled while it was silent must be tried again: refusals that rest on a silence
-// that nothing renews would feed themselves.
+// TestSilenceWithNothingInFlightFades guards against refusals that sustain themselves: a server
+// whose attempts were all cancelled while it was silent must be tried again, since nothing renews
+// that silence.
 func TestSilenceWithNothingInFlightFades(t *testing.T) {
 	r := newHarness(t, testSettings(), "a")
 	r.query(0, 1)
-	r.advance(1100 * ms) // the query ends at its aim, its attempt is cancelled
+	r.advance(1100 * ms) // the query ends at its latency target and its attempt is cancelled
 	r.step(AttemptDone{Part: "q1.0", Attempt: 0, Server: "a", Outcome: Cancelled})
 	s := r.m.servers["a"]
 	s.lastSilence = 3 * time.Second
@@ -157,7 +158,8 @@
 	}
 }
 
-// Times left of first tries differ by milliseconds; a query is not to be taken for a later try because of that.
+// TestTimeoutJitterIsNotTakenForALaterTry: the timeouts of first tries differ by milliseconds on
+// arrival.
 func TestTimeoutJitterIsNotTakenForALaterTry(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	for i, left := range []time.Duration{3004 * ms, 3001 * ms} {
@@ -169,7 +171,8 @@
 	}
 }
 
-// Later tries come with what is left of the deadline, be it less than a first try's time or more.
+// TestLaterTryPastItsLatencyTargetIsNotStarted: later tries arrive with what is left of the
+// deadline, whether that is less than the timeout of a first try or more.
 func TestLaterTryPastItsLatencyTargetIsNotStarted(t *testing.T) {
 	for _, late := range []time.Duration{1500 * ms, 2800 * ms} {
 		r := newHarness(t, testSettings(), "a", "b")
@@ -275,6 +278,8 @@
 	}
 }
 
+// TestInvalidInputCausesNeitherPanicNorSend gives a StateMachine unknown IDs, missing settings and
+// times that run backwards.
 func TestInvalidInputCausesNeitherPanicNorSend(t *testing.T) {
 	m := New(Settings{}, 0)
 	m.Step(-1, []Event{AttemptDone{Part: "none"}, ClientGone{Query: "none"}, TimerFired{}, ProbeDone{}, WatchFailed{},
@@ -297,7 +302,8 @@
 	}
 }
 
-// An outcome that never comes must not hold the attempt, or the silence that it stands for, for good.
+// TestAttemptsWithLostOutcomesExpire: an outcome that never arrives must not keep the attempt, or
+// the silence that it stands for, for good.
 func TestAttemptsWithLostOutcomesExpire(t *testing.T) {
 	r := newHarness(t, testSettings(), "a")
 	r.query(0, 2)
@@ -308,8 +314,9 @@
 	}
 }
 
-// After a general stall every holder has been silent. With nothing out, the next query is the trial, and is not
-// refused on the strength of the old silence.
+// TestQueriesAreStartedAgainRightAfterAStall: after a general stall every holder has been silent.
+// With nothing in flight, the next query is the trial and is not refused because of the old
+// silence.
 func TestQueriesAreStartedAgainRightAfterAStall(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(20, 40*ms)
@@ -319,15 +326,15 @@
 		r.finish(parts[0], n, Cancelled, 1100*ms)
 	}
 	for _, s := range r.m.servers {
-		s.trialAt = r.now + time.Hour // not as a due trial
+		s.trialAt = r.now + time.Hour // so that no trial is due
 	}
 	if _, parts = r.query(0, 1); len(r.sent[parts[0]]) != 1 {
 		t.Errorf("refused on a silence of servers that hold nothing")
 	}
 }
 
-// Messages get lost: the copy as well as the first attempt. A part whose attempts were overtaken on their servers is
-// sent once more.
+// TestPartWithLostAttemptsIsSentAgain loses both the first attempt and the copy. A part is sent
+// once more when its servers have answered what they were sent later.
 func TestPartWithLostAttemptsIsSentAgain(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b", "c")
 	r.warmUp(30, 40*ms)
@@ -336,7 +343,7 @@
 	if len(r.sent[lost[0]]) != 2 {
 		t.Fatalf("%d sends, want a copy", len(r.sent[lost[0]]))
 	}
-	for range 4 { // every server goes on answering what came later
+	for range 4 { // every server goes on answering what arrived later
 		var ids []string
 		for range 3 {
 			_, parts := r.query(0, 1)
@@ -353,7 +360,8 @@
 	}
 }
 
-// A server that stays slow fills its own sketch; its trigger must still leave the copy time.
+// TestCopyDelayOfSlowServersIsCapped: a server that stays slow fills its own sketch, and its copy
+// delay must still leave the copy time.
 func TestCopyDelayOfSlowServersIsCapped(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(20, 40*ms)
@@ -368,7 +376,7 @@
 	}
 }
 
-// A part leaves its offset only for a holder that is clearly better, and then it does.
+// TestPartAvoidsASlowServer: a part leaves its offset for a holder that is clearly faster.
 func TestPartAvoidsASlowServer(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(20, 40*ms)
@@ -383,7 +391,8 @@
 	}
 }
 
-// No copies where the other holder has no advantage.
+// TestNoCopyToAnEquallySlowHolder: a copy is sent only where the other holder is expected to be
+// faster.
 func TestNoCopyToAnEquallySlowHolder(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(20, 40*ms)
@@ -398,7 +407,8 @@
 	}
 }
 
-// A silent holder whose trial is due lets one query through, even with a lost attempt out.
+// TestOneLostMessageDoesNotMakeAShardUnavailable: a silent holder whose trial is due gets one query
+// even with a lost attempt in flight.
 func TestOneLostMessageDoesNotMakeAShardUnavailable(t *testing.T) {
 	r := newHarness(t, testSettings(), "a")
 	r.warmUp(20, 40*ms)
@@ -421,7 +431,8 @@
 	}
 }
 
-// Tenants over their share are refused before others when time is short.
+// TestTenantOverItsAllowanceIsRefusedFirst: when time is short, tenants over their allowance are
+// refused before others.
 func TestTenantOverItsAllowanceIsRefusedFirst(t *testing.T) {
 	set := testSettings()
 	set.Tenants, set.OverAllowanceValue = []Tenant{{Allowance: 100}, {Allowance: 0.2}}, 0.1
@@ -441,7 +452,7 @@
 	}
 }
 
-// Whatever fails, further attempts stay within their budget.
+// TestRetriesStayWithinTheBudget has every attempt rejected.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b", "c")
 	taken, further := 0, 0
@@ -463,8 +474,8 @@
 	}
 }
 
-// A suspect is passed over even where the sound holder has more of our calls out; short of that, failures count as
-// calls.
+// TestFailingServerIsAvoided: a suspect is avoided even if the sound holder has more open calls of
+// this aggregator. Below the limit for suspects, failures count as open calls.
 func TestFailingServerIsAvoided(t *testing.T) {
 	for _, c := range []struct {
 		failureShare float64
@@ -480,7 +491,8 @@
 	}
 }
 
-// A short answer is not given where a late whole one earns more.
+// TestPartialAnswerWaitsWhereLateOnesAreWorthMore: no partial answer is given if a late complete
+// one is worth more.
 func TestPartialAnswerWaitsWhereLateOnesAreWorthMore(t *testing.T) {
 	set := testSettings()
 	set.Classes[3].LateValue = 0.8
@@ -498,7 +510,8 @@
 	}
 }
 
-// A slow server's attempts are cancelled before they are answered; their ages must keep later parts away from it.
+// TestServerKnownOnlyByCancelledAttemptsIsAvoided: the attempts of a slow server are cancelled
+// before they are answered. Their ages must keep later parts away from it.
 func TestServerKnownOnlyByCancelledAttemptsIsAvoided(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	slow := ""
@@ -534,7 +547,8 @@
 	}
 }
 
-// What was learned of a server minutes ago must not keep parts away from it.
+// TestOldLatencyOfAServerFades: what was learned of a server minutes ago must not keep parts away
+// from it.
 func TestOldLatencyOfAServerFades(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(8, 50*ms)
@@ -547,7 +561,8 @@
 	}
 }
 
-// The last answers of a query are its slowest; the mean over all servers must not be theirs alone.
+// TestOverallMeanLatencyCoversAllAnswers: the last answers of a query are its slowest, and the mean
+// over all servers must not be theirs alone.
 func TestOverallMeanLatencyCoversAllAnswers(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	_, parts := r.query(0, 20)
@@ -560,7 +575,8 @@
 	}
 }
 
-// One part of many is left, no token is at hand and the other holder is quick: the query must not fail for it.
+// TestLastPartIsCopiedWithoutAToken: one part of many is missing, there is no copy token and the
+// other holder is fast. The query must not fail for that part.
 func TestLastPartIsCopiedWithoutAToken(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(8, 50*ms)
@@ -578,8 +594,8 @@
 	}
 }
 
-// Idle connections are dropped unseen: after one was reset, others that were idle as long are closed before use, and
-// the server is not blamed.
+// TestIdleConnectionsAreClosedAfterOneBroke: idle connections may be dropped unseen. After one was
+// reset, others that have been idle as long are closed before use, and the server is not blamed.
 func TestIdleConnectionsAreClosedAfterOneBroke(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(8, 50*ms)
@@ -600,8 +616,9 @@
 	}
 }
 
-// A connection that breaks while it is in use says nothing of how long one may rest: those that were in use a moment ago
-// go on. Each new one makes its first part wait for a handshake, past the answer of its query if copies are quicker.
+// TestConnectionInUseIsNotClosedBeforeASend: a connection that breaks while in use says nothing of
+// how long one may be idle, so those that were in use a moment ago are kept. Each new one makes its
+// first part wait for a handshake, past the answer of its query if copies are faster.
 func TestConnectionInUseIsNotClosedBeforeASend(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(8, 50*ms)
@@ -627,7 +644,8 @@
 	}
 }
 
-// Dropped connections may give no reset: what is sent on an idle one is lost, what is sent on a new one answered.
+// TestSilentLossOnIdleConnectionsIsDetected: dropped connections may give no reset. What is sent on
+// an idle one is lost, what is sent on a new one is answered.
 func TestSilentLossOnIdleConnectionsIsDetected(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b", "c")
 	r.warmUp(3, 50*ms)
@@ -649,8 +667,8 @@
 	}
 }
 
-// Sending again without a token must stop where it does not answer first: everything is slow, and more load makes it
-// worse.
+// TestForcedCopiesStopWhereTheyDoNotHelp: everything is slow, and more load makes it worse. Copies
+// without a token must stop if they are not the first to answer.
 func TestForcedCopiesStopWhereTheyDoNotHelp(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(8, 50*ms)
@@ -675,7 +693,8 @@
 	}
 }
 
-// Two steps have to fit before the aim: a query whose first step alone would use most of the time is not begun.
+// TestTwoStepQueryIsStartedOnlyIfBothStepsFit: both steps have to fit before the latency target. A
+// query whose first step alone would use most of the time is not started.
 func TestTwoStepQueryIsStartedOnlyIfBothStepsFit(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
@@ -694,7 +713,8 @@
 	}
 }
 
-// A slow path loses attempts on new connections as well: closing idle ones must end, as it only adds handshakes.
+// TestIdleConnectionsAreKeptWhereNewOnesAreLostToo: a slow network path loses attempts on new
+// connections as well. Closing idle ones must end then, as it only adds handshakes.
 func TestIdleConnectionsAreKeptWhereNewOnesAreLostToo(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b", "c")
 	r.warmUp(3, 50*ms)
@@ -710,7 +730,8 @@
 	}
 }
 
-// A time left far under the aim is a client's patience, not a later try: worth beginning while answers are quick.
+// TestShortTimeoutsAreServedWhileAnswersAreQuick: a timeout far below the latency target is the
+// client's choice, not a later try, and the query is worth starting while answers are quick.
 func TestShortTimeoutsAreServedWhileAnswersAreQuick(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
@@ -725,7 +746,8 @@
 	}
 }
 
-// The last token goes to the query that gets nothing without its last part, not to one that can be answered short.
+// TestQueryThatCanBeAnsweredPartiallyIsCopiedLast: the last copy token goes to the query that gets
+// no answer without its last part.
 func TestQueryThatCanBeAnsweredPartiallyIsCopiedLast(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b", "c")
 	r.warmUp(12, 50*ms)
@@ -749,15 +771,16 @@
 	}
 }
 
-// A server that takes parts and answers none must not get its share of real parts again each time that the
-// last one there is called off; a probe finds out when it is back.
+// TestSilentServersAreProbedNotSentParts: a server that takes parts and answers none must not get
+// its share of real parts again each time its last attempt is cancelled. A probe finds out when it
+// is back.
 func TestSilentServersAreProbedNotSentParts(t *testing.T) {
 	set := testSettings()
 	set.ProbesAllowed, set.RetryBudgetWindow = true, 0
 	r := newHarness(t, set, "a", "b")
 	r.warmUp(20, 40*ms)
 	toA, probes := 0, 0
-	see := func(actions []Action) { // what b and the callers do at once; a never says anything
+	see := func(actions []Action) { // what b and the caller do at once; a never responds
 		for _, action := range actions {
 			switch action := action.(type) {
 			case Probe:
@@ -798,12 +821,13 @@
 	}
 }
 
-// Nobody may be kept waiting past half of his time for a query that no server has seen.
+// TestQueryThatNoServerSawEndsAfterHalfItsTime: no client may be kept waiting past half of its time
+// for a query that no server has seen.
 func TestQueryThatNoServerSawEndsAfterHalfItsTime(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.step(ServerListUpdate{Servers: []Server{{ID: "a", State: Deleted}, {ID: "b", State: Deleted}}})
 	began := r.now
-	_, parts := r.query(2, 1) // of a class that earns after its aim
+	_, parts := r.query(2, 1) // of a class whose late answers have a value
 	for range 400 {
 		if _, ok := findAction[Refuse](r.actions); ok {
 			break
@@ -815,8 +839,9 @@
 	}
 }
 
-// The list is behind with a draining server's successor: until the window that the rule leaves is over, the
-// server takes its share, unless it turns parts away.
+// TestDrainingServerTakesItsShareWithinTheWindow: the list does not yet name the successor of a
+// draining server. Until the window that the rule leaves is over, the server takes its share,
+// unless it rejects parts.
 func TestDrainingServerTakesItsShareWithinTheWindow(t *testing.T) {
 	for _, takes := range []bool{true, false} {
 		r := newHarness(t, testSettings(), "a", "b")
@@ -857,7 +882,8 @@
 	}
 }
 
-// Over a long day servers are replaced by new ones and queries come and go: nothing may stay of those that went.
+// TestFinishedStateIsRemoved: over a long day servers are replaced and queries come and go. Nothing
+// may be kept of those that are gone.
 func TestFinishedStateIsRemoved(t *testing.T) {
 	set := testSettings()
 	set.ProbesAllowed = true
@@ -880,13 +906,13 @@
 	}
 }
 
-// TestIdleServersThatLookTooSlowAreTried guards against a wave of refusals that
-// holds itself up: once all holders of a shard look too slow, nothing is sent to
-// them, so nothing shows that they are quick again.
+// TestIdleServersThatLookTooSlowAreRetried guards against refusals that sustain themselves: once
+// all holders of a shard look too slow, nothing is sent to them, so nothing shows that they are
+// fast again.
 func TestIdleServersThatLookTooSlowAreRetried(t *testing.T) {
 	r := newHarness(t, testSettings(), "a", "b")
 	r.warmUp(40, 20*ms)
-	for _, s := range r.m.servers { // a stall that is over: the answers that came of it were late
+	for _, s := range r.m.servers { // a stall that is over, whose answers were late
 		s.latency, s.depth, s.sampledAt = 2, 1, r.now
 	}
 	refused := 0
@@ -911,9 +937,9 @@
 	}
 }
 
-// TestAFleetOfColdServersIsSentWhatItBears replaces all servers at once by cold ones, as
-// after an outage: what is sent to each is known from before, or learned from what they
-// answer, and stays within the rule all the same.
+// TestFleetOfColdServersIsUsedWithinItsBudget replaces all servers at once by cold ones, as after
+// an outage. What each is sent is known from before, or learned from what they answer, and stays
+// within the rule all the same.
 func TestFleetOfColdServersIsUsedWithinItsBudget(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprintf("known before %v", known), func(t *testing.T) {
@@ -966,10 +992,10 @@
 	}
 }
 
-// TestAnswersLeaveTimeForTheWayToTheClient: where ticks are as short as 1 ms, an answer
-// that left two of them before its aim came to the client after it.
+// TestAnswersLeaveTimeToReachTheClient: with ticks as short as 1 ms, an answer that left two of
+// them before its latency target reached the client after it.
 func TestAnswersLeaveTimeToReachTheClient(t *testing.T) {
-	const way = 5 * ms // to the client, and our own turn
+	const way = 5 * ms // to the client, and the work of a step
 	for _, tick := range []time.Duration{ms, 5 * ms, 10 * ms} {
 		set := testSettings()
 		set.Tick = tick
@@ -987,15 +1013,15 @@
 	}
 }
 
-// TestSecondStepGetsTheTimeOfSlowAnswersOfLate: the time kept for a second step went by
-// the mean. While some servers are swamped, that says little of the slowest part, which
-// then comes after the aim.
+// TestSecondStepGetsTheTimeOfSlowAnswers: the time kept for a second step used to go by the mean.
+// While some servers are overloaded, that says little of the slowest part, which then comes after
+// the latency target.
 func TestSecondStepGetsTheTimeOfSlowAnswers(t *testing.T) {
 	set := testSettings()
 	set.Classes = append(set.Classes, Class{Name: "report", Idempotency: Idempotent, LatencyTarget: time.Second,
 		Deadline: 4 * time.Second, Value: 1, MinWeight: 0.5, PartialValue: 0.9, SecondStepParts: 2})
 	r := newHarness(t, set, "a")
-	for range 200 { // one part in five finds a server that is swamped
+	for range 200 { // one part in five finds an overloaded server
 		r.warmUp(4, 20*ms)
 		r.warmUp(1, 300*ms)
 	}
--- a/decide/unusual_lists_test.go
+++ b/decide/unusual_lists_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// TestOddFleets: lists and settings that nobody would write on purpose. Whatever they
-// say, each query has one final answer in time, and nothing goes to a server that does
-// not hold its shard.
+// TestUnusualServerLists checks degenerate lists and settings. With each of them, every query has
+// one final answer in time, and no part goes to a server that does not hold its shard.
 func TestUnusualServerLists(t *testing.T) {
 	list := func(n int, change func(i int, s *Server)) (servers []Server) {
 		for i := range n {
