--- a/internal/columns/columns.go
+++ b/internal/columns/columns.go
@@ -18,7 +18,7 @@
 	"kiteloft/internal/broker"
 )
 
-const maxRows = 4096
+const maxBatchRows = 4096
 
 // Schema is that of every batch: a part's slice, and the value that its node gave.
 var Schema = arrow.NewSchema([]arrow.Field{
@@ -35,16 +35,16 @@
 	return b.Bytes(), nil
 }
 
-// messages gathers what an ipc.Writer writes.
-type messages struct {
+// messageCollector gathers what an ipc.Writer writes.
+type messageCollector struct {
 	list [][]byte
 	meta []byte
 }
 
-func (m *messages) Start() error { return nil }
-func (m *messages) Close() error { return nil }
+func (m *messageCollector) Start() error { return nil }
+func (m *messageCollector) Close() error { return nil }
 
-func (m *messages) WritePayload(p ipc.Payload) error {
+func (m *messageCollector) WritePayload(p ipc.Payload) error {
 	meta := p.Meta()
 	defer meta.Release()
 	var body bytes.Buffer
@@ -73,7 +73,7 @@
 	}
 	batch := b.NewRecordBatch()
 	defer batch.Release()
-	m := &messages{meta: meta}
+	m := &messageCollector{meta: meta}
 	w := ipc.NewWriterWithPayloadWriter(m, ipc.WithSchema(Schema))
 	if err := w.Write(batch); err != nil {
 		return nil, fmt.Errorf("encoding a batch: %w", err)
@@ -84,17 +84,17 @@
 	return m.list, nil
 }
 
-// stream hands the messages of a Flight stream to an ipc.Reader.
-type stream struct {
+// messageReader hands the messages of a Flight messageReader to an ipc.Reader.
+type messageReader struct {
 	list [][]byte
 	meta []byte
 	last *ipc.Message
 }
 
-func (s *stream) Retain()  {}
-func (s *stream) Release() {}
+func (s *messageReader) Retain()  {}
+func (s *messageReader) Release() {}
 
-func (s *stream) Message() (*ipc.Message, error) {
+func (s *messageReader) Message() (*ipc.Message, error) {
 	for len(s.list) > 0 {
 		var d flight.FlightData
 		if err := proto.Unmarshal(s.list[0], &d); err != nil {
@@ -105,7 +105,7 @@
 			s.meta = d.AppMetadata
 		}
 		if len(d.DataHeader) > 0 { // others carry metadata alone
-			if err := verify(d.DataHeader); err != nil {
+			if err := verifyHeader(d.DataHeader); err != nil {
 				return nil, err
 			}
 			s.last = ipc.NewMessage(memory.NewBufferBytes(d.DataHeader), memory.NewBufferBytes(d.DataBody))
@@ -124,7 +124,7 @@
 			values, meta, err = nil, nil, fmt.Errorf("reading a batch: %v", r)
 		}
 	}()
-	s := &stream{list: list}
+	s := &messageReader{list: list}
 	r, err := ipc.NewReaderFromMessageReader(s)
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the schema: %w", err)
@@ -135,7 +135,7 @@
 	}
 	for r.Next() {
 		batch := r.RecordBatch()
-		if batch.NumRows() > maxRows {
+		if batch.NumRows() > maxBatchRows {
 			return nil, nil, errors.New("more rows than a node has parts")
 		}
 		slices, bodies := batch.Column(0).(*array.Int32), batch.Column(1).(*array.Binary)
--- a/internal/columns/columns_test.go
+++ b/internal/columns/columns_test.go
@@ -11,7 +11,7 @@
 
 var sample = []broker.Value{{Shard: 3, Body: []byte("5be2a07c")}, {Shard: 9, Body: []byte{}}, {Shard: 11, Body: []byte{0, 255}}}
 
-func TestValuesComeBack(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	list, err := Encode(sample, []byte(`{"entire":true}`))
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestWhatIsNoStream(t *testing.T) {
+func TestDecodeRejectsInvalidStreams(t *testing.T) {
 	list, err := Encode(sample, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/columns/verify.go
+++ b/internal/columns/verify.go
@@ -23,25 +23,25 @@
 	batchVariadic     = 4 + 2*4
 	headerSchema      = 1
 	headerBatch       = 3
-	mostFields        = 16
+	maxSchemaFields   = 16
 )
 
-var errHeader = errors.New("a message whose header can't be what it says")
+var errInvalidHeader = errors.New("a message whose header can't be what it says")
 
-// verify checks the lengths that a message's header claims. It guards against
+// verifyHeader checks the lengths that a message's header claims. It guards against
 // forged ones: the library makes room for what they say, without a look at the
 // bytes that are there. Offsets out of range panic, here as in the library, and
 // Decode recovers.
-func verify(meta []byte) error {
-	msg := root(meta)
-	if _, err := vector(msg, messageMetadata, 4); err != nil {
+func verifyHeader(meta []byte) error {
+	msg := rootTable(meta)
+	if _, err := vectorLength(msg, messageMetadata, 4); err != nil {
 		return err
 	}
 	o := flatbuffers.UOffsetT(msg.Offset(messageHeader))
 	if o == 0 {
-		return errHeader
+		return errInvalidHeader
 	}
-	header := table(meta, msg.Indirect(o+msg.Pos))
+	header := tableAt(meta, msg.Indirect(o+msg.Pos))
 	switch msg.GetByteSlot(messageHeaderType, 0) {
 	case headerSchema:
 		return verifySchema(meta, header)
@@ -50,7 +50,7 @@
 			return errors.New("a compressed batch, which we don't take") // its length is a claim, too
 		}
 		for slot, size := range map[flatbuffers.VOffsetT]int{batchNodes: 16, batchBuffers: 16, batchVariadic: 8} {
-			if _, err := vector(header, slot, size); err != nil {
+			if _, err := vectorLength(header, slot, size); err != nil {
 				return err
 			}
 		}
@@ -61,42 +61,42 @@
 
 func verifySchema(meta []byte, schema flatbuffers.Table) error {
 	for slot, size := range map[flatbuffers.VOffsetT]int{schemaMetadata: 4, schemaFeatures: 8} {
-		if _, err := vector(schema, slot, size); err != nil {
+		if _, err := vectorLength(schema, slot, size); err != nil {
 			return err
 		}
 	}
-	n, err := vector(schema, schemaFields, 4)
-	if err != nil || n > mostFields {
-		return errHeader
+	n, err := vectorLength(schema, schemaFields, 4)
+	if err != nil || n > maxSchemaFields {
+		return errInvalidHeader
 	}
 	for i := range n {
 		at := schema.Vector(flatbuffers.UOffsetT(schema.Offset(schemaFields))) + flatbuffers.UOffsetT(4*i)
-		field := table(meta, schema.Indirect(at))
-		if children, err := vector(field, fieldChildren, 4); err != nil || children > 0 {
-			return errHeader // none of our columns has any
+		field := tableAt(meta, schema.Indirect(at))
+		if children, err := vectorLength(field, fieldChildren, 4); err != nil || children > 0 {
+			return errInvalidHeader // none of our columns has any
 		}
-		if _, err := vector(field, fieldMetadata, 4); err != nil {
+		if _, err := vectorLength(field, fieldMetadata, 4); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func root(b []byte) flatbuffers.Table { return table(b, flatbuffers.GetUOffsetT(b)) }
+func rootTable(b []byte) flatbuffers.Table { return tableAt(b, flatbuffers.GetUOffsetT(b)) }
 
-func table(b []byte, at flatbuffers.UOffsetT) flatbuffers.Table {
+func tableAt(b []byte, at flatbuffers.UOffsetT) flatbuffers.Table {
 	return flatbuffers.Table{Bytes: b, Pos: at}
 }
 
-// vector returns a vector's length, which must have room in the message.
-func vector(t flatbuffers.Table, slot flatbuffers.VOffsetT, size int) (int, error) {
+// vectorLength returns a vectorLength's length, which must have room in the message.
+func vectorLength(t flatbuffers.Table, slot flatbuffers.VOffsetT, size int) (int, error) {
 	o := t.Offset(slot)
 	if o == 0 {
 		return 0, nil
 	}
 	n, at := t.VectorLen(flatbuffers.UOffsetT(o)), int(t.Vector(flatbuffers.UOffsetT(o)))
 	if n < 0 || at > len(t.Bytes) || n > (len(t.Bytes)-at)/size {
-		return 0, errHeader
+		return 0, errInvalidHeader
 	}
 	return n, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,16 +61,16 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 32
-	leastSockets    = 64
-	maxFile         = 64 << 20
+	minMemoryMB     = 32
+	minSockets      = 64
+	maxFileBytes    = 64 << 20
 
-	defaultTraceKB  = 4096
-	leastTraceKB    = 64
-	mostTraceShare  = 4 // one in so many bytes of the memory may hold traces
-	defaultSpans    = 200
-	defaultSegment  = 8
-	defaultSegments = 32
+	defaultTraceMemoryKB  = 4096
+	minTraceMemoryKB      = 64
+	traceMemoryDivisor    = 4 // one in so many bytes of the memory may hold traces
+	defaultSpansPerSecond = 200
+	defaultSegmentMB      = 8
+	defaultMaxSegments    = 32
 )
 
 // RestartOnlyChanges names the keys in which the new configuration differs though they hold
@@ -84,7 +84,7 @@
 		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)},
 		{"flight.listen", c.FlightListen == next.FlightListen}, {"ipfix.collector", c.IPFIXCollector == next.IPFIXCollector},
-		{"tracing", c.Tracing == next.Tracing}, {"fleet", reflect.DeepEqual(c.Fleet, next.Fleet) && c.ShareLists == next.ShareLists}, {"fleet.accord", sameAccord(c.Accord, next.Accord) && c.LeaveZones == next.LeaveZones},
+		{"tracing", c.Tracing == next.Tracing}, {"fleet", reflect.DeepEqual(c.Fleet, next.Fleet) && c.ShareLists == next.ShareLists}, {"fleet.accord", equalAccord(c.Accord, next.Accord) && c.LeaveZones == next.LeaveZones},
 	} {
 		if !k.same {
 			keys = append(keys, k.name)
@@ -93,8 +93,8 @@
 	return keys
 }
 
-// file is LB_CONFIG's.
-type file struct {
+// mainFile is LB_CONFIG's.
+type mainFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -108,8 +108,8 @@
 	Settings   jsoniter.RawMessage `json:"settings"`
 }
 
-// broker is deploy/broker.toml's.
-type broker struct {
+// brokerFile is deploy/brokerFile.toml's.
+type brokerFile struct {
 	Flight struct {
 		Listen string `toml:"listen"`
 	} `toml:"flight"`
@@ -124,28 +124,28 @@
 		SegmentMB int     `toml:"segment_mb"`
 		Segments  int     `toml:"segments"`
 	} `toml:"tracing"`
-	Fleet fleet `toml:"fleet"`
+	Fleet fleetTable `toml:"fleet"`
 }
 
 // Load reads the environment, the file that LB_CONFIG names, and the project's
 // own file at tomlPath, which may be missing.
 func Load(getenv func(string) string, tomlPath string) (Config, error) {
-	return read(getenv, tomlPath, false)
+	return load(getenv, tomlPath, false)
 }
 
 // Reload reads the same again while the program runs. The file is newer than the
 // environment, so it wins where it names a key.
 func Reload(getenv func(string) string, tomlPath string) (Config, error) {
-	return read(getenv, tomlPath, true)
+	return load(getenv, tomlPath, true)
 }
 
-func read(getenv func(string) string, tomlPath string, again bool) (Config, error) {
+func load(getenv func(string) string, tomlPath string, again bool) (Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("LB_CONFIG is not set")
 	}
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > maxFile {
+	if err == nil && info.Size() > maxFileBytes {
 		err = errors.New("larger than any configuration")
 	}
 	if err != nil {
@@ -155,15 +155,15 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	c, err := parse(text, getenv, again)
+	c, err := parseMainFile(text, getenv, again)
 	if err != nil {
 		return Config{}, err
 	}
 	return c, c.readTOML(tomlPath)
 }
 
-func parse(text []byte, getenv func(string) string, again bool) (c Config, err error) {
-	var f file
+func parseMainFile(text []byte, getenv func(string) string, again bool) (c Config, err error) {
+	var f mainFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return c, fmt.Errorf("LB_CONFIG: %w", err)
 	}
@@ -179,10 +179,10 @@
 	if c.Name == "" {
 		return c, errors.New("LB_NAME (name): missing")
 	}
-	if err := address("LB_LISTEN (listen)", c.Listen); err != nil {
+	if err := checkAddress("LB_LISTEN (listen)", c.Listen); err != nil {
 		return c, err
 	}
-	if err := address("LB_DISCOVERY (discovery)", c.Discovery); err != nil {
+	if err := checkAddress("LB_DISCOVERY (discovery)", c.Discovery); err != nil {
 		return c, err
 	}
 	if f.Seed != "" {
@@ -196,11 +196,11 @@
 	if c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
-	if c.MemoryMB < leastMemoryMB {
-		return c, fmt.Errorf("limits.memory_mb: %d is under %d", c.MemoryMB, leastMemoryMB)
+	if c.MemoryMB < minMemoryMB {
+		return c, fmt.Errorf("limits.memory_mb: %d is under %d", c.MemoryMB, minMemoryMB)
 	}
-	if c.Sockets < leastSockets {
-		return c, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	if c.Sockets < minSockets {
+		return c, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
 	}
 	if len(f.Settings) == 0 {
 		return c, errors.New("settings: missing")
@@ -221,7 +221,7 @@
 }
 
 func (c *Config) readTOML(path string) error {
-	var b broker
+	var b brokerFile
 	meta, err := toml.DecodeFile(path, &b)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -234,12 +234,12 @@
 	}
 	c.FlightListen, c.IPFIXCollector = b.Flight.Listen, b.IPFIX.Collector
 	if c.FlightListen != "" {
-		if err := address(path+": flight.listen", c.FlightListen); err != nil {
+		if err := checkAddress(path+": flight.listen", c.FlightListen); err != nil {
 			return err
 		}
 	}
 	if c.IPFIXCollector != "" {
-		if err := address(path+": ipfix.collector", c.IPFIXCollector); err != nil {
+		if err := checkAddress(path+": ipfix.collector", c.IPFIXCollector); err != nil {
 			return err
 		}
 	}
@@ -249,10 +249,10 @@
 	return c.readFleet(path, &b.Fleet, meta.IsDefined("fleet"))
 }
 
-func (c *Config) readTracing(path string, b *broker) error {
+func (c *Config) readTracing(path string, b *brokerFile) error {
 	t := &b.Tracing
-	c.Tracing = Tracing{Collector: t.Collector, Directory: t.Directory, MemoryKB: cmp.Or(t.MemoryKB, defaultTraceKB),
-		Spans: cmp.Or(t.Spans, defaultSpans), SegmentMB: cmp.Or(t.SegmentMB, defaultSegment), MaxSegments: cmp.Or(t.Segments, defaultSegments)}
+	c.Tracing = Tracing{Collector: t.Collector, Directory: t.Directory, MemoryKB: cmp.Or(t.MemoryKB, defaultTraceMemoryKB),
+		Spans: cmp.Or(t.Spans, defaultSpansPerSecond), SegmentMB: cmp.Or(t.SegmentMB, defaultSegmentMB), MaxSegments: cmp.Or(t.Segments, defaultMaxSegments)}
 	if t.Collector != "" {
 		u, err := url.Parse(t.Collector)
 		if err == nil && (u.Scheme != "http" || u.Path == "" || u.User != nil) {
@@ -265,12 +265,12 @@
 			return fmt.Errorf("%s: tracing.collector: %w", path, err)
 		}
 	}
-	most := int(c.MemoryMB * 1024 / mostTraceShare)
+	most := int(c.MemoryMB * 1024 / traceMemoryDivisor)
 	switch {
 	case t.MemoryKB == 0:
 		c.Tracing.MemoryKB = min(c.Tracing.MemoryKB, most)
-	case t.MemoryKB < leastTraceKB || t.MemoryKB > most:
-		return fmt.Errorf("%s: tracing.memory_kb: %d is not between %d and %d, a quarter of the memory", path, t.MemoryKB, leastTraceKB, most)
+	case t.MemoryKB < minTraceMemoryKB || t.MemoryKB > most:
+		return fmt.Errorf("%s: tracing.memory_kb: %d is not between %d and %d, a quarter of the memory", path, t.MemoryKB, minTraceMemoryKB, most)
 	}
 	for key, x := range map[string]float64{"spans_per_second": t.Spans, "segment_mb": float64(t.SegmentMB), "segments": float64(t.Segments)} {
 		if !(x >= 0 && x <= 1e9) {
@@ -280,8 +280,8 @@
 	return nil
 }
 
-// address checks for an IP address and a port: there is no DNS.
-func address(key, s string) error {
+// checkAddress checks for an IP checkAddress and a port: there is no DNS.
+func checkAddress(key, s string) error {
 	if s == "" {
 		return fmt.Errorf("%s: missing", key)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-const sound = `{"name":"n3","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:9","phase":"active"}]},
 "settings":{"classes":[{"name":"a","semantics":"once"}]}}`
 
-func load(t *testing.T, text, toml string, env map[string]string) (Config, error) {
+func loadFiles(t *testing.T, text, toml string, env map[string]string) (Config, error) {
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	own := filepath.Join(dir, "broker.toml")
+	tomlPath := filepath.Join(dir, "broker.toml")
 	if toml != "" {
-		if err := os.WriteFile(own, []byte(toml), 0o600); err != nil {
+		if err := os.WriteFile(tomlPath, []byte(toml), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -30,11 +30,11 @@
 			return path
 		}
 		return env[key]
-	}, own)
+	}, tomlPath)
 }
 
-func TestASoundConfiguration(t *testing.T) {
-	c, err := load(t, sound, "[flight]\nlisten = \"127.0.0.1:8815\"\n", map[string]string{"LB_NAME": "n4"})
+func TestLoadValidConfiguration(t *testing.T) {
+	c, err := loadFiles(t, validConfig, "[flight]\nlisten = \"127.0.0.1:8815\"\n", map[string]string{"LB_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,14 +42,14 @@
 		c.KnownNodes.Revision != 41 || len(c.KnownNodes.Members) != 1 || c.FlightListen != "127.0.0.1:8815" || c.IPFIXCollector != "" {
 		t.Errorf("%+v", c)
 	}
-	c, err = load(t, strings.Replace(sound, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1), "", nil)
+	c, err = loadFiles(t, strings.Replace(validConfig, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1), "", nil)
 	if err != nil || c.MemoryMB != defaultMemoryMB || c.Sockets != defaultSockets || c.FlightListen != "" {
 		t.Errorf("defaults %+v, error %v", c, err)
 	}
 }
 
-func TestErrorsNameTheKey(t *testing.T) {
-	replace := func(old, new string) string { return strings.Replace(sound, old, new, 1) }
+func TestErrorsNameFaultyKey(t *testing.T) {
+	replace := func(old, new string) string { return strings.Replace(validConfig, old, new, 1) }
 	tests := []struct {
 		key, text, toml string
 		env             map[string]string
@@ -57,7 +57,7 @@
 		{"LB_CONFIG", "{", "", nil},
 		{"LB_NAME", replace(`"n3"`, `""`), "", nil},
 		{"LB_LISTEN", replace("127.0.0.1:8000", "localhost:8000"), "", nil},
-		{"LB_LISTEN", sound, "", map[string]string{"LB_LISTEN": "127.0.0.1"}},
+		{"LB_LISTEN", validConfig, "", map[string]string{"LB_LISTEN": "127.0.0.1"}},
 		{"LB_DISCOVERY", replace("127.0.0.1:8500", ""), "", nil},
 		{"seed", replace("8c1f30d27a5be964", "xyz"), "", nil},
 		{"limits.memory_mb", replace("192", "2"), "", nil},
@@ -66,19 +66,19 @@
 		{"settings.classes", replace(`{"name":"a","semantics":"once"}`, ""), "", nil},
 		{"settings: class 0", replace("once", "sometimes"), "", nil},
 		{"known", replace("active", "asleep"), "", nil},
-		{"flight.listen", sound, "[flight]\nlisten = \"here\"\n", nil},
-		{"ipfix.collector", sound, "[ipfix]\ncollector = \"here\"\n", nil},
-		{"tracing.collector", sound, "[tracing]\ncollector = \"http://collector:4318/v1/traces\"\n", nil},
-		{"tracing.collector", sound, "[tracing]\ncollector = \"https://127.0.0.1:4318/v1/traces\"\n", nil},
-		{"tracing.collector", sound, "[tracing]\ncollector = \"http://127.0.0.1:4318\"\n", nil},
-		{"tracing.memory_kb", sound, "[tracing]\nmemory_kb = 3\n", nil},
-		{"tracing.memory_kb", sound, "[tracing]\nmemory_kb = 100000\n", nil},
-		{"tracing.spans_per_second", sound, "[tracing]\nspans_per_second = -1.0\n", nil},
-		{"tracing.segments", sound, "[tracing]\nsegments = -1\n", nil},
-		{"flight.lisen", sound, "[flight]\nlisen = \"127.0.0.1:1\"\n", nil},
+		{"flight.listen", validConfig, "[flight]\nlisten = \"here\"\n", nil},
+		{"ipfix.collector", validConfig, "[ipfix]\ncollector = \"here\"\n", nil},
+		{"tracing.collector", validConfig, "[tracing]\ncollector = \"http://collector:4318/v1/traces\"\n", nil},
+		{"tracing.collector", validConfig, "[tracing]\ncollector = \"https://127.0.0.1:4318/v1/traces\"\n", nil},
+		{"tracing.collector", validConfig, "[tracing]\ncollector = \"http://127.0.0.1:4318\"\n", nil},
+		{"tracing.memory_kb", validConfig, "[tracing]\nmemory_kb = 3\n", nil},
+		{"tracing.memory_kb", validConfig, "[tracing]\nmemory_kb = 100000\n", nil},
+		{"tracing.spans_per_second", validConfig, "[tracing]\nspans_per_second = -1.0\n", nil},
+		{"tracing.segments", validConfig, "[tracing]\nsegments = -1\n", nil},
+		{"flight.lisen", validConfig, "[flight]\nlisen = \"127.0.0.1:1\"\n", nil},
 	}
 	for _, tt := range tests {
-		if _, err := load(t, tt.text, tt.toml, tt.env); err == nil || !strings.Contains(err.Error(), tt.key) {
+		if _, err := loadFiles(t, tt.text, tt.toml, tt.env); err == nil || !strings.Contains(err.Error(), tt.key) {
 			t.Errorf("%s: error %v", tt.key, err)
 		}
 	}
@@ -87,18 +87,18 @@
 	}
 }
 
-func TestTracingHasDefaults(t *testing.T) {
-	c, err := load(t, sound, "", nil)
+func TestTracingDefaults(t *testing.T) {
+	c, err := loadFiles(t, validConfig, "", nil)
 	if err != nil || c.Tracing.On() {
 		t.Errorf("%+v, %v; want traces off", c.Tracing, err)
 	}
-	c, err = load(t, sound, "[tracing]\ndirectory = \"/tmp/x\"\nspans_per_second = 50.0\n", nil)
-	want := Tracing{Directory: "/tmp/x", MemoryKB: defaultTraceKB, Spans: 50, SegmentMB: defaultSegment, MaxSegments: defaultSegments}
+	c, err = loadFiles(t, validConfig, "[tracing]\ndirectory = \"/tmp/x\"\nspans_per_second = 50.0\n", nil)
+	want := Tracing{Directory: "/tmp/x", MemoryKB: defaultTraceMemoryKB, Spans: 50, SegmentMB: defaultSegmentMB, MaxSegments: defaultMaxSegments}
 	if err != nil || c.Tracing != want || !c.Tracing.On() {
 		t.Errorf("%+v, %v; want %+v", c.Tracing, err, want)
 	}
 	// A small mixer gives traces a quarter of its memory at most.
-	if c, err = load(t, strings.Replace(sound, "192", "32", 1), "", nil); err != nil || c.Tracing.MemoryKB > 8192 {
+	if c, err = loadFiles(t, strings.Replace(validConfig, "192", "32", 1), "", nil); err != nil || c.Tracing.MemoryKB > 8192 {
 		t.Errorf("%+v, %v", c.Tracing, err)
 	}
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -15,10 +15,10 @@
 	"kiteloft/internal/storm"
 )
 
-const mostNodes = 512 // that a document may name
+const maxNodes = 512 // that a document may name
 
-// sameAccord leaves out what can't be compared: it follows from the settings.
-func sameAccord(a, b *accord.Config) bool {
+// equalAccord leaves out what can't be compared: it follows from the settings.
+func equalAccord(a, b *accord.Config) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -49,11 +49,11 @@
 	if text == "" {
 		return version.Document{}.ApplyTo(base), nil
 	}
-	d, err := readDocument(text, base, set.Zones)
+	d, err := parseDocument(text, base, set.Zones)
 	return d.ApplyTo(base), err
 }
 
-func readDocument(text string, base version.Rules, zones []string) (d version.Document, err error) {
+func parseDocument(text string, base version.Rules, zones []string) (d version.Document, err error) {
 	if len(text) > version.MaxDocumentBytes {
 		return d, fmt.Errorf("%d bytes, %d at most", len(text), version.MaxDocumentBytes)
 	}
@@ -64,7 +64,7 @@
 	into := map[string]any{"attempts": &d.Attempts, "copies": &d.Copies, "further_ratio": &d.RetryBudgetRatio, "further_spare": &d.RetryBudgetBase,
 		"cold_share": &d.ColdShare, "max_open": &d.MaxOpen, "allowances": &d.Allowances, "nodes": &d.Nodes, "zones_left": &d.ZonesLeft, "hold_list": &d.HoldList,
 		"storm_retries": &d.StormRetries, "storm_good": &d.StormGood}
-	for _, key := range unknown {
+	for _, key := range unsupportedKeys {
 		delete(into, key)
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
@@ -73,19 +73,19 @@
 			return d, fmt.Errorf("%s: unknown key", key)
 		}
 		if err := json.Unmarshal(keys[key], to); err != nil {
-			return d, fmt.Errorf("%s: %s", key, plainly(err))
+			return d, fmt.Errorf("%s: %s", key, decodeErrorText(err))
 		}
 	}
 	// Half of a budget is what a mixer uses that can't know which version holds: no version
 	// may allow less.
-	between := func(key string, x *float64, least, most float64) error {
+	checkRange := func(key string, x *float64, least, most float64) error {
 		if x != nil && !(*x >= least && *x <= most) {
 			return fmt.Errorf("%s: %g is not between %g and %g", key, *x, least, most)
 		}
 		return nil
 	}
-	half := func(key string, x *float64, whole float64) error {
-		return between(key, x, whole*version.MinBudgetShare, whole)
+	checkBudgetShare := func(key string, x *float64, whole float64) error {
+		return checkRange(key, x, whole*version.MinBudgetShare, whole)
 	}
 	whole := func(key string, x *int, least, most int) error {
 		if x != nil && (*x < least || *x > most) {
@@ -96,41 +96,41 @@
 	if d.Copies != nil && *d.Copies && !base.Copies {
 		return d, errors.New("copies: the settings do not allow any")
 	}
-	list := []error{whole("attempts", d.Attempts, version.MinAttempts, base.Attempts), whole("max_open", d.MaxOpen, 1, base.MaxOpen),
-		half("further_ratio", d.RetryBudgetRatio, base.RetryBudgetRatio), half("further_spare", d.RetryBudgetBase, base.RetryBudgetBase),
-		half("cold_share", d.ColdShare, base.ColdShare), between("storm_retries", d.StormRetries, storm.MinRetryShare, storm.MaxRetryShare),
-		between("storm_good", d.StormGood, storm.MinInTimeShare, storm.MaxInTimeShare)}
+	problems := []error{whole("attempts", d.Attempts, version.MinAttempts, base.Attempts), whole("max_open", d.MaxOpen, 1, base.MaxOpen),
+		checkBudgetShare("further_ratio", d.RetryBudgetRatio, base.RetryBudgetRatio), checkBudgetShare("further_spare", d.RetryBudgetBase, base.RetryBudgetBase),
+		checkBudgetShare("cold_share", d.ColdShare, base.ColdShare), checkRange("storm_retries", d.StormRetries, storm.MinRetryShare, storm.MaxRetryShare),
+		checkRange("storm_good", d.StormGood, storm.MinInTimeShare, storm.MaxInTimeShare)}
 	for _, tenant := range slices.Sorted(maps.Keys(d.Allowances)) {
 		x, known := base.Allowances[tenant]
 		if !known {
-			list = append(list, fmt.Errorf("allowances.%s: no such tenant", tenant))
+			problems = append(problems, fmt.Errorf("allowances.%s: no such tenant", tenant))
 			continue
 		}
 		y := d.Allowances[tenant]
-		list = append(list, half("allowances."+tenant, &y, x))
+		problems = append(problems, checkBudgetShare("allowances."+tenant, &y, x))
 	}
-	if len(d.Nodes) > mostNodes {
-		list = append(list, fmt.Errorf("nodes: %d of them, %d at most", len(d.Nodes), mostNodes))
+	if len(d.Nodes) > maxNodes {
+		problems = append(problems, fmt.Errorf("nodes: %d of them, %d at most", len(d.Nodes), maxNodes))
 	}
 	for id := range d.Nodes {
-		if id == "" || len(id) > longestName {
-			list = append(list, fmt.Errorf("nodes.%s: no node's name", id))
+		if id == "" || len(id) > maxNameBytes {
+			problems = append(problems, fmt.Errorf("nodes.%s: no node's name", id))
 		}
 	}
 	for i, zone := range d.ZonesLeft {
 		if !slices.Contains(zones, zone) || slices.Contains(d.ZonesLeft[:i], zone) {
-			list = append(list, fmt.Errorf("zones_left[%d]: %q is no zone, or comes twice", i, zone))
+			problems = append(problems, fmt.Errorf("zones_left[%d]: %q is no zone, or comes twice", i, zone))
 		}
 	}
 	if len(d.ZonesLeft) > 0 && len(d.ZonesLeft) >= len(zones) {
-		list = append(list, errors.New("zones_left: no zone would be left to serve from"))
+		problems = append(problems, errors.New("zones_left: no zone would be left to serve from"))
 	}
-	return d, errors.Join(list...)
+	return d, errors.Join(problems...)
 }
 
-// plainly is a decoder's error without the place in what it was handed, which is a part
+// decodeErrorText is a decoder's error without the place in what it was handed, which is a part
 // of the document only.
-func plainly(err error) string {
+func decodeErrorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), ", error found in")
 	return text
 }
--- a/internal/config/elder_off.go
+++ b/internal/config/elder_off.go
@@ -2,6 +2,6 @@
 
 package config
 
-// unknown are keys of a document that this program does not know. Only a test's build
+// unsupportedKeys are keys of a document that this program does not know. Only a test's build
 // has any: it stands for a program that is older than its fleet.
-var unknown []string
+var unsupportedKeys []string
--- a/internal/config/elder_on.go
+++ b/internal/config/elder_on.go
@@ -2,4 +2,4 @@
 
 package config
 
-var unknown = []string{"storm_retries"}
+var unsupportedKeys = []string{"storm_retries"}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,8 +11,8 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// fleet is the table of the talk among mixers.
-type fleet struct {
+// fleetTable is the table of the talk among mixers.
+type fleetTable struct {
 	Name       string            `toml:"name"`
 	Listen     string            `toml:"listen"`
 	Announce   string            `toml:"announce"`
@@ -35,52 +35,52 @@
 }
 
 const (
-	defaultPeriod = 500
-	leastPeriod   = 50
-	mostPeriod    = 10_000
-	defaultForget = 600
-	leastForget   = 60
-	mostFleet     = 4096
-	longestName   = 64
+	defaultPeriodMS      = 500
+	minPeriodMS          = 50
+	maxPeriodMS          = 10_000
+	defaultForgetSeconds = 600
+	minForgetSeconds     = 60
+	maxExpectedMembers   = 4096
+	maxNameBytes         = 64
 
-	defaultLease = 3000
-	leastLease   = 1000
-	mostLease    = 60_000
-	defaultTrial = 2000
-	mostTrial    = 600_000
-	mostVoters   = 7
+	defaultLeaseMS = 3000
+	minLeaseMS     = 1000
+	maxLeaseMS     = 60_000
+	defaultTrialMS = 2000
+	maxTrialMS     = 600_000
+	maxVoters      = 7
 )
 
 // readFleet checks the fleet's table. Its key file is read here, so that one that is
 // missing ends the start before anything listens.
-func (c *Config) readFleet(path string, f *fleet, there bool) (err error) {
+func (c *Config) readFleet(path string, f *fleetTable, there bool) (err error) {
 	if !there {
 		return nil
 	}
 	bad := func(key, format string, args ...any) error {
 		return fmt.Errorf("%s: fleet.%s: %w", path, key, fmt.Errorf(format, args...))
 	}
-	if f.Name == "" || len(f.Name) > longestName {
-		return bad("name", "want 1 to %d bytes", longestName)
+	if f.Name == "" || len(f.Name) > maxNameBytes {
+		return bad("name", "want 1 to %d bytes", maxNameBytes)
 	}
-	if len(c.Name) > longestName {
-		return fmt.Errorf("LB_NAME (name): over %d bytes, which a fleet does not carry", longestName)
+	if len(c.Name) > maxNameBytes {
+		return fmt.Errorf("LB_NAME (name): over %d bytes, which a fleet does not carry", maxNameBytes)
 	}
-	if err := address(path+": fleet.listen", f.Listen); err != nil {
+	if err := checkAddress(path+": fleet.listen", f.Listen); err != nil {
 		return err
 	}
 	if f.Announce != "" {
-		if err := address(path+": fleet.announce", f.Announce); err != nil {
+		if err := checkAddress(path+": fleet.announce", f.Announce); err != nil {
 			return err
 		}
 	}
 	for i, s := range f.Seeds {
-		if err := address(fmt.Sprintf("%s: fleet.seeds[%d]", path, i), s); err != nil {
+		if err := checkAddress(fmt.Sprintf("%s: fleet.seeds[%d]", path, i), s); err != nil {
 			return err
 		}
 	}
 	for id, s := range f.Via {
-		if err := address(path+": fleet.via."+id, s); err != nil {
+		if err := checkAddress(path+": fleet.via."+id, s); err != nil {
 			return err
 		}
 	}
@@ -91,16 +91,16 @@
 	if err != nil {
 		return bad("key_file", "%w", err)
 	}
-	period, forget := cmp.Or(f.PeriodMS, defaultPeriod), cmp.Or(f.ForgetS, defaultForget)
-	if period < leastPeriod || period > mostPeriod {
-		return bad("period_ms", "%d is not between %d and %d", period, leastPeriod, mostPeriod)
+	period, forget := cmp.Or(f.PeriodMS, defaultPeriodMS), cmp.Or(f.ForgetS, defaultForgetSeconds)
+	if period < minPeriodMS || period > maxPeriodMS {
+		return bad("period_ms", "%d is not between %d and %d", period, minPeriodMS, maxPeriodMS)
 	}
-	if forget < leastForget {
-		return bad("forget_s", "%d is under %d", forget, leastForget)
+	if forget < minForgetSeconds {
+		return bad("forget_s", "%d is under %d", forget, minForgetSeconds)
 	}
 	expected := cmp.Or(f.Expected, c.Settings.Module.Aggregators, 1)
-	if expected < 1 || expected > mostFleet {
-		return bad("expected", "%d is not between 1 and %d", expected, mostFleet)
+	if expected < 1 || expected > maxExpectedMembers {
+		return bad("expected", "%d is not between 1 and %d", expected, maxExpectedMembers)
 	}
 	zone := f.Zone
 	if at := c.Settings.Module.Zone; zone == "" && at >= 0 && at < len(c.Settings.Zones) {
@@ -114,7 +114,7 @@
 }
 
 // readAccord checks the table of agreed settings.
-func (c *Config) readAccord(path string, f *fleet, bad func(key, format string, args ...any) error) error {
+func (c *Config) readAccord(path string, f *fleetTable, bad func(key, format string, args ...any) error) error {
 	t := &f.Accord
 	if len(t.Voters) == 0 {
 		if t.Directory != "" || t.LeaseMS != 0 || t.TrialMS != 0 || t.Leave {
@@ -122,23 +122,23 @@
 		}
 		return nil
 	}
-	if n := len(t.Voters); n%2 == 0 || n > mostVoters {
+	if n := len(t.Voters); n%2 == 0 || n > maxVoters {
 		return bad("accord.voters", "%d of them; want 1, 3, 5 or 7", n)
 	}
 	for i, name := range t.Voters {
-		if name == "" || len(name) > longestName || slices.Contains(t.Voters[:i], name) {
+		if name == "" || len(name) > maxNameBytes || slices.Contains(t.Voters[:i], name) {
 			return bad(fmt.Sprintf("accord.voters[%d]", i), "%q is no name, or comes twice", name)
 		}
 	}
 	if t.Directory == "" && slices.Contains(t.Voters, c.Name) {
 		return bad("accord.directory", "missing; this mixer is a voter")
 	}
-	lease, trial := cmp.Or(t.LeaseMS, defaultLease), cmp.Or(t.TrialMS, defaultTrial)
-	if lease < leastLease || lease > mostLease {
-		return bad("accord.lease_ms", "%d is not between %d and %d", lease, leastLease, mostLease)
+	lease, trial := cmp.Or(t.LeaseMS, defaultLeaseMS), cmp.Or(t.TrialMS, defaultTrialMS)
+	if lease < minLeaseMS || lease > maxLeaseMS {
+		return bad("accord.lease_ms", "%d is not between %d and %d", lease, minLeaseMS, maxLeaseMS)
 	}
-	if trial < 0 || trial > mostTrial {
-		return bad("accord.trial_ms", "%d is not between 0 and %d", trial, mostTrial)
+	if trial < 0 || trial > maxTrialMS {
+		return bad("accord.trial_ms", "%d is not between 0 and %d", trial, maxTrialMS)
 	}
 	set := c.Settings
 	c.LeaveZones = t.Leave
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -7,7 +7,7 @@
 // Each calls take with each field of a message: its number, and its value as a number or
 // as bytes; fields of other kinds are passed over. It ends early where take returns false,
 // and reports whether the message was read whole.
-func Each(b []byte, take func(n protowire.Number, x uint64, v []byte) bool) bool {
+func Each(b []byte, visit func(n protowire.Number, x uint64, v []byte) bool) bool {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -25,7 +25,7 @@
 			size = protowire.ConsumeFieldValue(n, kind, b)
 		}
 		known := kind == protowire.VarintType || kind == protowire.BytesType
-		if size < 0 || known && !take(n, x, v) {
+		if size < 0 || known && !visit(n, x, v) {
 			return false
 		}
 		b = b[size:]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,15 +27,15 @@
 	StreamsPerConn int
 }
 
-// span is a time in seconds.
-type span time.Duration
+// seconds is a time in seconds.
+type seconds time.Duration
 
-func (s *span) UnmarshalJSON(b []byte) error {
+func (s *seconds) UnmarshalJSON(b []byte) error {
 	var x float64
 	if err := json.Unmarshal(b, &x); err != nil {
 		return err
 	}
-	*s = span(DurationFromSeconds(x))
+	*s = seconds(DurationFromSeconds(x))
 	return nil
 }
 
@@ -47,18 +47,18 @@
 	return time.Duration(max(-most, min(most, us))) * time.Microsecond
 }
 
-// bootInfo is the settings object as the wire names it.
-type bootInfo struct {
-	Balancers int  `json:"balancers"`
-	Zone      int  `json:"zone"`
-	Tick      span `json:"tick"`
+// settingsObject is the settings object as the wire names it.
+type settingsObject struct {
+	Balancers int     `json:"balancers"`
+	Zone      int     `json:"zone"`
+	Tick      seconds `json:"tick"`
 	Classes   []struct {
 		Name                 string  `json:"name"`
 		Idempotency          string  `json:"semantics"`
-		LatencyTarget        span    `json:"aim"`
+		LatencyTarget        seconds `json:"aim"`
 		LatencyTargetPerWork float64 `json:"aim_stretch"`
-		Deadline             span    `json:"deadline"`
-		DedupWindow          span    `json:"memory_span"`
+		Deadline             seconds `json:"deadline"`
+		DedupWindow          seconds `json:"memory_span"`
 		Value                float64 `json:"worth"`
 		LateValue            float64 `json:"late_value"`
 	} `json:"classes"`
@@ -82,36 +82,36 @@
 		Fields []string `json:"fields"`
 	} `json:"feedback"`
 	Caps struct {
-		Cancel         bool `json:"cancel"`
-		ConnIdle       span `json:"conn_idle"`
-		ConnectTimeout span `json:"connect_timeout"`
-		StreamsPerConn int  `json:"streams_per_conn"`
-		MaxAttempts    int  `json:"max_attempts"`
-		MaxOpen        int  `json:"max_open"`
-		MaxRetryAfter  span `json:"max_retry_after"`
-		Probes         bool `json:"probes"`
-		SendRetryAfter bool `json:"retry_after"`
-		SecondCopies   bool `json:"second_copies"`
+		Cancel         bool    `json:"cancel"`
+		ConnIdle       seconds `json:"conn_idle"`
+		ConnectTimeout seconds `json:"connect_timeout"`
+		StreamsPerConn int     `json:"streams_per_conn"`
+		MaxAttempts    int     `json:"max_attempts"`
+		MaxOpen        int     `json:"max_open"`
+		MaxRetryAfter  seconds `json:"max_retry_after"`
+		Probes         bool    `json:"probes"`
+		SendRetryAfter bool    `json:"retry_after"`
+		SecondCopies   bool    `json:"second_copies"`
 	} `json:"caps"`
 	Rules struct {
-		ListRefreshInterval span    `json:"ask_within"`
-		WarmupTime          span    `json:"cold"`
+		ListRefreshInterval seconds `json:"ask_within"`
+		WarmupTime          seconds `json:"cold"`
 		WarmupStartShare    float64 `json:"cold_from"`
-		DrainGrace          span    `json:"drain_grace"`
-		ColdBudgetWindow    span    `json:"fall"`
-		FallMult            float64 `json:"fall_multiple"`
-		Ratio               float64 `json:"further_ratio"`
-		ResendSpan          span    `json:"resend_span"`
-		Spare               float64 `json:"spare_attempts"`
+		DrainGrace          seconds `json:"drain_grace"`
+		ColdBudgetWindow    seconds `json:"fall"`
+		ColdBudgetMultiple  float64 `json:"fall_multiple"`
+		RetryRatio          float64 `json:"further_ratio"`
+		RetryWindow         seconds `json:"resend_span"`
+		RetryBase           float64 `json:"spare_attempts"`
 	} `json:"rules"`
-	WorthBy            string  `json:"worth_by"`
+	ValueBy            string  `json:"worth_by"`
 	OverAllowanceValue float64 `json:"over_share_worth"`
 }
 
 // Parse reads the settings object. An unknown key is passed over; an absent
 // optional one stays zero.
 func Parse(text []byte) (Settings, error) {
-	var b bootInfo
+	var b settingsObject
 	if err := json.Unmarshal(text, &b); err != nil {
 		return Settings{}, fmt.Errorf("reading settings: %w", err)
 	}
@@ -130,12 +130,12 @@
 		SendRetryAfter: b.Caps.SendRetryAfter, MaxRetryAfter: time.Duration(b.Caps.MaxRetryAfter),
 		ListRefreshInterval: time.Duration(b.Rules.ListRefreshInterval), DrainGrace: time.Duration(b.Rules.DrainGrace),
 		WarmupStartShare: b.Rules.WarmupStartShare, WarmupTime: time.Duration(b.Rules.WarmupTime),
-		ColdBudgetWindow: time.Duration(b.Rules.ColdBudgetWindow), ColdBudgetFactor: b.Rules.FallMult,
-		RetryBudgetWindow: time.Duration(b.Rules.ResendSpan), RetryBudgetBase: b.Rules.Spare, RetryBudgetRatio: b.Rules.Ratio,
-		ValueByWork: b.WorthBy == "work", OverAllowanceValue: b.OverAllowanceValue,
+		ColdBudgetWindow: time.Duration(b.Rules.ColdBudgetWindow), ColdBudgetFactor: b.Rules.ColdBudgetMultiple,
+		RetryBudgetWindow: time.Duration(b.Rules.RetryWindow), RetryBudgetBase: b.Rules.RetryBase, RetryBudgetRatio: b.Rules.RetryRatio,
+		ValueByWork: b.ValueBy == "work", OverAllowanceValue: b.OverAllowanceValue,
 	}
 	for i, c := range b.Classes {
-		sem, err := parseSemantics(c.Idempotency)
+		sem, err := parseIdempotency(c.Idempotency)
 		if err != nil {
 			return out, fmt.Errorf("class %d: %w", i, err)
 		}
@@ -143,8 +143,8 @@
 			Name: c.Name, Idempotency: sem, LatencyTarget: time.Duration(c.LatencyTarget), LatencyTargetPerWork: c.LatencyTargetPerWork,
 			Deadline: time.Duration(c.Deadline), DedupWindow: time.Duration(c.DedupWindow),
 			Value: c.Value, LateValue: c.LateValue,
-			RequiredWeight: at(b.Info.RequiredWeight, i), MinWeight: at(b.Info.MinWeight, i),
-			PartialValue: at(b.Info.PartialValue, i), SecondStepParts: at(b.Info.FollowUp, i),
+			RequiredWeight: valueAt(b.Info.RequiredWeight, i), MinWeight: valueAt(b.Info.MinWeight, i),
+			PartialValue: valueAt(b.Info.PartialValue, i), SecondStepParts: valueAt(b.Info.FollowUp, i),
 		})
 	}
 	for _, t := range b.Tenants {
@@ -153,8 +153,8 @@
 	return out, nil
 }
 
-// at returns the i-th value, or zero where the list is shorter.
-func at[T any](list []T, i int) T {
+// valueAt returns the i-th value, or zero where the list is shorter.
+func valueAt[T any](list []T, i int) T {
 	if i < len(list) {
 		return list[i]
 	}
@@ -162,7 +162,7 @@
 	return zero
 }
 
-func parseSemantics(s string) (decide.Idempotency, error) {
+func parseIdempotency(s string) (decide.Idempotency, error) {
 	switch s {
 	case "repeatable":
 		return decide.Idempotent, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestWhatIsNotTaken(t *testing.T) {
+func TestParseRejectsInvalidSettings(t *testing.T) {
 	for _, text := range []string{"", "[1]", `{"tick":"soon"}`, `{"classes":[{"semantics":"sometimes"}]}`} {
 		if _, err := Parse([]byte(text)); err == nil {
 			t.Errorf("%q was taken", text)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxTables = 16
-	idLength  = 16
-	maxToken  = 64
+	maxTables     = 16
+	idLength      = 16
+	maxTokenBytes = 64
 )
 
 // Kind tells what an Item brings.
@@ -51,15 +51,15 @@
 
 // Decoder reads batches. Server lists outlive a batch, so it keeps them.
 type Decoder struct {
-	r      *bufio.Reader
-	line   int
-	tables [maxTables][]decide.Server
-	loads  map[int][]string // load report fields by instance
+	r          *bufio.Reader
+	line       int
+	tables     [maxTables][]decide.Server
+	loadFields map[int][]string // load report fields by instance
 }
 
 // NewDecoder returns a Decoder on r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: bufio.NewReaderSize(r, 1<<20), loads: map[int][]string{}}
+	return &Decoder{r: bufio.NewReaderSize(r, 1<<20), loadFields: map[int][]string{}}
 }
 
 func (d *Decoder) readLine() (string, error) {
@@ -120,9 +120,9 @@
 }
 
 func (d *Decoder) readTable(s string) error {
-	f := newFields(s)
+	f := newValueReader(s)
 	sheet, n := f.index("sheet"), f.index("members_list")
-	if err := f.end(); err != nil {
+	if err := f.finish(); err != nil {
 		return d.malformed(s, err)
 	}
 	if sheet >= maxTables {
@@ -145,7 +145,7 @@
 }
 
 func parseEntry(s string) (decide.Server, error) {
-	f := newFields(s)
+	f := newValueReader(s)
 	if f.name != "ENTRY" {
 		return decide.Server{}, errors.New("an ENTRY is missing from the table")
 	}
@@ -163,12 +163,12 @@
 		f.fail("condition", fmt.Errorf("unknown state %q", c))
 	}
 	srv.CapacityHint = f.optNumber("capacity_hint")
-	srv.Started = f.optSpan("started_at")
-	return srv, f.end()
+	srv.Started = f.optDuration("started_at")
+	return srv, f.finish()
 }
 
 func (d *Decoder) parseItem(s string) (Item, error) {
-	f := newFields(s)
+	f := newValueReader(s)
 	it := Item{Instance: f.index("gatherer")}
 	switch f.name {
 	case "SPAWN":
@@ -179,16 +179,16 @@
 			f.fail("boot_info", err)
 		}
 		it.Settings = set.Module
-		d.loads[it.Instance] = set.LoadFields
+		d.loadFields[it.Instance] = set.LoadFields
 	case "DESTROY":
 		it.Kind = KindDestroy
-		delete(d.loads, it.Instance)
+		delete(d.loadFields, it.Instance)
 	case "SYNC":
 		it.Event = d.parseSync(f)
 	case "NEW_REQUEST":
 		it.Event = parseRequest(f)
 	case "STREAMING":
-		it.Event = decide.StreamStarted{Part: f.id("job"), Latency: f.span("lag"), Attempt: f.index("send_no"),
+		it.Event = decide.StreamStarted{Part: f.id("job"), Latency: f.duration("lag"), Attempt: f.index("send_no"),
 			Server: f.word("server")}
 	case "COMPLETED":
 		it.Event = d.parseCompleted(f, it.Instance)
@@ -197,17 +197,17 @@
 	case "WAKEUP":
 		it.Event = decide.TimerFired{Token: f.token("mark")}
 	case "PROBE_DONE":
-		it.Event = decide.ProbeDone{Server: f.word("server"), Outcome: f.outcome("result"), Latency: f.span("lag"),
-			Load: f.load("load", d.loads[it.Instance])}
+		it.Event = decide.ProbeDone{Server: f.word("server"), Outcome: f.outcome("result"), Latency: f.duration("lag"),
+			Load: f.loadReport("load", d.loadFields[it.Instance])}
 	case "MEMO":
 		it.Event = decide.PeerMessage{Sender: f.index("sender"), Body: f.bytes("body")}
 	default:
 		return it, fmt.Errorf("unknown message %q", f.name)
 	}
-	return it, f.end()
+	return it, f.finish()
 }
 
-func (d *Decoder) parseSync(f *fields) decide.Event {
+func (d *Decoder) parseSync(f *valueReader) decide.Event {
 	form := f.word("form")
 	if form == "lost" {
 		f.word("serial")
@@ -228,9 +228,9 @@
 	return ev
 }
 
-func parseRequest(f *fields) decide.Event {
+func parseRequest(f *valueReader) decide.Event {
 	id, class, tenant := f.id("job"), f.index("service"), f.optIndex("client_group")
-	key, left, work := f.optWord("partition_key"), f.span("left"), f.optSpan("effort")
+	key, left, work := f.optWord("partition_key"), f.duration("left"), f.optDuration("effort")
 	number, shard, heft := f.integer("job_no"), f.integer("shard"), f.number("heft")
 	marks := f.index("marks")
 	if marks&1 == 0 {
@@ -243,61 +243,61 @@
 		Work: work, Repeat: marks&2 != 0}
 }
 
-func (d *Decoder) parseCompleted(f *fields, instance int) decide.Event {
+func (d *Decoder) parseCompleted(f *valueReader, instance int) decide.Event {
 	ev := decide.AttemptDone{Part: f.id("job"), Attempt: f.index("send_no"), Server: f.word("server"),
-		Outcome: f.outcome("result"), Latency: f.span("lag")}
+		Outcome: f.outcome("result"), Latency: f.duration("lag")}
 	f.boolean("last")
-	ev.Load = f.load("load", d.loads[instance])
+	ev.Load = f.loadReport("load", d.loadFields[instance])
 	return ev
 }
 
-// fields walks the values of one line and keeps the first error.
-type fields struct {
-	name string
-	rem  string
-	more bool
-	err  error
+// valueReader walks the values of one line and keeps the first error.
+type valueReader struct {
+	name      string
+	remaining string
+	hasMore   bool
+	err       error
 }
 
-func newFields(s string) *fields {
-	name, rem, more := strings.Cut(s, "\t")
-	return &fields{name: name, rem: rem, more: more}
+func newValueReader(s string) *valueReader {
+	name, remaining, hasMore := strings.Cut(s, "\t")
+	return &valueReader{name: name, remaining: remaining, hasMore: hasMore}
 }
 
-func (f *fields) fail(name string, err error) {
+func (f *valueReader) fail(name string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %w", name, err)
 	}
 }
 
-func (f *fields) next(name string) string {
-	if !f.more {
+func (f *valueReader) next(name string) string {
+	if !f.hasMore {
 		f.fail(name, errors.New("value missing"))
 		return ""
 	}
 	var v string
-	v, f.rem, f.more = strings.Cut(f.rem, "\t")
+	v, f.remaining, f.hasMore = strings.Cut(f.remaining, "\t")
 	return v
 }
 
-func (f *fields) rest(name string) string {
-	if !f.more {
+func (f *valueReader) rest(name string) string {
+	if !f.hasMore {
 		f.fail(name, errors.New("value missing"))
 		return ""
 	}
-	v := f.rem
-	f.rem, f.more = "", false
+	v := f.remaining
+	f.remaining, f.hasMore = "", false
 	return v
 }
 
-func (f *fields) end() error {
-	if f.err == nil && f.more {
+func (f *valueReader) finish() error {
+	if f.err == nil && f.hasMore {
 		f.err = errors.New("more values than the message has")
 	}
 	return f.err
 }
 
-func (f *fields) word(name string) string {
+func (f *valueReader) word(name string) string {
 	v := f.next(name)
 	if f.err == nil && (v == "" || strings.ContainsRune(v, ' ')) {
 		f.fail(name, fmt.Errorf("%q is not a word", v))
@@ -305,22 +305,22 @@
 	return v
 }
 
-func (f *fields) optWord(name string) string {
+func (f *valueReader) optWord(name string) string {
 	if v := f.word(name); v != "-" {
 		return v
 	}
 	return ""
 }
 
-func (f *fields) token(name string) string {
+func (f *valueReader) token(name string) string {
 	v := f.word(name)
-	if len(v) > maxToken {
-		f.fail(name, fmt.Errorf("longer than %d bytes", maxToken))
+	if len(v) > maxTokenBytes {
+		f.fail(name, fmt.Errorf("longer than %d bytes", maxTokenBytes))
 	}
 	return v
 }
 
-func (f *fields) id(name string) string {
+func (f *valueReader) id(name string) string {
 	v := f.next(name)
 	if f.err != nil {
 		return v
@@ -331,7 +331,7 @@
 	return v
 }
 
-func (f *fields) integer(name string) int64 {
+func (f *valueReader) integer(name string) int64 {
 	v := f.next(name)
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
@@ -346,7 +346,7 @@
 	return n
 }
 
-func (f *fields) unsigned(name string) uint64 {
+func (f *valueReader) unsigned(name string) uint64 {
 	v := f.next(name)
 	if n, err := strconv.ParseUint(v, 10, 64); err == nil {
 		return n
@@ -358,7 +358,7 @@
 	return uint64(n)
 }
 
-func (f *fields) index(name string) int {
+func (f *valueReader) index(name string) int {
 	n := f.integer(name)
 	if n < 0 || n > math.MaxInt32 {
 		f.fail(name, fmt.Errorf("%d is out of range", n))
@@ -366,22 +366,22 @@
 	return int(n)
 }
 
-func (f *fields) optIndex(name string) int {
-	if f.absent() {
+func (f *valueReader) optIndex(name string) int {
+	if f.skipAbsent() {
 		return 0
 	}
 	return f.index(name)
 }
 
-func (f *fields) absent() bool {
-	if f.more && (f.rem == "-" || strings.HasPrefix(f.rem, "-\t")) {
-		_, f.rem, f.more = strings.Cut(f.rem, "\t")
+func (f *valueReader) skipAbsent() bool {
+	if f.hasMore && (f.remaining == "-" || strings.HasPrefix(f.remaining, "-\t")) {
+		_, f.remaining, f.hasMore = strings.Cut(f.remaining, "\t")
 		return true
 	}
 	return false
 }
 
-func (f *fields) number(name string) float64 {
+func (f *valueReader) number(name string) float64 {
 	v := f.next(name)
 	x, err := parseNumber(v)
 	if err != nil {
@@ -390,14 +390,14 @@
 	return x
 }
 
-func (f *fields) optNumber(name string) float64 {
-	if f.absent() {
+func (f *valueReader) optNumber(name string) float64 {
+	if f.skipAbsent() {
 		return 0
 	}
 	return f.number(name)
 }
 
-func (f *fields) span(name string) time.Duration {
+func (f *valueReader) duration(name string) time.Duration {
 	v := f.next(name)
 	t, err := parseTime(v)
 	if err != nil {
@@ -406,14 +406,14 @@
 	return t
 }
 
-func (f *fields) optSpan(name string) time.Duration {
-	if f.absent() {
+func (f *valueReader) optDuration(name string) time.Duration {
+	if f.skipAbsent() {
 		return 0
 	}
-	return f.span(name)
+	return f.duration(name)
 }
 
-func (f *fields) boolean(name string) bool {
+func (f *valueReader) boolean(name string) bool {
 	v := f.next(name)
 	if v != "0" && v != "1" {
 		f.fail(name, fmt.Errorf("%q is neither 0 nor 1", v))
@@ -421,8 +421,8 @@
 	return v == "1"
 }
 
-func (f *fields) bytes(name string) []byte {
-	if f.absent() {
+func (f *valueReader) bytes(name string) []byte {
+	if f.skipAbsent() {
 		return nil
 	}
 	b, err := base64.StdEncoding.DecodeString(f.next(name))
@@ -432,7 +432,7 @@
 	return b
 }
 
-func (f *fields) outcome(name string) decide.Outcome {
+func (f *valueReader) outcome(name string) decide.Outcome {
 	n := f.index(name)
 	if n > int(decide.NotSent) {
 		f.fail(name, fmt.Errorf("unknown outcome %d", n))
@@ -440,9 +440,9 @@
 	return decide.Outcome(n)
 }
 
-// load reads a report whose values stand in the order of names.
-func (f *fields) load(name string, names []string) *decide.Load {
-	if f.absent() {
+// loadReport reads a report whose values stand in the order of names.
+func (f *valueReader) loadReport(name string, names []string) *decide.Load {
+	if f.skipAbsent() {
 		return nil
 	}
 	values := strings.Split(f.next(name), ",")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -29,7 +29,7 @@
 const spawn = "SPAWN\t0\t18446744073709551615\t{\"tick\":0.005,\"unknown\":{\"a\":[1]},\"classes\":[{\"semantics\":\"once\"," +
 	"\"aim\":1.5}],\"feedback\":{\"fields\":[\"recent_ms\",\"backlog\"]},\"rules\":{\"fall\":2.0}}\n"
 
-func TestReusedTableNumbersResolveInOrder(t *testing.T) {
+func TestReusedTableNumberResolvesToLatestTable(t *testing.T) {
 	b, err := decodeAll(t, "CLOCK\t8.41225\n"+spawn+"TABLE\t3\t1\nENTRY\ta:1\t0\t0\t2\tRunning\t1\t-\n"+
 		"SYNC\t0\twarm_copy\t7\t3\nTABLE\t3\t1\nENTRY\tb:1\t1\t0\t4\tStopping\t1.5\t6.1\nSYNC\t0\tincr\t8\t3\n"+
 		"SYNC\t0\tlost\t8\t-\nYOUR_TURN\n")
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestEventsKeepTheirValues(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	b, err := decodeAll(t, "CLOCK\t1\n"+spawn+
 		"NEW_REQUEST\t0\t417abe1e5d3a91c4\t0\t-\tterm/k\t0.24\t0.012\t214\t-1\t3\t1\n"+
 		"NEW_REQUEST\t0\t417abe1e5d3a91c5\t0\t1\t-\t0.24\t-\t214\t5\t0.125\t2\n"+
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestMalformedInputNamesItsLine(t *testing.T) {
+func TestMalformedInputIsReportedWithItsLine(t *testing.T) {
 	for _, body := range []string{
 		"NONSENSE\t0\n",
 		"WAKEUP\t0\n",
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestActionsHaveTheirWireForm(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var sb strings.Builder
 	e := NewEncoder(&sb)
 	for _, a := range []decide.Action{
