--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -80,9 +80,9 @@
 	acts   zone.Plan // with what this mixer adds by its own evidence
 
 	leads     bool
-	keeper    *zone.Keeper
-	gauge     *zone.Gauge
-	power     map[string]zone.Power
+	keeper    *zone.Planner
+	gauge     *zone.CapacityEstimator
+	power     map[string]zone.Capacity
 	gaugedAt  time.Duration
 	steps     map[string]*step
 	proposing bool
@@ -103,7 +103,7 @@
 		st.credit[i] = st.rng.Float64()
 	}
 	s.Looked = st.look
-	s.Stand = func(z string) (zone.Stand, uint64) { return st.acts.Of(z), st.agreed.Seq }
+	s.Stand = func(z string) (zone.Stand, uint64) { return st.acts.StatusOf(z), st.agreed.Seq }
 	return st
 }
 
@@ -135,12 +135,12 @@
 func (s *Steer) act() (changed bool) {
 	own, _ := s.survey.Judged()
 	was := s.acts
-	s.acts = s.agreed.Acts(own)
+	s.acts = s.agreed.WithOwnEvidence(own)
 	for _, z := range s.c.Zones {
-		if a, b := was.Of(z), s.acts.Of(z); a.Share != b.Share {
+		if a, b := was.StatusOf(z), s.acts.StatusOf(z); a.Share != b.Share {
 			changed = true
 			s.log.Info().Str("zone", z).Float64("from", a.Share).Float64("to", b.Share).Str("phase", b.Phase.String()).Uint64("plan", s.agreed.Seq).
-				Bool("alone", s.agreed.Of(z).Share != b.Share).Str("why", b.Why).Msg("zones: this mixer's share")
+				Bool("alone", s.agreed.StatusOf(z).Share != b.Share).Str("why", b.Why).Msg("zones: this mixer's share")
 		}
 	}
 	return changed
@@ -151,7 +151,7 @@
 func (s *Steer) Shares() []float64 {
 	list := make([]float64, len(s.c.Zones))
 	for i, z := range s.c.Zones {
-		list[i] = s.acts.Of(z).Share
+		list[i] = s.acts.StatusOf(z).Share
 	}
 	if !slices.ContainsFunc(list, func(x float64) bool { return x < 1 }) {
 		return nil
@@ -165,7 +165,7 @@
 		s.Changed()
 	}
 	if leads != s.leads {
-		s.leads, s.keeper, s.gauge, s.power, s.steps = leads, zone.NewKeeper(s.c.Zone), zone.NewGauge(), nil, map[string]*step{}
+		s.leads, s.keeper, s.gauge, s.power, s.steps = leads, zone.NewPlanner(s.c.Zone), zone.NewCapacityEstimator(), nil, map[string]*step{}
 		s.gaugedAt = -gaugePace
 	}
 	if !leads || s.proposing {
@@ -179,7 +179,7 @@
 	j, _ := s.survey.Judged()
 	if now-s.gaugedAt >= gaugePace {
 		s.gaugedAt = now
-		s.power = s.gauge.Take(now, p, j, s.survey.Loads(), s.told(p))
+		s.power = s.gauge.Update(now, p, j, s.survey.Loads(), s.told(p))
 	}
 	if next, another := s.keeper.Next(now, p, j, s.power); another {
 		s.propose(p, next, func(error) {}) // what was not agreed is decided anew at the next look
@@ -198,7 +198,7 @@
 	}
 	why := "as before"
 	for _, z := range slices.Sorted(maps.Keys(next.Zones)) {
-		if next.Zones[z] != was.Of(z) {
+		if next.Zones[z] != was.StatusOf(z) {
 			why = fmt.Sprintf("%s %s %.2f: %s", z, next.Zones[z].Phase, next.Zones[z].Share, next.Zones[z].Why)
 		}
 	}
@@ -228,9 +228,9 @@
 		err = fmt.Errorf("%s is no zone", name)
 	case !s.leads:
 		err = errors.New("this mixer has led for a moment only; ask again")
-	case o == zone.ReturnNow && p.Of(name) == zone.Stand{Share: 1}:
+	case o == zone.OrderReturn && p.StatusOf(name) == zone.Stand{Share: 1}:
 		err = fmt.Errorf("%s is not left", name)
-	case o == zone.LeaveNow && !slices.ContainsFunc(s.c.Zones, func(z string) bool { return z != name && p.Of(z).Share > 0 }):
+	case o == zone.OrderLeave && !slices.ContainsFunc(s.c.Zones, func(z string) bool { return z != name && p.StatusOf(z).Share > 0 }):
 		err = errors.New("no zone would be left")
 	case s.proposing && try >= orderTries:
 		err = errors.New("another plan is being agreed; ask again")
@@ -242,13 +242,13 @@
 		done(err)
 		return
 	}
-	s.propose(p, s.keeper.Obey(s.core.Now(), p, name, o, why), done)
+	s.propose(p, s.keeper.ApplyOrder(s.core.Now(), p, name, o, why), done)
 }
 
 // told is what the list tells of the zones' nodes.
-func (s *Steer) told(p zone.Plan) map[string]zone.Nodes {
+func (s *Steer) told(p zone.Plan) map[string]zone.NodeStats {
 	now := s.core.Now()
-	list, warm, starts := make([]zone.Nodes, len(s.c.Zones)), make([]float64, len(s.c.Zones)), make([]map[string]time.Duration, len(s.c.Zones))
+	list, warm, starts := make([]zone.NodeStats, len(s.c.Zones)), make([]float64, len(s.c.Zones)), make([]map[string]time.Duration, len(s.c.Zones))
 	s.core.EachNode(func(m broker.ListedNode) {
 		if m.Zone < 0 || m.Zone >= len(list) || m.State != decide.Running {
 			return
@@ -264,14 +264,14 @@
 		}
 		warm[m.Zone] += share
 	})
-	out := map[string]zone.Nodes{}
+	out := map[string]zone.NodeStats{}
 	for i, z := range s.c.Zones {
 		n := list[i]
-		if n.Warm = 1; n.Running > 0 {
-			n.Warm = warm[i] / float64(n.Running)
+		if n.WarmShare = 1; n.Running > 0 {
+			n.WarmShare = warm[i] / float64(n.Running)
 		}
 		n.Only = s.core.Only(i)
-		n.Fell = s.fell(z, p.Of(z), starts[i])
+		n.Restarts = s.fell(z, p.StatusOf(z), starts[i])
 		out[z] = n
 	}
 	return out
@@ -302,7 +302,7 @@
 func (s *Steer) check() {
 	s.core.After(checkPace, s.check)
 	for i, z := range s.c.Zones {
-		left := s.acts.Of(z).Share == 0
+		left := s.acts.StatusOf(z).Share == 0
 		if !left && !s.survey.Silent(i) {
 			continue
 		}
@@ -310,7 +310,7 @@
 		if !left {
 			rate = silentRate
 		}
-		if !left || s.agreed.Of(z).Share == 0 {
+		if !left || s.agreed.StatusOf(z).Share == 0 {
 			rate /= float64(max(1, s.fleet.Mates()))
 		}
 		for s.credit[i] += rate * checkPace.Seconds(); s.credit[i] >= 1; s.credit[i]-- {
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -197,7 +197,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if !x.has(1, 0)() || !x.st.acts.Of("a").Held {
+	if !x.has(1, 0)() || !x.st.acts.StatusOf("a").Held {
 		t.Errorf("%+v", x.st.acts)
 	}
 	order("b", "return")
--- a/internal/fleet/survey/codec.go
+++ b/internal/fleet/survey/codec.go
@@ -32,11 +32,13 @@
 
 // counts are in the order of their fields; new ones come last.
 func counts(e *zone.Evidence) []*uint32 {
-	return []*uint32{&e.InTime, &e.Late, &e.Silent, &e.Refused, &e.Failed, &e.Unreached, &e.Unheard}
+	return []*uint32{&e.InTime, &e.Late, &e.Unanswered, &e.Refused, &e.Failed, &e.Unconnected, &e.Overdue}
 }
 
 // nodes likewise.
-func nodes(e *zone.Evidence) []*uint16 { return []*uint16{&e.Nodes, &e.Bad, &e.Turning} }
+func nodes(e *zone.Evidence) []*uint16 {
+	return []*uint16{&e.Nodes, &e.BadNodes, &e.TransitioningNodes}
+}
 
 const (
 	longest   = 64 // name, in bytes
@@ -59,8 +61,8 @@
 		for i, n := range nodes(&e) {
 			x = fields.AppendUint(x, fNodes+protowire.Number(i), uint64(*n))
 		}
-		x = fields.AppendUint(x, fQuiet, uint64(max(0, e.Quiet)))
-		x = fields.AppendBytes(x, fLatency, e.Latencies())
+		x = fields.AppendUint(x, fQuiet, uint64(max(0, e.SilentFor)))
+		x = fields.AppendBytes(x, fLatency, e.EncodeLatencies())
 		b = fields.AppendBytes(b, fEvidence, x)
 	}
 	return b
@@ -99,9 +101,9 @@
 		case n == fName:
 			name = string(v)
 		case n == fQuiet:
-			e.Quiet = time.Duration(min(x, 1<<62))
+			e.SilentFor = time.Duration(min(x, 1<<62))
 		case n == fLatency:
-			return e.SetLatencies(v) == nil
+			return e.DecodeLatencies(v) == nil
 		case i >= 0 && i < len(counts):
 			*counts[i] = uint32(min(x, mostParts))
 		case k >= 0 && k < len(nodes):
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -62,7 +62,7 @@
 	seen    []*seen // by zone
 	seq     uint64
 	leads   bool
-	board   *zone.Board
+	board   *zone.ReportStore
 	judge   *zone.Judge
 	judged  zone.Judgement
 	changed map[string]time.Duration // when a zone's verdict last did
@@ -89,7 +89,7 @@
 // New gathers evidence. Zones are those of the settings, as nodes name them by number.
 func New(core Core, fleet Fleet, voters Voters, name, home string, zones []string, cold time.Duration, log zerolog.Logger) *Survey {
 	s := &Survey{core: core, fleet: fleet, voters: voters, name: name, home: home, zones: zones, cold: cold, log: log,
-		board: zone.NewBoard(), judge: zone.NewJudge(), changed: map[string]time.Duration{}}
+		board: zone.NewReportStore(), judge: zone.NewJudge(), changed: map[string]time.Duration{}}
 	for range zones {
 		s.seen = append(s.seen, &seen{nodes: map[string]*tally{}, words: map[string]time.Duration{}})
 	}
@@ -122,7 +122,7 @@
 	heard, vain := true, o != decide.OK
 	switch o {
 	case decide.OK:
-		x.Answered(took, !late)
+		x.RecordAnswer(took, !late)
 		if x.usual == 0 {
 			x.usual = took
 		}
@@ -135,7 +135,7 @@
 		x.Failed++
 		heard = false
 	case decide.ConnectFailed:
-		x.Unreached++
+		x.Unconnected++
 		heard = false
 	case decide.TimedOut, decide.Cancelled:
 		// One that a copy elsewhere has answered was out for less: it counts if others would
@@ -145,9 +145,9 @@
 		}
 		// One that answers checks is slow, not silent: a copy was quicker.
 		if at, spoke := x.words[m.ID]; o == decide.Cancelled && spoke && s.core.Now()-at < wordTime {
-			x.Answered(took, false)
+			x.RecordAnswer(took, false)
 		} else {
-			x.Silent++
+			x.Unanswered++
 		}
 		heard = false
 	default:
@@ -218,27 +218,27 @@
 	r := zone.Report{Mixer: s.name, Zone: s.home, Seq: s.seq, Lag: s.core.Lag(), Zones: map[string]zone.Evidence{}}
 	for i, x := range s.seen {
 		e := x.Evidence
-		e.Turning, e.Nodes = turning[i], uint16(len(x.nodes))
+		e.TransitioningNodes, e.Nodes = turning[i], uint16(len(x.nodes))
 		for _, n := range x.nodes {
 			if n.parts >= leastBad && 2*n.vain > n.parts {
-				e.Bad++
+				e.BadNodes++
 			}
 		}
-		e.Unheard, e.Quiet = x.unheard, now-x.word
+		e.Overdue, e.SilentFor = x.unheard, now-x.word
 		if x.unheard == 0 {
-			e.Quiet = 0 // nothing was due
+			e.SilentFor = 0 // nothing was due
 		}
-		if e.Sent() > 0 || e.Unheard > 0 {
+		if e.Sent() > 0 || e.Overdue > 0 {
 			r.Zones[s.zones[i]] = e
 		}
 		x.Evidence = zone.Evidence{}
 		clear(x.nodes)
 		maps.DeleteFunc(x.words, func(_ string, at time.Duration) bool { return now-at > wordTime })
-		if e.Quiet > mostLate {
+		if e.SilentFor > mostLate {
 			x.unheard, x.word = 0, now // so long ago says nothing of now
 		}
 	}
-	s.board.Take(now, r)
+	s.board.Put(now, r)
 	if to := s.voters.Leader(); to != "" && to != s.name {
 		s.fleet.Say(to, encode(r))
 	}
@@ -251,7 +251,7 @@
 		return
 	}
 	s.reports++
-	s.board.Take(s.core.Now(), r)
+	s.board.Put(s.core.Now(), r)
 }
 
 func (s *Survey) look() {
@@ -259,14 +259,14 @@
 	now, leads := s.core.Now(), s.voters.Leader() == s.name
 	if leads != s.leads {
 		// What is held of others is of when we led last, or begins now.
-		s.leads, s.board, s.judge, s.judged = leads, zone.NewBoard(), zone.NewJudge(), zone.Judgement{}
+		s.leads, s.board, s.judge, s.judged = leads, zone.NewReportStore(), zone.NewJudge(), zone.Judgement{}
 		s.looked()
 		return
 	}
 	defer s.looked()
 	before := s.judged
-	s.judged = s.judge.Look(now, s.board)
-	for _, z := range s.judged.Names() {
+	s.judged = s.judge.Evaluate(now, s.board)
+	for _, z := range s.judged.ZoneNames() {
 		was, is := before.Zones[z], s.judged.Zones[z]
 		if was == is {
 			continue
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -145,7 +145,7 @@
 	s.Observe(broker.ListedNode{}, decide.OK, 1, time.Second) // not listed any more
 	e := s.seen[0].Evidence
 	e.Latency = nil
-	if diff := cmp.Diff(zone.Evidence{InTime: 1, Late: 1, Silent: 2, Failed: 2, Refused: 1, Unreached: 1}, e); diff != "" {
+	if diff := cmp.Diff(zone.Evidence{InTime: 1, Late: 1, Unanswered: 2, Failed: 2, Refused: 1, Unconnected: 1}, e); diff != "" {
 		t.Error(diff)
 	}
 	if s.seen[0].unheard != 2 {
@@ -154,9 +154,9 @@
 }
 
 func TestReportsTravel(t *testing.T) {
-	e := zone.Evidence{InTime: 5, Late: 1, Silent: 2, Refused: 3, Failed: 4, Unreached: 6, Nodes: 9, Bad: 2, Turning: 1, Unheard: 7, Quiet: 900 * ms}
+	e := zone.Evidence{InTime: 5, Late: 1, Unanswered: 2, Refused: 3, Failed: 4, Unconnected: 6, Nodes: 9, BadNodes: 2, TransitioningNodes: 1, Overdue: 7, SilentFor: 900 * ms}
 	for i := range 50 {
-		e.Answered(time.Duration(i+1)*ms, true)
+		e.RecordAnswer(time.Duration(i+1)*ms, true)
 	}
 	r := zone.Report{Mixer: "n1", Zone: "a", Seq: 8, Lag: 3 * ms, Zones: map[string]zone.Evidence{"b": e, "c": {InTime: 1}}}
 	text := encode(r)
@@ -184,7 +184,7 @@
 
 func FuzzReport(f *testing.F) {
 	e := zone.Evidence{InTime: 5, Nodes: 9}
-	e.Answered(20*ms, true)
+	e.RecordAnswer(20*ms, true)
 	f.Add(encode(zone.Report{Mixer: "n1", Zone: "a", Seq: 8, Zones: map[string]zone.Evidence{"b": e}}))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -192,10 +192,10 @@
 		if err != nil {
 			return
 		}
-		board, judge := zone.NewBoard(), zone.NewJudge()
+		board, judge := zone.NewReportStore(), zone.NewJudge()
 		for i := range 3 {
-			board.Take(time.Hour, r)
-			judge.Look(time.Hour+time.Duration(i)*time.Second, board)
+			board.Put(time.Hour, r)
+			judge.Evaluate(time.Hour+time.Duration(i)*time.Second, board)
 		}
 	})
 }
--- a/internal/fleet/zone/cases_test.go
+++ b/internal/fleet/zone/cases_test.go
@@ -54,11 +54,11 @@
 				if got := w.judged.Zones["b"].String(); got != c.verdict {
 					t.Errorf("seed %d: b is %s (%s)\n%s", seed, got, w.judged.Why["b"], w.told())
 				}
-				if left := w.plan.Of("b").Phase != In; left != c.left {
+				if left := w.plan.StatusOf("b").Phase != In; left != c.left {
 					t.Errorf("seed %d: b is left: %v\n%s", seed, left, w.told())
 				}
 				for _, z := range []string{"a", "c"} {
-					if w.plan.Of(z).Phase != In {
+					if w.plan.StatusOf(z).Phase != In {
 						t.Errorf("seed %d: %s is left\n%s", seed, z, w.told())
 					}
 				}
@@ -157,7 +157,7 @@
 			r.bad = 0
 		}
 		for _, z := range three {
-			if s := w.plan.Of(z); s.Phase != In {
+			if s := w.plan.StatusOf(z); s.Phase != In {
 				t.Fatalf("%s is %v for nothing: %s\n%s", z, s.Phase, s.Why, w.told())
 			}
 		}
@@ -174,7 +174,7 @@
 		w.rooms["a"].slow = 1.2 // it can do less than anybody believes
 		w.rate *= 1.35
 		w.run(20 * time.Second)
-		if w.plan.Of("a").Phase != In || w.plan.Of("c").Phase != In {
+		if w.plan.StatusOf("a").Phase != In || w.plan.StatusOf("c").Phase != In {
 			t.Errorf("seed %d: another zone is left\n%s", seed, w.told())
 		}
 		if strings.Contains(w.told(), "taken back") {
@@ -219,12 +219,12 @@
 		t.Fatal(w.told())
 	}
 	b.dark, b.cold = false, w.now
-	w.until(20*time.Second, func() bool { s := w.plan.Of("b"); return s.Phase == Returning && s.Step >= 2 })
-	step := w.plan.Of("b").Step
-	w.board, w.judge, w.keeper = NewBoard(), NewJudge(), NewKeeper(testConfig)
+	w.until(20*time.Second, func() bool { s := w.plan.StatusOf("b"); return s.Phase == Returning && s.Step >= 2 })
+	step := w.plan.StatusOf("b").Step
+	w.board, w.judge, w.keeper = NewReportStore(), NewJudge(), NewPlanner(testConfig)
 	w.leader = w.mixers[5]
 	w.run(time.Second)
-	if s := w.plan.Of("b"); s.Step < step || s.Phase != Returning {
+	if s := w.plan.StatusOf("b"); s.Step < step || s.Phase != Returning {
 		t.Errorf("%+v after another leads, step %d before\n%s", s, step, w.told())
 	}
 	if w.until(30*time.Second, w.everywhere("b", isIn)) < 0 || b.down {
@@ -235,29 +235,29 @@
 // TestOrders: an operator's word goes before the machine's.
 func TestOrders(t *testing.T) {
 	w := newWorld(t, 6, 12, three...)
-	w.adopt(w.keeper.Obey(w.now, w.plan, "c", LeaveNow, "we work there"))
+	w.adopt(w.keeper.ApplyOrder(w.now, w.plan, "c", OrderLeave, "we work there"))
 	w.run(30 * time.Second)
-	if s := w.plan.Of("c"); !isLeft(s) || !strings.Contains(s.Why, "we work there") {
+	if s := w.plan.StatusOf("c"); !isLeft(s) || !strings.Contains(s.Why, "we work there") {
 		t.Errorf("%+v: the machine undid an order", s)
 	}
 	w.rooms["b"].dark = true
 	w.run(5 * time.Second)
-	if !isLeft(w.plan.Of("b")) {
+	if !isLeft(w.plan.StatusOf("b")) {
 		t.Errorf("a dark zone is not left while another is held\n%s", w.told())
 	}
 	w.rooms["b"].dark = false
-	w.adopt(w.keeper.Obey(w.now, w.plan, "c", ReturnNow, "done"))
-	if w.until(40*time.Second, func() bool { return isIn(w.plan.Of("c")) && isIn(w.plan.Of("b")) }) < 0 {
+	w.adopt(w.keeper.ApplyOrder(w.now, w.plan, "c", OrderReturn, "done"))
+	if w.until(40*time.Second, func() bool { return isIn(w.plan.StatusOf("c")) && isIn(w.plan.StatusOf("b")) }) < 0 {
 		t.Error(w.told())
 	}
-	w.adopt(w.keeper.Obey(w.now, w.plan, "a", HoldNow, "we look at it"))
+	w.adopt(w.keeper.ApplyOrder(w.now, w.plan, "a", OrderHold, "we look at it"))
 	w.rooms["a"].dark = true
 	w.run(5 * time.Second)
-	if s := w.plan.Of("a"); s.Phase != In || !s.Held {
+	if s := w.plan.StatusOf("a"); s.Phase != In || !s.Held {
 		t.Errorf("%+v: left though it is held", s)
 	}
-	w.adopt(w.keeper.Obey(w.now, w.plan, "a", LetGo, "look yourselves"))
-	if w.until(5*time.Second, func() bool { return isLeft(w.plan.Of("a")) }) < 0 {
+	w.adopt(w.keeper.ApplyOrder(w.now, w.plan, "a", OrderRelease, "look yourselves"))
+	if w.until(5*time.Second, func() bool { return isLeft(w.plan.StatusOf("a")) }) < 0 {
 		t.Error(w.told())
 	}
 }
@@ -282,7 +282,7 @@
 	}
 	t.Logf("300 mixers, six zones: left everywhere after %v, back after %v, cold nodes sent %.2f of what they can do at most", took, back, b.worst)
 	for _, z := range names {
-		if z != "b" && w.plan.Of(z).Phase != In {
+		if z != "b" && w.plan.StatusOf(z).Phase != In {
 			t.Errorf("%s is left\n%s", z, w.told())
 		}
 	}
@@ -290,7 +290,7 @@
 
 // TestAPairFirstSeenWhileAllAreSlow is no measure of itself: nothing was sent between the two before.
 func TestAPairFirstSeenWhileAllAreSlow(t *testing.T) {
-	b, j, now, seq := NewBoard(), NewJudge(), time.Hour, uint64(0)
+	b, j, now, seq := NewReportStore(), NewJudge(), time.Hour, uint64(0)
 	var got Judgement
 	look := func(d time.Duration, took time.Duration, zones ...string) {
 		for end := now + d; now < end; now += 200 * ms {
@@ -299,12 +299,12 @@
 				for _, z := range zones {
 					e := Evidence{Nodes: 3}
 					for range 20 {
-						e.Answered(took, took < 100*ms)
+						e.RecordAnswer(took, took < 100*ms)
 					}
-					b.Take(now, Report{Mixer: "n-" + z, Zone: z, Seq: seq, Zones: map[string]Evidence{z: e}})
+					b.Put(now, Report{Mixer: "n-" + z, Zone: z, Seq: seq, Zones: map[string]Evidence{z: e}})
 				}
 			}
-			got = j.Look(now, b)
+			got = j.Evaluate(now, b)
 		}
 	}
 	look(20*time.Second, 5*ms, "a", "c")
@@ -316,21 +316,21 @@
 
 // TestEvidenceIsBounded against reports without end, old ones, and sketches of others.
 func TestEvidenceIsBounded(t *testing.T) {
-	b := NewBoard()
+	b := NewReportStore()
 	for i := range 2 * mostMixer {
-		b.Take(time.Hour, Report{Mixer: fmt.Sprint(i), Zone: "a", Seq: 1})
+		b.Put(time.Hour, Report{Mixer: fmt.Sprint(i), Zone: "a", Seq: 1})
 	}
 	if len(b.mixers) != mostMixer {
 		t.Errorf("%d mixers are remembered", len(b.mixers))
 	}
-	b.Forget(2 * time.Hour)
+	b.DropStale(2 * time.Hour)
 	if len(b.mixers) != 0 {
 		t.Errorf("%d mixers are never forgotten", len(b.mixers))
 	}
 	now := 3 * time.Hour
 	for i := range 10 {
-		b.Take(now, Report{Mixer: "m", Zone: "a", Seq: uint64(i + 1), Zones: map[string]Evidence{"z": {InTime: 1}}})
-		b.Take(now, Report{Mixer: "m", Zone: "a", Seq: uint64(i + 1), Zones: map[string]Evidence{"z": {InTime: 100}}})
+		b.Put(now, Report{Mixer: "m", Zone: "a", Seq: uint64(i + 1), Zones: map[string]Evidence{"z": {InTime: 1}}})
+		b.Put(now, Report{Mixer: "m", Zone: "a", Seq: uint64(i + 1), Zones: map[string]Evidence{"z": {InTime: 100}}})
 	}
 	if rows := b.rows(now); len(rows) != 1 || rows[0].sees["z"].InTime != span {
 		t.Errorf("%+v", rows)
--- a/internal/fleet/zone/every_test.go
+++ b/internal/fleet/zone/every_test.go
@@ -9,8 +9,8 @@
 )
 
 // clone is a keeper that goes its own way from here.
-func (k *Keeper) clone() *Keeper {
-	next := &Keeper{c: k.c, known: map[string]*memo{}, moved: append([]moved(nil), k.moved...)}
+func (k *Planner) clone() *Planner {
+	next := &Planner{c: k.c, known: map[string]*memo{}, moved: append([]moved(nil), k.moved...)}
 	for z, m := range k.known {
 		c := *m
 		next.known[z] = &c
@@ -21,7 +21,7 @@
 // way is one way through all that two zones may look like.
 type way struct {
 	t      *testing.T
-	keeper *Keeper
+	keeper *Planner
 	now    time.Duration
 	plan   Plan
 	words  string // how it came to this
@@ -37,7 +37,7 @@
 	bad := func(format string, args ...any) { w.t.Fatalf("%s: %s", w.words, fmt.Sprintf(format, args...)) }
 	out := 0
 	for _, z := range []string{"a", "b"} {
-		a, b := was.Of(z), next.Of(z)
+		a, b := was.StatusOf(z), next.StatusOf(z)
 		if b.Share < 0 || b.Share > 1 || b.Phase == In && b.Share != 1 {
 			bad("%s: %+v", z, b)
 		}
@@ -59,7 +59,7 @@
 			bad("%s, which is %v, is left: %+v to %+v", z, j.Zones[z], a, b)
 		}
 	}
-	if out == 2 && !was.Of("a").Held && !was.Of("b").Held {
+	if out == 2 && !was.StatusOf("a").Held && !was.StatusOf("b").Held {
 		bad("both zones are left: %+v, then %+v", was, next)
 	}
 }
@@ -75,7 +75,7 @@
 	}
 	w.states[key] = true
 	*w.count++
-	power := map[string]Power{"a": {Can: 100, Warm: 1, Load: 40, Usual: 40}, "b": {Can: 100, Warm: 0.5, Load: 40, Usual: 40, Down: depth % 2}}
+	power := map[string]Capacity{"a": {Total: 100, WarmShare: 1, Load: 40, UsualLoad: 40}, "b": {Total: 100, WarmShare: 0.5, Load: 40, UsualLoad: 40, RestartedNodes: depth % 2}}
 	for _, a := range looks {
 		for _, b := range looks {
 			j := Judgement{Zones: map[string]Verdict{"a": a, "b": b}, Why: map[string]string{}}
@@ -83,7 +83,7 @@
 				next := w
 				next.keeper = w.keeper.clone()
 				if other {
-					next.keeper = NewKeeper(w.keeper.c)
+					next.keeper = NewPlanner(w.keeper.c)
 				}
 				next.words += fmt.Sprintf(" %v/%v", a, b)
 				if other {
@@ -101,20 +101,20 @@
 			}
 		}
 	}
-	for _, o := range []Order{LeaveNow, ReturnNow, HoldNow, LetGo} {
-		if o == LeaveNow && w.plan.Of("a").Share == 0 {
+	for _, o := range []Order{OrderLeave, OrderReturn, OrderHold, OrderRelease} {
+		if o == OrderLeave && w.plan.StatusOf("a").Share == 0 {
 			continue // no operator is let do it
 		}
 		next := w
 		next.keeper = w.keeper.clone()
 		next.words += fmt.Sprintf(" order %d", o)
-		next.plan = next.keeper.Obey(next.now, next.plan, "b", o, "a test")
+		next.plan = next.keeper.ApplyOrder(next.now, next.plan, "b", o, "a test")
 		next.explore(depth - 1)
 	}
 }
 
 // told is all that a keeper remembers.
-func (k *Keeper) told() string {
+func (k *Planner) told() string {
 	s := fmt.Sprint(k.moved)
 	for _, z := range []string{"a", "b"} {
 		if m := k.known[z]; m != nil {
@@ -135,10 +135,10 @@
 		c := testConfig
 		c.Manual = manual
 		n := 0
-		start := way{t: t, keeper: NewKeeper(c), now: time.Hour, states: map[string]bool{}, count: &n, manual: manual}
+		start := way{t: t, keeper: NewPlanner(c), now: time.Hour, states: map[string]bool{}, count: &n, manual: manual}
 		start.explore(depth)
 		returning := start // and from the middle of a return
-		returning.plan = Plan{Seq: 7, Zones: map[string]Stand{"b": {Phase: Returning, Step: 3, Share: steps[3], Failed: 1}}}
+		returning.plan = Plan{Seq: 7, Zones: map[string]Stand{"b": {Phase: Returning, Step: 3, Share: steps[3], Failures: 1}}}
 		returning.explore(depth)
 		t.Logf("manual %v: %d states", manual, n)
 	}
@@ -146,31 +146,31 @@
 
 // TestTheGaugeLearnsWhatNodesBear and keeps what was usual while a zone is left.
 func TestTheGaugeLearnsWhatNodesBear(t *testing.T) {
-	g := NewGauge()
-	nodes := map[string]Nodes{"a": {Running: 4, Warm: 1}, "b": {Running: 4, Warm: 1, Only: 0.25}}
+	g := NewCapacityEstimator()
+	nodes := map[string]NodeStats{"a": {Running: 4, WarmShare: 1}, "b": {Running: 4, WarmShare: 1, Only: 0.25}}
 	j := Judgement{Zones: map[string]Verdict{"a": Sound, "b": Sound}}
 	now := time.Hour
-	var p map[string]Power
+	var p map[string]Capacity
 	for range 60 {
 		now += time.Second
-		p = g.Take(now, Plan{}, j, map[string]float64{"a": 80, "b": 40}, nodes)
+		p = g.Update(now, Plan{}, j, map[string]float64{"a": 80, "b": 40}, nodes)
 	}
-	if got := p["b"]; got.Usual != 40 || got.Load != 40 || got.Only != 0.25 || got.Can < 115 || got.Can > 120 { // 1.5 times what a node of a bore
+	if got := p["b"]; got.UsualLoad != 40 || got.Load != 40 || got.Only != 0.25 || got.Total < 115 || got.Total > 120 { // 1.5 times what a node of a bore
 		t.Errorf("b: %+v", got)
 	}
 	left := Plan{Zones: map[string]Stand{"b": {Phase: Leaving}}}
 	for range 60 {
 		now += time.Second
-		p = g.Take(now, left, j, map[string]float64{"a": 120, "b": 0}, maps.Clone(nodes))
+		p = g.Update(now, left, j, map[string]float64{"a": 120, "b": 0}, maps.Clone(nodes))
 	}
-	if got := p["b"]; got.Usual != 40 || got.Can < 170 {
+	if got := p["b"]; got.UsualLoad != 40 || got.Total < 170 {
 		t.Errorf("b, which is left: %+v", got)
 	}
-	if got := p["a"]; got.Usual != 80 || got.Load != 120 {
+	if got := p["a"]; got.UsualLoad != 80 || got.Load != 120 {
 		t.Errorf("a, which carries it: %+v", got)
 	}
 	now += time.Second
-	if p = g.Take(now, left, Judgement{Zones: map[string]Verdict{"a": Slow, "b": Sound}}, map[string]float64{"a": 900, "b": 0}, nodes); p["a"].Can > 190 {
+	if p = g.Update(now, left, Judgement{Zones: map[string]Verdict{"a": Slow, "b": Sound}}, map[string]float64{"a": 900, "b": 0}, nodes); p["a"].Total > 190 {
 		t.Errorf("what a is sent while it is slow counts as borne: %+v", p["a"])
 	}
 }
--- a/internal/fleet/zone/evidence.go
+++ b/internal/fleet/zone/evidence.go
@@ -34,30 +34,30 @@
 // Evidence is what one mixer saw of one zone's nodes since its last report. Of a zone
 // that is left or silent checks count as parts do: they are all there is.
 type Evidence struct {
-	InTime    uint32 // parts answered within the time that was planned for them
-	Late      uint32 // answered, and later
-	Silent    uint32 // given up without a word
-	Refused   uint32 // turned away
-	Failed    uint32 // answered with an error, or broken off
-	Unreached uint32 // whose connection never came up
-	Nodes     uint16 // that it sent to
-	Bad       uint16 // those of which most parts were none of the first two
-	Turning   uint16 // those that leave or are cold, by the list
+	InTime             uint32 // parts answered within the time that was planned for them
+	Late               uint32 // answered, and later
+	Unanswered         uint32 // given up without a word
+	Refused            uint32 // turned away
+	Failed             uint32 // answered with an error, or broken off
+	Unconnected        uint32 // whose connection never came up
+	Nodes              uint16 // that it sent to
+	BadNodes           uint16 // those of which most parts were none of the first two
+	TransitioningNodes uint16 // those that leave or are cold, by the list
 	// Unheard parts were sent since the last word of any of its nodes, which came Quiet ago,
 	// and should have been answered by now.
-	Unheard uint32
-	Quiet   time.Duration
+	Overdue   uint32
+	SilentFor time.Duration
 	// Latency is of the answers, in seconds; nil: there were none.
 	Latency *ddsketch.DDSketch
 }
 
 // Sent is how many parts it rests on.
 func (e Evidence) Sent() uint32 {
-	return e.InTime + e.Late + e.Silent + e.Refused + e.Failed + e.Unreached
+	return e.InTime + e.Late + e.Unanswered + e.Refused + e.Failed + e.Unconnected
 }
 
 // lost is the share of parts of which nothing was heard.
-func (e Evidence) lost() float64 { return share(e.Silent+e.Unreached, e.Sent()) }
+func (e Evidence) lost() float64 { return share(e.Unanswered+e.Unconnected, e.Sent()) }
 
 // wrong is the share of parts that were of no use.
 func (e Evidence) wrong() float64 { return share(e.Sent()-e.InTime-e.Late, e.Sent()) }
@@ -73,7 +73,7 @@
 }
 
 // Answered notes an answer's latency.
-func (e *Evidence) Answered(took time.Duration, inTime bool) {
+func (e *Evidence) RecordAnswer(took time.Duration, inTime bool) {
 	if e.Latency == nil {
 		e.Latency = newSketch()
 	}
@@ -96,7 +96,7 @@
 }
 
 // Latencies is the sketch as it travels; nil: there is none.
-func (e Evidence) Latencies() (b []byte) {
+func (e Evidence) EncodeLatencies() (b []byte) {
 	if e.Latency != nil {
 		e.Latency.Encode(&b, true)
 	}
@@ -104,7 +104,7 @@
 }
 
 // SetLatencies takes one that has travelled.
-func (e *Evidence) SetLatencies(b []byte) error {
+func (e *Evidence) DecodeLatencies(b []byte) error {
 	s := newSketch()
 	if len(b) > longestSketch {
 		return errors.New("a sketch that is too long")
@@ -122,16 +122,16 @@
 // add adds the counts of another report of the same zone.
 func (e *Evidence) add(o Evidence) {
 	switch {
-	case o.Sent()+o.Unheard == 0:
-	case e.Sent()+e.Unheard == 0:
-		e.Quiet = o.Quiet
+	case o.Sent()+o.Overdue == 0:
+	case e.Sent()+e.Overdue == 0:
+		e.SilentFor = o.SilentFor
 	default:
-		e.Quiet = min(e.Quiet, o.Quiet)
+		e.SilentFor = min(e.SilentFor, o.SilentFor)
 	}
-	e.Unheard += o.Unheard
-	e.InTime, e.Late, e.Silent = e.InTime+o.InTime, e.Late+o.Late, e.Silent+o.Silent
-	e.Refused, e.Failed, e.Unreached = e.Refused+o.Refused, e.Failed+o.Failed, e.Unreached+o.Unreached
-	e.Nodes, e.Bad, e.Turning = max(e.Nodes, o.Nodes), max(e.Bad, o.Bad), max(e.Turning, o.Turning)
+	e.Overdue += o.Overdue
+	e.InTime, e.Late, e.Unanswered = e.InTime+o.InTime, e.Late+o.Late, e.Unanswered+o.Unanswered
+	e.Refused, e.Failed, e.Unconnected = e.Refused+o.Refused, e.Failed+o.Failed, e.Unconnected+o.Unconnected
+	e.Nodes, e.BadNodes, e.TransitioningNodes = max(e.Nodes, o.Nodes), max(e.BadNodes, o.BadNodes), max(e.TransitioningNodes, o.TransitioningNodes)
 }
 
 // addLatency adds its latencies, which takes far longer than the counts.
@@ -167,7 +167,7 @@
 }
 
 // Board keeps the latest reports of all mixers.
-type Board struct {
+type ReportStore struct {
 	mixers map[string]*source
 }
 
@@ -183,17 +183,17 @@
 }
 
 // NewBoard returns a Board without reports.
-func NewBoard() *Board { return &Board{mixers: map[string]*source{}} }
+func NewReportStore() *ReportStore { return &ReportStore{mixers: map[string]*source{}} }
 
 // Take takes a report. One that is old, or comes again, changes nothing.
-func (b *Board) Take(now time.Duration, r Report) {
+func (b *ReportStore) Put(now time.Duration, r Report) {
 	if r.Mixer == "" || r.Zone == "" || len(r.Zones) > mostZones {
 		return
 	}
 	s := b.mixers[r.Mixer]
 	if s == nil {
 		if len(b.mixers) >= mostMixer {
-			b.Forget(now)
+			b.DropStale(now)
 		}
 		if len(b.mixers) >= mostMixer {
 			return // guards memory against names without end
@@ -216,7 +216,7 @@
 }
 
 // Forget drops mixers of which nothing has come for long.
-func (b *Board) Forget(now time.Duration) {
+func (b *ReportStore) DropStale(now time.Duration) {
 	for name, s := range b.mixers {
 		if len(s.list) == 0 || now-s.list[len(s.list)-1].at > 20*fresh {
 			delete(b.mixers, name)
@@ -234,7 +234,7 @@
 }
 
 // rows are all mixers' evidence that still counts, by name.
-func (b *Board) rows(now time.Duration) (list []row) {
+func (b *ReportStore) rows(now time.Duration) (list []row) {
 	for name, s := range b.mixers {
 		r := row{mixer: name, zone: s.zone, sees: map[string]Evidence{}}
 		for _, k := range s.list {
--- a/internal/fleet/zone/plan.go
+++ b/internal/fleet/zone/plan.go
@@ -23,14 +23,14 @@
 
 // Stand is how the fleet stands to one zone. It is what mixers agree on.
 type Stand struct {
-	Phase  Phase   `json:"phase"`
-	Share  float64 `json:"share"`            // of what would be sent there, that is
-	Step   int     `json:"step,omitempty"`   // Returning: how far
-	Failed int     `json:"failed,omitempty"` // how often it was left of late
-	Held   bool    `json:"held,omitempty"`   // an operator's word: the machine leaves it as it is
-	Forced bool    `json:"forced,omitempty"` // Returning by an operator's word, whatever it looks like
-	Usual  float64 `json:"usual,omitempty"`  // parts a second that were sent there before it was left, for a leader who did not see it
-	Why    string  `json:"why,omitempty"`
+	Phase     Phase   `json:"phase"`
+	Share     float64 `json:"share"`            // of what would be sent there, that is
+	Step      int     `json:"step,omitempty"`   // Returning: how far
+	Failures  int     `json:"failed,omitempty"` // how often it was left of late
+	Held      bool    `json:"held,omitempty"`   // an operator's word: the machine leaves it as it is
+	Forced    bool    `json:"forced,omitempty"` // Returning by an operator's word, whatever it looks like
+	UsualLoad float64 `json:"usual,omitempty"`  // parts a second that were sent there before it was left, for a leader who did not see it
+	Why       string  `json:"why,omitempty"`
 }
 
 // Plan is how the fleet stands to all zones. A zone that it does not name is used as ever.
@@ -40,7 +40,7 @@
 }
 
 // Of is how the fleet stands to a zone.
-func (p Plan) Of(zone string) Stand {
+func (p Plan) StatusOf(zone string) Stand {
 	if s, ok := p.Zones[zone]; ok {
 		return s
 	}
@@ -48,33 +48,33 @@
 }
 
 // Power is what a zone's nodes can do and are asked for, in any unit of work a second.
-type Power struct {
-	Can   float64 // all its nodes, warm
-	Warm  float64 // share of that which they can do now, by their starts; 1: all are warm
-	Load  float64 // what is sent there now
-	Usual float64 // what is sent there while it is used as ever; 0: as now
-	Only  float64 // share of its work that no other zone's nodes can do: it is still asked there
-	Down  int     // nodes that were pushed over since it returns
+type Capacity struct {
+	Total          float64 // all its nodes, warm
+	WarmShare      float64 // share of that which they can do now, by their starts; 1: all are warm
+	Load           float64 // what is sent there now
+	UsualLoad      float64 // what is sent there while it is used as ever; 0: as now
+	Only           float64 // share of its work that no other zone's nodes can do: it is still asked there
+	RestartedNodes int     // nodes that were pushed over since it returns
 }
 
-func (p Power) room() float64 { return max(0, fill*p.Can*p.Warm-p.Load) }
+func (p Capacity) room() float64 { return max(0, fill*p.Total*p.WarmShare-p.Load) }
 
-func (p Power) usual() float64 {
-	if p.Usual > 0 {
-		return p.Usual
+func (p Capacity) usual() float64 {
+	if p.UsualLoad > 0 {
+		return p.UsualLoad
 	}
 	return p.Load
 }
 
 // beyond reports whether a share of what is usually sent to a zone is more than its nodes bear
 // by now.
-func (p Power) beyond(share float64, s Stand) bool {
-	usual := max(p.Usual, s.Usual)
-	return usual > 0 && p.Can > 0 && share*usual > margin*p.Can*p.Warm
+func (p Capacity) beyond(share float64, s Stand) bool {
+	usual := max(p.UsualLoad, s.UsualLoad)
+	return usual > 0 && p.Total > 0 && share*usual > margin*p.Total*p.WarmShare
 }
 
 // bears is the last step of a return that is not beyond them; the first one always is not.
-func (p Power) bears(s Stand) int {
+func (p Capacity) bears(s Stand) int {
 	step := len(steps) - 1
 	for step > 1 && p.beyond(steps[step], s) {
 		step--
@@ -113,15 +113,15 @@
 
 // stepTime is how long a step of a return lasts: all of them take half of the cold time, where
 // anything is cold. That no step goes beyond what cold nodes bear is seen to besides.
-func (c Config) stepTime(p Power) time.Duration {
-	if p.Warm >= 1 {
+func (c Config) stepTime(p Capacity) time.Duration {
+	if p.WarmShare >= 1 {
 		return warmStep
 	}
 	return max(warmStep, c.WarmupTime/time.Duration(2*(len(steps)-1)))
 }
 
 // Keeper decides, at whoever leads. A new leader begins anew: what was to wait waits again.
-type Keeper struct {
+type Planner struct {
 	c     Config
 	known map[string]*memo
 	moved []moved
@@ -146,9 +146,9 @@
 }
 
 // NewKeeper returns a Keeper.
-func NewKeeper(c Config) *Keeper { return &Keeper{c: c, known: map[string]*memo{}} }
+func NewPlanner(c Config) *Planner { return &Planner{c: c, known: map[string]*memo{}} }
 
-func (k *Keeper) of(zone string) *memo {
+func (k *Planner) of(zone string) *memo {
 	m := k.known[zone]
 	if m == nil {
 		m = &memo{sound: -1, step: -1, left: -1, taken: -1, urged: -1}
@@ -159,8 +159,8 @@
 
 // Next is the plan that follows from what is known, and whether it is another one. At most
 // one zone is changed at a time, the worst first.
-func (k *Keeper) Next(now time.Duration, p Plan, j Judgement, power map[string]Power) (Plan, bool) {
-	names := j.Names()
+func (k *Planner) Next(now time.Duration, p Plan, j Judgement, power map[string]Capacity) (Plan, bool) {
+	names := j.ZoneNames()
 	for zone := range p.Zones {
 		if !slices.Contains(names, zone) {
 			names = append(names, zone)
@@ -184,7 +184,7 @@
 		return p.with(zone, s), true
 	}
 	for _, zone := range names {
-		s := p.Of(zone)
+		s := p.StatusOf(zone)
 		if s.Held {
 			continue
 		}
@@ -215,18 +215,18 @@
 // to it, it leaves at once, before all have agreed; unless all are: then it is cut off
 // itself, and what it leaves would help nobody. On a return the plan alone counts: so
 // that no mixer takes what others leave.
-func (p Plan) Acts(own Judgement) Plan {
+func (p Plan) WithOwnEvidence(own Judgement) Plan {
 	if allDark(own) {
 		return p
 	}
 	next := Plan{Seq: p.Seq, Zones: map[string]Stand{}}
 	maps.Copy(next.Zones, p.Zones)
-	for _, zone := range own.Names() {
-		if s := p.Of(zone); own.Zones[zone] == Dark && s.Phase == In && !s.Held {
+	for _, zone := range own.ZoneNames() {
+		if s := p.StatusOf(zone); own.Zones[zone] == Dark && s.Phase == In && !s.Held {
 			next.Zones[zone] = Stand{Phase: Leaving, Why: "dark to this mixer"}
 		}
 	}
-	if !next.serves(own.Names(), "") {
+	if !next.serves(own.ZoneNames(), "") {
 		return p
 	}
 	return next
@@ -234,17 +234,17 @@
 
 // serves reports whether any of some zones gets anything, but for one.
 func (p Plan) serves(zones []string, but string) bool {
-	return slices.ContainsFunc(zones, func(z string) bool { return z != but && p.Of(z).Share > 0 })
+	return slices.ContainsFunc(zones, func(z string) bool { return z != but && p.StatusOf(z).Share > 0 })
 }
 
 // pressed reports whether no zone that is used as ever is well: what a left one can do is wanted.
 func (p Plan) pressed(zone string, j Judgement) bool {
-	return len(j.Zones) > 1 && !slices.ContainsFunc(j.Names(), func(z string) bool { return z != zone && p.Of(z).Phase == In && j.Zones[z] <= Sound })
+	return len(j.Zones) > 1 && !slices.ContainsFunc(j.ZoneNames(), func(z string) bool { return z != zone && p.StatusOf(z).Phase == In && j.Zones[z] <= Sound })
 }
 
 // last reports whether all zones but one are dark, or get nothing: what it can do is all there is.
 func (p Plan) last(zone string, j Judgement) bool {
-	return !slices.ContainsFunc(j.Names(), func(z string) bool { return z != zone && j.Zones[z] != Dark && p.Of(z).Share > 0 })
+	return !slices.ContainsFunc(j.ZoneNames(), func(z string) bool { return z != zone && j.Zones[z] != Dark && p.StatusOf(z).Share > 0 })
 }
 
 func (p Plan) with(zone string, s Stand) Plan {
@@ -252,7 +252,7 @@
 	if next.Zones == nil {
 		next.Zones = map[string]Stand{}
 	}
-	if s.Phase == In && !s.Held && s.Failed == 0 {
+	if s.Phase == In && !s.Held && s.Failures == 0 {
 		delete(next.Zones, zone)
 	} else {
 		next.Zones[zone] = s
@@ -271,10 +271,10 @@
 }
 
 // movable is the share of a zone's work that the others have room for.
-func movable(zone string, p Plan, j Judgement, power map[string]Power) float64 {
+func movable(zone string, p Plan, j Judgement, power map[string]Capacity) float64 {
 	room := 0.0
 	for z, w := range power {
-		if s := p.Of(z); z != zone && s.Phase == In && (j.Zones[z] == Sound || j.Zones[z] == Unknown) {
+		if s := p.StatusOf(z); z != zone && s.Phase == In && (j.Zones[z] == Sound || j.Zones[z] == Unknown) {
 			room += w.room()
 		}
 	}
@@ -286,10 +286,10 @@
 }
 
 // leave decides on a zone that is used as ever.
-func (k *Keeper) leave(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Power) (Stand, bool) {
+func (k *Planner) leave(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
 	m, v := k.of(zone), j.Zones[zone]
-	if s.Failed > 0 && m.left >= 0 && now-m.left > lastFor {
-		s.Failed = 0
+	if s.Failures > 0 && m.left >= 0 && now-m.left > lastFor {
+		s.Failures = 0
 		return s, true
 	}
 	var move float64
@@ -313,12 +313,12 @@
 	default:
 		return s, false
 	}
-	if v == Dark && len(j.Zones) > 1 && (allDark(j) || !p.serves(j.Names(), zone)) {
+	if v == Dark && len(j.Zones) > 1 && (allDark(j) || !p.serves(j.ZoneNames(), zone)) {
 		return s, false // nowhere to go; and it is not likely that all are
 	}
 	k.moved = append(k.moved, moved{now, zone, move, j.bad()})
 	m.left, m.sound = now, -1
-	return Stand{Phase: Leaving, Share: 1 - move, Failed: min(s.Failed+1, mostFailed), Usual: power[zone].usual(), Why: fmt.Sprintf("%v: %s", v, j.Why[zone])}, true
+	return Stand{Phase: Leaving, Share: 1 - move, Failures: min(s.Failures+1, mostFailed), UsualLoad: power[zone].usual(), Why: fmt.Sprintf("%v: %s", v, j.Why[zone])}, true
 }
 
 func allDark(j Judgement) bool {
@@ -331,7 +331,7 @@
 }
 
 // left decides on a zone that is left: whether it is left further, or returned to.
-func (k *Keeper) left(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Power) (Stand, bool) {
+func (k *Planner) left(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
 	m := k.of(zone)
 	if v := j.Zones[zone]; v != Dark && v != Unknown && len(j.Zones) > 1 && p.last(zone, j) {
 		// However it is: nothing else is left. As much at once as its nodes bear.
@@ -348,7 +348,7 @@
 		}
 		// Each time that it failed of late doubles the wait: one that fails again and again is
 		// left for longer and longer.
-		wait, pressed := backSound<<min(max(s.Failed-1, 0), mostFailed), p.pressed(zone, j)
+		wait, pressed := backSound<<min(max(s.Failures-1, 0), mostFailed), p.pressed(zone, j)
 		if pressed {
 			wait -= backSound
 		}
@@ -367,14 +367,14 @@
 		return s, true
 	case Dark:
 		m.sound = -1
-		if s.Share > 0 && p.serves(j.Names(), zone) {
+		if s.Share > 0 && p.serves(j.ZoneNames(), zone) {
 			s.Share, s.Why = 0, fmt.Sprintf("%v: %s", v, j.Why[zone])
 			return s, true
 		}
 	case Failing:
 		m.sound = -1
 		more := min(s.Share, movable(zone, p, j, power)*s.Share)
-		if !j.Shared && more >= leastMove && p.serves(j.Names(), zone) && (m.taken < 0 || now-m.taken >= leaveAgain) {
+		if !j.Shared && more >= leastMove && p.serves(j.ZoneNames(), zone) && (m.taken < 0 || now-m.taken >= leaveAgain) {
 			k.moved = append(k.moved, moved{now, zone, more, j.bad()})
 			s.Share, s.Why = s.Share-more, fmt.Sprintf("%v: %s", v, j.Why[zone])
 			return s, true
@@ -386,7 +386,7 @@
 }
 
 // back decides on a zone that is being returned to: a step on, a step back, or out again.
-func (k *Keeper) back(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Power) (Stand, bool) {
+func (k *Planner) back(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
 	m, w := k.of(zone), power[zone]
 	if m.step < 0 {
 		m.step = now
@@ -396,10 +396,10 @@
 		pace = pressStep
 	}
 	switch v := j.Zones[zone]; {
-	case v == Dark && !s.Forced && p.serves(j.Names(), zone):
+	case v == Dark && !s.Forced && p.serves(j.ZoneNames(), zone):
 		m.left, m.sound = now, -1
-		return Stand{Phase: Leaving, Failed: min(s.Failed+1, mostFailed), Usual: s.Usual, Why: "dark again: " + j.Why[zone]}, true
-	case w.Down > 0 || v > Sound:
+		return Stand{Phase: Leaving, Failures: min(s.Failures+1, mostFailed), UsualLoad: s.UsualLoad, Why: "dark again: " + j.Why[zone]}, true
+	case w.RestartedNodes > 0 || v > Sound:
 		if held < warmStep {
 			return s, false // what is seen may be of the step before
 		}
@@ -408,13 +408,13 @@
 			return s, false
 		}
 		m.step, m.slow = now, setback
-		s.Step, s.Share, s.Why = step, steps[step], fmt.Sprintf("a step back: %v, %d nodes pushed over", v, w.Down)
+		s.Step, s.Share, s.Why = step, steps[step], fmt.Sprintf("a step back: %v, %d nodes pushed over", v, w.RestartedNodes)
 		return s, true
 	case v != Sound && !s.Forced, held < pace*time.Duration(1+m.slow):
 		return s, false
 	case s.Step+1 >= len(steps):
 		k.moved = slices.DeleteFunc(k.moved, func(x moved) bool { return x.zone == zone })
-		return Stand{Phase: In, Share: 1, Failed: s.Failed}, true
+		return Stand{Phase: In, Share: 1, Failures: s.Failures}, true
 	}
 	// Whatever the steps say, no more than its nodes bear by now.
 	next := steps[s.Step+1]
@@ -428,7 +428,7 @@
 
 // bad are the zones that are slow or worse.
 func (j Judgement) bad() (list []string) {
-	for _, z := range j.Names() {
+	for _, z := range j.ZoneNames() {
 		if j.Zones[z] > Sound {
 			list = append(list, z)
 		}
@@ -438,15 +438,15 @@
 
 // caused notices that a zone slowed after another one's work was moved to it: part of that is
 // taken back, and the zone that slowed is not left.
-func (k *Keeper) caused(now time.Duration, p Plan, j Judgement) (string, Stand, bool) {
+func (k *Planner) caused(now time.Duration, p Plan, j Judgement) (string, Stand, bool) {
 	k.moved = slices.DeleteFunc(k.moved, func(x moved) bool { return now-x.at > causeTime })
 	for i, x := range k.moved {
-		s := p.Of(x.zone)
+		s := p.StatusOf(x.zone)
 		if s.Phase != Leaving || s.Held || j.Zones[x.zone] == Dark || now-x.at < causeFirst || x.share < leastMove {
 			continue
 		}
-		for _, z := range j.Names() {
-			if v := j.Zones[z]; z == x.zone || v != Slow && v != Failing || p.Of(z).Phase != In || slices.Contains(x.bad, z) {
+		for _, z := range j.ZoneNames() {
+			if v := j.Zones[z]; z == x.zone || v != Slow && v != Failing || p.StatusOf(z).Phase != In || slices.Contains(x.bad, z) {
 				continue
 			}
 			k.moved = slices.Delete(k.moved, i, i+1)
@@ -465,33 +465,33 @@
 
 // The orders.
 const (
-	LeaveNow  Order = iota + 1 // send nothing there, until another order
-	ReturnNow                  // return to it step by step, whatever it looks like
-	HoldNow                    // leave it as it is, until another order
-	LetGo                      // the machine decides again
+	OrderLeave   Order = iota + 1 // send nothing there, until another order
+	OrderReturn                   // return to it step by step, whatever it looks like
+	OrderHold                     // leave it as it is, until another order
+	OrderRelease                  // the machine decides again
 )
 
-var orders = map[string]Order{"leave": LeaveNow, "return": ReturnNow, "hold": HoldNow, "free": LetGo}
+var orders = map[string]Order{"leave": OrderLeave, "return": OrderReturn, "hold": OrderHold, "free": OrderRelease}
 
 // ParseOrder is the order of a name; 0: there is none.
 func ParseOrder(name string) Order { return orders[name] }
 
 // Obey carries out an operator's word.
-func (k *Keeper) Obey(now time.Duration, p Plan, zone string, o Order, why string) Plan {
-	s, m := p.Of(zone), k.of(zone)
+func (k *Planner) ApplyOrder(now time.Duration, p Plan, zone string, o Order, why string) Plan {
+	s, m := p.StatusOf(zone), k.of(zone)
 	switch o {
-	case LeaveNow:
-		s = Stand{Phase: Leaving, Held: true, Usual: s.Usual}
-	case ReturnNow:
+	case OrderLeave:
+		s = Stand{Phase: Leaving, Held: true, UsualLoad: s.UsualLoad}
+	case OrderReturn:
 		if s.Phase == In {
 			s.Held = false
 			break
 		}
-		s = Stand{Phase: Returning, Failed: s.Failed, Forced: true, Usual: s.Usual}
+		s = Stand{Phase: Returning, Failures: s.Failures, Forced: true, UsualLoad: s.UsualLoad}
 		m.step, m.slow = now, 0
-	case HoldNow:
+	case OrderHold:
 		s.Held = true
-	case LetGo:
+	case OrderRelease:
 		s.Held = false
 	}
 	s.Why = "an operator: " + why
--- a/internal/fleet/zone/verdict.go
+++ b/internal/fleet/zone/verdict.go
@@ -76,7 +76,7 @@
 func NewJudge() *Judge { return &Judge{usual: map[[2]string]float64{}, stands: map[string]*standing{}} }
 
 // Look judges the evidence as it stands. It is called about five times a second.
-func (j *Judge) Look(now time.Duration, b *Board) Judgement {
+func (j *Judge) Evaluate(now time.Duration, b *ReportStore) Judgement {
 	rows := b.rows(now)
 	out := Judgement{Zones: map[string]Verdict{}, Why: map[string]string{}, Cuts: map[[2]string]Verdict{}}
 	out.Off = j.off(rows)
@@ -161,13 +161,13 @@
 func (j *Judge) cell(at [2]string, e, last Evidence) Verdict {
 	bad := 0.0
 	if e.Nodes > 2 {
-		bad = float64(e.Bad) / float64(e.Nodes)
+		bad = float64(e.BadNodes) / float64(e.Nodes)
 	}
 	few := bad > 0 && bad < fewNodes && e.wrong() <= fewTimes*bad+fewMore
-	turning := e.Nodes > 0 && float64(e.Turning) >= turningShare*float64(e.Nodes)
+	turning := e.Nodes > 0 && float64(e.TransitioningNodes) >= turningShare*float64(e.Nodes)
 	usual := j.of(at)
 	switch {
-	case last.Unheard >= leastParts && last.Quiet >= quietTime:
+	case last.Overdue >= leastParts && last.SilentFor >= quietTime:
 		return Dark
 	case e.Sent() < leastParts:
 		return Unknown
@@ -295,7 +295,7 @@
 		sum.add(cells[[2]string{o, t}])
 	}
 	return v, fmt.Sprintf("of %d parts from %s: %.0f%% without a word, %.0f%% of no use, %.0f%% of answers late, %d of %d nodes bad", sum.Sent(),
-		strings.Join(bad, ", "), 100*sum.lost(), 100*sum.wrong(), 100*sum.late(), sum.Bad, sum.Nodes)
+		strings.Join(bad, ", "), 100*sum.lost(), 100*sum.wrong(), 100*sum.late(), sum.BadNodes, sum.Nodes)
 }
 
 // lonely reports whether no other zone has mixers that tell anything.
@@ -387,4 +387,4 @@
 }
 
 // Names are the zones judged, sorted.
-func (j Judgement) Names() []string { return slices.Sorted(maps.Keys(j.Zones)) }
+func (j Judgement) ZoneNames() []string { return slices.Sorted(maps.Keys(j.Zones)) }
--- a/internal/fleet/zone/world_test.go
+++ b/internal/fleet/zone/world_test.go
@@ -36,9 +36,9 @@
 	lone   bool                  // each decides by its own evidence
 
 	leader  *maker
-	board   *Board
+	board   *ReportStore
 	judge   *Judge
-	keeper  *Keeper
+	keeper  *Planner
 	judged  Judgement
 	plan    Plan
 	changes []string
@@ -72,9 +72,9 @@
 	plan       Plan
 	own        Judgement // by its own evidence alone
 	seen       map[string]*Evidence
-	board      *Board
+	board      *ReportStore
 	judge      *Judge
-	keeper     *Keeper
+	keeper     *Planner
 	weight     float64
 	heard      map[string]time.Duration // when a zone's nodes last said something
 	unheard    map[string]uint32
@@ -84,14 +84,14 @@
 
 func newWorld(t testing.TB, seed uint64, mixers int, names ...string) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, names: names, rooms: map[string]*room{}, cut: map[[2]string]float64{}, shared: 1,
-		board: NewBoard(), judge: NewJudge(), keeper: NewKeeper(testConfig)}
+		board: NewReportStore(), judge: NewJudge(), keeper: NewPlanner(testConfig)}
 	for _, z := range names {
 		w.rooms[z] = &room{name: z, can: 400, nodes: 10, cold: -1, slow: 1}
 	}
 	sum := 0.0
 	for i := range mixers {
 		m := &maker{name: fmt.Sprintf("n%03d", i), zone: names[i%len(names)], seen: map[string]*Evidence{}, heard: map[string]time.Duration{}, unheard: map[string]uint32{}, weight: 0.5 + w.rng.Float64()}
-		m.board, m.judge, m.keeper = NewBoard(), NewJudge(), NewKeeper(testConfig)
+		m.board, m.judge, m.keeper = NewReportStore(), NewJudge(), NewPlanner(testConfig)
 		sum += m.weight
 		w.mixers = append(w.mixers, m)
 	}
@@ -138,7 +138,7 @@
 		if w.rooms[m.zone].gone {
 			continue // its clients go to the others
 		}
-		plan := m.plan.Acts(m.own)
+		plan := m.plan.WithOwnEvidence(m.own)
 		if w.oracle {
 			plan = Plan{Zones: map[string]Stand{}}
 			for _, z := range w.names {
@@ -153,13 +153,13 @@
 		}
 		free := 0.0
 		for _, z := range w.names {
-			free += plan.Of(z).Share
+			free += plan.StatusOf(z).Share
 		}
 		n := w.rate * m.weight * w.alive() * stepTime.Seconds()
 		for _, z := range w.names {
 			k := n / float64(len(w.names))
 			if free > 0 {
-				k = n * plan.Of(z).Share / free
+				k = n * plan.StatusOf(z).Share / free
 			}
 			lost := w.cut[[2]string{m.zone, z}]
 			if m.off {
@@ -187,18 +187,18 @@
 			e = &Evidence{Nodes: uint16(r.nodes)}
 			s.m.seen[s.z] = e
 		}
-		e.Turning, e.Bad = uint16(r.turning), 0
+		e.TransitioningNodes, e.BadNodes = uint16(r.turning), 0
 		if r.cold >= 0 && w.warm(r) < 1 {
-			e.Turning = 0 // the whole zone is cold: that is no release of it
+			e.TransitioningNodes = 0 // the whole zone is cold: that is no release of it
 		}
-		n, before := w.poisson(s.n), e.Silent
+		n, before := w.poisson(s.n), e.Unanswered
 		w.all += float64(n)
 		for range n {
 			switch p := w.rng.Float64(); {
 			case r.dark || r.down || p < s.lost:
-				e.Silent++
+				e.Unanswered++
 			case w.rng.Float64() < float64(r.bad)/float64(r.nodes):
-				e.Silent++
+				e.Unanswered++
 			case w.rng.Float64() < float64(r.turning)/float64(r.nodes)*0.8:
 				e.Refused++
 			case rate > can && w.rng.Float64() > can/rate:
@@ -206,20 +206,20 @@
 			default:
 				took := baseTime * r.slow * w.shared / max(0.08, 1-min(rate/can, 1)) * (0.5 + w.rng.ExpFloat64()/2)
 				inTime := took <= planned
-				e.Answered(time.Duration(took*float64(time.Second)), inTime)
+				e.RecordAnswer(time.Duration(took*float64(time.Second)), inTime)
 				if inTime {
 					w.good++
 				}
 			}
 		}
-		s.m.hears(w.now, s.z, n, int(e.Silent-before))
+		s.m.hears(w.now, s.z, n, int(e.Unanswered-before))
 		switch {
 		case r.dark || r.down || s.lost > 0.5:
-			e.Bad = e.Nodes
+			e.BadNodes = e.Nodes
 		case rate > 1.5*can:
-			e.Bad = e.Nodes
+			e.BadNodes = e.Nodes
 		default:
-			e.Bad = uint16(r.bad)
+			e.BadNodes = uint16(r.bad)
 		}
 	}
 }
@@ -264,7 +264,7 @@
 	w.after(time.Second, func() { w.report(m) })
 	for _, z := range w.names {
 		r := w.rooms[z]
-		if m.plan.Acts(m.own).Of(z).Share < 0.2 {
+		if m.plan.WithOwnEvidence(m.own).StatusOf(z).Share < 0.2 {
 			for range 1 + 20/len(w.mixers) {
 				e := m.seen[z]
 				if e == nil {
@@ -272,11 +272,11 @@
 					m.seen[z] = e
 				}
 				if r.dark || r.down || m.off || w.rng.Float64() < w.cut[[2]string{m.zone, z}] {
-					e.Silent++
+					e.Unanswered++
 					m.hears(w.now, z, 1, 1)
 				} else {
 					m.hears(w.now, z, 1, 0)
-					e.Answered(time.Duration(baseTime*r.slow*w.shared*float64(time.Second)), r.slow*w.shared*baseTime <= planned)
+					e.RecordAnswer(time.Duration(baseTime*r.slow*w.shared*float64(time.Second)), r.slow*w.shared*baseTime <= planned)
 				}
 			}
 		}
@@ -284,12 +284,12 @@
 	m.seq++
 	rep := Report{Mixer: m.name, Zone: m.zone, Seq: m.seq, Zones: map[string]Evidence{}}
 	for z, e := range m.seen {
-		e.Unheard, e.Quiet = m.unheard[z], w.now-m.heard[z]
+		e.Overdue, e.SilentFor = m.unheard[z], w.now-m.heard[z]
 		rep.Zones[z] = *e
 	}
 	m.seen = map[string]*Evidence{}
-	m.board.Take(w.now, rep)
-	m.own = m.judge.Look(w.now, m.board)
+	m.board.Put(w.now, rep)
+	m.own = m.judge.Evaluate(w.now, m.board)
 	if w.lone {
 		if next, ok := m.keeper.Next(w.now, m.plan, m.own, w.power()); ok {
 			m.plan = next
@@ -297,7 +297,7 @@
 		return
 	}
 	if w.talks(m.zone, w.leader.zone) && !m.off {
-		w.after(time.Duration(20+w.rng.IntN(80))*ms, func() { w.board.Take(w.now, rep) })
+		w.after(time.Duration(20+w.rng.IntN(80))*ms, func() { w.board.Put(w.now, rep) })
 	}
 }
 
@@ -306,14 +306,14 @@
 	return !w.rooms[from].gone && !w.rooms[to].gone && w.cut[[2]string{from, to}] < 0.5
 }
 
-func (w *world) power() map[string]Power {
-	list := map[string]Power{}
+func (w *world) power() map[string]Capacity {
+	list := map[string]Capacity{}
 	for z, r := range w.rooms {
 		down := 0
 		if r.down {
 			down = r.nodes
 		}
-		list[z] = Power{Can: r.can, Warm: w.warm(r), Load: r.load, Usual: r.usual, Down: down}
+		list[z] = Capacity{Total: r.can, WarmShare: w.warm(r), Load: r.load, UsualLoad: r.usual, RestartedNodes: down}
 	}
 	return list
 }
@@ -329,14 +329,14 @@
 			if !w.rooms[m.zone].gone {
 				// Another leads after a while; it has heard nothing yet.
 				w.leader = m
-				w.board, w.judge, w.keeper = NewBoard(), NewJudge(), NewKeeper(testConfig)
+				w.board, w.judge, w.keeper = NewReportStore(), NewJudge(), NewPlanner(testConfig)
 				break
 			}
 		}
 	}
 	before := w.judged
-	w.judged = w.judge.Look(w.now, w.board)
-	for _, z := range w.judged.Names() {
+	w.judged = w.judge.Evaluate(w.now, w.board)
+	for _, z := range w.judged.ZoneNames() {
 		if a, b := before.Zones[z], w.judged.Zones[z]; a != b {
 			w.changes = append(w.changes, fmt.Sprintf("%.1f %s %v: %s", (w.now-time.Hour).Seconds(), z, b, w.judged.Why[z]))
 		}
@@ -350,7 +350,7 @@
 
 func (w *world) adopt(next Plan) {
 	for _, z := range w.names {
-		if a, b := w.plan.Of(z), next.Of(z); a.Phase != b.Phase || a.Share != b.Share {
+		if a, b := w.plan.StatusOf(z), next.StatusOf(z); a.Phase != b.Phase || a.Share != b.Share {
 			w.changes = append(w.changes, fmt.Sprintf("%.1f %s is %v %.2f: %s", (w.now-time.Hour).Seconds(), z, b.Phase, b.Share, b.Why))
 		}
 	}
@@ -403,7 +403,7 @@
 
 func (w *world) everywhere(zone string, ok func(Stand) bool) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(w.mixers, func(m *maker) bool { return !w.rooms[m.zone].gone && !m.off && !ok(m.plan.Of(zone)) })
+		return !slices.ContainsFunc(w.mixers, func(m *maker) bool { return !w.rooms[m.zone].gone && !m.off && !ok(m.plan.StatusOf(zone)) })
 	}
 }
 
