--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -52,13 +52,13 @@
 
 // Config is a mixer's configuration of the agreement.
 type Config struct {
-	Name          string
-	Instance      uint64
+	Name          string   // of this mixer
+	Instance      uint64   // random, drawn when the process starts
 	Voters        []string // the initial voters
 	Directory     string   // for the agreed state and, at a voter, the log; "": nothing is stored
 	LeaseDuration time.Duration
 	TrialDuration time.Duration // how long the canaries of a version must keep their leases with it
-	Seed          uint64
+	Seed          uint64        // of the random numbers
 	ParseRules    version.RulesParser
 	// IgnoreLeases makes this mixer follow the latest document without a lease. Tests use it
 	// to show which conflicts leases prevent.
@@ -82,10 +82,10 @@
 // ActiveRules are the rules that a mixer follows now.
 type ActiveRules struct {
 	Rules         version.Rules
-	Revision      uint64
-	VersionNumber uint64 // number of the version in force, as far as this mixer knows
-	Leased        bool
-	Plan          string // as far as this mixer knows; "": there is none
+	Revision      uint64 // of the latest agreed state that this mixer knows
+	VersionNumber uint64 // of the version in force in that state
+	Leased        bool   // whether Rules hold by a valid lease
+	Plan          string // the zone plan of that state; "": there is none
 }
 
 // Participant is a mixer's part in the agreement. Its methods must be called on the core's
--- a/internal/fleet/accord/request.go
+++ b/internal/fleet/accord/request.go
@@ -30,36 +30,37 @@
 	Op      string          `json:"op"`
 	Version version.Version `json:"version,omitzero"` // OpPropose
 	Number  uint64          `json:"number,omitempty"` // OpWithdraw: of the version
-	Why     string          `json:"why,omitempty"`    // OpWithdraw, OpOrder
-	Name    string          `json:"name,omitempty"`   // of a mixer or, with OpOrder, of a zone
-	Order   string          `json:"order,omitempty"`  // OpOrder
+	Why     string          `json:"why,omitempty"`    // OpWithdraw, OpZoneOrder: the reason
+	Name    string          `json:"name,omitempty"`   // OpAddVoter, OpRemoveVoter: of a mixer; OpZoneOrder: of a zone
+	Order   string          `json:"order,omitempty"`  // OpZoneOrder: "leave", "return", "hold" or "free"
 }
 
 // Holder is a mixer and the revision that it may follow.
 type Holder struct {
 	Name           string `json:"name"`
 	Revision       uint64 `json:"stage"`
-	Leased         bool   `json:"leased"`
-	RemainingMS    int64  `json:"left_ms"`  // until its lease has expired, at the latest
-	SinceMS        int64  `json:"since_ms"` // since it reported Revision
-	RefusedVersion uint64 `json:"refuses,omitempty"`
-	Why            string `json:"why,omitempty"`
-	Version        uint64 `json:"version"` // number of the version in force at Revision, if that is the latest revision
-	Votes          bool   `json:"votes,omitempty"`
+	Leased         bool   `json:"leased"`            // its lease may still be valid
+	RemainingMS    int64  `json:"left_ms"`           // until its lease has expired, at the latest
+	SinceMS        int64  `json:"since_ms"`          // since it reported Revision
+	RefusedVersion uint64 `json:"refuses,omitempty"` // number of a version that it can't apply
+	Why            string `json:"why,omitempty"`     // the reason for that
+	Version        uint64 `json:"version"`           // number of the version in force at Revision, if that is the latest revision
+	Votes          bool   `json:"votes,omitempty"`   // it is a voter
 }
 
 // Response is the answer to a Request.
 type Response struct {
-	Error          string        `json:"error,omitempty"`
-	OutcomeUnknown bool          `json:"unsure,omitempty"` // with Error: the request may have been executed all the same
-	Mixer          string        `json:"mixer"`
-	Leader         string        `json:"leader,omitempty"`
-	Number         uint64        `json:"number,omitempty"`
+	Error          string        `json:"error,omitempty"`  // "": the request succeeded
+	OutcomeUnknown bool          `json:"unsure,omitempty"` // with Error: the request may have been executed nevertheless
+	Mixer          string        `json:"mixer"`            // name of the mixer that answers
+	Leader         string        `json:"leader,omitempty"` // name, as far as Mixer knows
+	Number         uint64        `json:"number,omitempty"` // OpPropose, OpWithdraw: of the version
 	State          version.State `json:"state"`
-	Voters         []string      `json:"voters,omitempty"`
-	Holders        []Holder      `json:"holders,omitempty"`
-	LeaseMS        int64         `json:"lease_ms,omitempty"`
+	Voters         []string      `json:"voters,omitempty"`   // names
+	Holders        []Holder      `json:"holders,omitempty"`  // OpVersions: all mixers; OpLocal: Mixer
+	LeaseMS        int64         `json:"lease_ms,omitempty"` // duration of a lease
 
+	// Zones is the encoded judgement of the zones for OpZones and OpLocalZones.
 	Zones stdjson.RawMessage `json:"zones,omitempty"`
 }
 
--- a/internal/fleet/version/state.go
+++ b/internal/fleet/version/state.go
@@ -29,16 +29,16 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Version is one revision of the fleet's settings document.
+// Version is a numbered settings document that the fleet agreed on.
 type Version struct {
-	Number     uint64   `json:"number"`
-	BaseNumber uint64   `json:"from"` // number of the version that it was derived from
-	Mark       string   `json:"mark"` // idempotency key, drawn by the author
-	Text       string   `json:"text"` // the document, as JSON
-	Why        string   `json:"why,omitempty"`
+	Number     uint64   `json:"number"`        // from 1 on
+	BaseNumber uint64   `json:"from"`          // number of the version that it was derived from
+	Mark       string   `json:"mark"`          // idempotency key, drawn by the author
+	Text       string   `json:"text"`          // the document, as JSON
+	Why        string   `json:"why,omitempty"` // the author's reason
 	Author     string   `json:"by,omitempty"`
-	Canaries   []string `json:"tries,omitempty"` // names of the mixers that try it first
-	Outcome    string   `json:"outcome,omitempty"`
+	Canaries   []string `json:"tries,omitempty"`   // names of the mixers that try it first
+	Outcome    string   `json:"outcome,omitempty"` // "replaced", "withdrawn: " and a reason, or "" for a version in use
 }
 
 const (
@@ -59,9 +59,9 @@
 
 // State is the state machine that the voters replicate. Only Apply changes it.
 type State struct {
-	Revision   uint64    `json:"stage"` // counts the changes; "stage" outside the program
-	Phase      Phase     `json:"phase"`
-	Old        Version   `json:"old"`            // in PhaseSteady the version in force
+	Revision   uint64    `json:"stage"`          // counts the changes; "stage" outside the program
+	Phase      Phase     `json:"phase"`          // stored as its number
+	Old        Version   `json:"old"`            // the version before New; the only one in PhaseSteady
 	New        Version   `json:"new"`            // in all other phases the version being rolled out
 	Latest     uint64    `json:"latest"`         // number of the latest version accepted
 	History    []Version `json:"history"`        // oldest first; without Old and New
