--- a/internal/fleet/accord/cluster_test.go
+++ b/internal/fleet/accord/cluster_test.go
@@ -38,7 +38,7 @@
 	cutLinks           map[[2]string]bool
 	ignoreLeases       bool
 	log                zerolog.Logger
-	keyByVersion       map[uint64]string // by the number of each version that any mixer ever knew as agreed
+	markByVersion      map[uint64]string // by the number of each version that any mixer knew as agreed
 	violations         []string
 	longestConflict    time.Duration // the longest time for which two markers were allowed at once
 	named              bool          // a version that names the markers is in force; before that, all are allowed
@@ -60,19 +60,19 @@
 	pausedUntil time.Duration
 	held        []func()
 
-	storedState   version.State // stored
+	storedState   version.State
 	disk          savedLog
-	logCount      int           // number of logs that it has had
-	writeDuration time.Duration // duration of a write
-	writesFail    bool          // writes fail
-	completeWrite func()        // completes the write in progress
+	logCount      int // number of logs that it has had
+	writeDuration time.Duration
+	writesFail    bool
+	completeWrite func() // completes the write in progress
 
 	sent, received, bytes int // messages sent and received, and bytes sent
 }
 
 func newCluster(t testing.TB, seed uint64, mixers, voters int) *cluster {
 	w := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Hour, delay: 4 * ms, cutLinks: map[[2]string]bool{}, log: zerolog.Nop(),
-		keyByVersion: map[uint64]string{}}
+		markByVersion: map[uint64]string{}}
 	for i := range mixers {
 		w.processes = append(w.processes, &process{w: w, name: fmt.Sprintf("n%d", i), writeDuration: 2 * ms})
 		if i < voters {
@@ -156,10 +156,10 @@
 			if v.Number == 0 {
 				continue
 			}
-			if old := w.keyByVersion[v.Number]; old != "" && old != v.Mark {
-				w.violations = append(w.violations, fmt.Sprintf("%v: version %d has the idempotency keys %s and %s", w.now, v.Number, old, v.Mark))
+			if old := w.markByVersion[v.Number]; old != "" && old != v.Mark {
+				w.violations = append(w.violations, fmt.Sprintf("%v: version %d has the marks %s and %s", w.now, v.Number, old, v.Mark))
 			}
-			w.keyByVersion[v.Number] = v.Mark
+			w.markByVersion[v.Number] = v.Mark
 		}
 		for i := range markers {
 			if barred, named := p.active.Rules.Barred[marker(i)]; named && !barred && !slices.Contains(allowed, i) {
--- a/internal/fleet/accord/store_test.go
+++ b/internal/fleet/accord/store_test.go
@@ -160,7 +160,7 @@
 		out, err := cmd.Output()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != -1 {
-			t.Fatalf("boundary %d: it was not killed: %v, %s", at, err, out)
+			t.Fatalf("step %d: it was not killed: %v, %s", at, err, out)
 		}
 		said := uint64(1)
 		for line := range strings.Lines(string(out)) {
@@ -174,7 +174,7 @@
 			last = l.entries[n-1].GetIndex()
 		}
 		if last < said || last > said+1 {
-			t.Errorf("boundary %d: %d was written, %d is there", at, said, last)
+			t.Errorf("step %d: %d was reported as written, %d is there", at, said, last)
 		}
 		_ = s.Close()
 	}
