--- a/internal/fleet/zone/evidence.go
+++ b/internal/fleet/zone/evidence.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	accuracy  = 0.05                    // relative, of latencies
-	bins      = 64                      // of a sketch; beyond that the quick ones are taken together
-	span      = 3                       // reports of a mixer that count
-	fresh     = 3500 * time.Millisecond // for so long after it came
-	mostMixer = 4096
-	mostZones = 64
+	sketchAccuracy  = 0.05                    // relative, of latencies
+	sketchBins      = 64                      // of a sketch; beyond that the quick ones are taken together
+	reportsPerMixer = 3                       // reports of a mixer that count
+	reportTTL       = 3500 * time.Millisecond // for so long after it came
+	maxMixers       = 4096
+	maxZones        = 64
 
-	longestSketch = 2 << 10
+	maxSketchBytes = 2 << 10
 )
 
 // Evidence is what one mixer saw of one zone's nodes since its last report. Of a zone
@@ -57,15 +57,15 @@
 }
 
 // lost is the share of parts of which nothing was heard.
-func (e Evidence) lost() float64 { return share(e.Unanswered+e.Unconnected, e.Sent()) }
+func (e Evidence) lostShare() float64 { return ratio(e.Unanswered+e.Unconnected, e.Sent()) }
 
 // wrong is the share of parts that were of no use.
-func (e Evidence) wrong() float64 { return share(e.Sent()-e.InTime-e.Late, e.Sent()) }
+func (e Evidence) failedShare() float64 { return ratio(e.Sent()-e.InTime-e.Late, e.Sent()) }
 
 // late is the share of answers that came late.
-func (e Evidence) late() float64 { return share(e.Late, e.InTime+e.Late) }
+func (e Evidence) lateShare() float64 { return ratio(e.Late, e.InTime+e.Late) }
 
-func share(part, of uint32) float64 {
+func ratio(part, of uint32) float64 {
 	if of == 0 {
 		return 0
 	}
@@ -88,11 +88,11 @@
 }
 
 func newSketch() *ddsketch.DDSketch {
-	m, err := mapping.NewLogarithmicMapping(accuracy)
+	m, err := mapping.NewLogarithmicMapping(sketchAccuracy)
 	if err != nil {
 		panic(err) // of a constant
 	}
-	return ddsketch.NewDDSketch(m, store.NewCollapsingLowestDenseStore(bins), store.NewCollapsingLowestDenseStore(bins))
+	return ddsketch.NewDDSketch(m, store.NewCollapsingLowestDenseStore(sketchBins), store.NewCollapsingLowestDenseStore(sketchBins))
 }
 
 // Latencies is the sketch as it travels; nil: there is none.
@@ -106,7 +106,7 @@
 // SetLatencies takes one that has travelled.
 func (e *Evidence) DecodeLatencies(b []byte) error {
 	s := newSketch()
-	if len(b) > longestSketch {
+	if len(b) > maxSketchBytes {
 		return errors.New("a sketch that is too long")
 	}
 	if err := s.DecodeAndMergeWith(b); err != nil {
@@ -120,7 +120,7 @@
 }
 
 // add adds the counts of another report of the same zone.
-func (e *Evidence) add(o Evidence) {
+func (e *Evidence) addCounts(o Evidence) {
 	switch {
 	case o.Sent()+o.Overdue == 0:
 	case e.Sent()+e.Overdue == 0:
@@ -135,7 +135,7 @@
 }
 
 // addLatency adds its latencies, which takes far longer than the counts.
-func (e *Evidence) addLatency(o Evidence) {
+func (e *Evidence) mergeLatency(o Evidence) {
 	if o.Latency == nil {
 		return
 	}
@@ -146,15 +146,15 @@
 }
 
 // median is of the latencies, in seconds; 0: none is known.
-func (e Evidence) median() float64 {
+func (e Evidence) medianLatency() float64 {
 	if e.Latency == nil {
 		return 0
 	}
-	q, err := e.Latency.GetValueAtQuantile(0.5)
+	median, err := e.Latency.GetValueAtQuantile(0.5)
 	if err != nil {
 		return 0
 	}
-	return q
+	return median
 }
 
 // Report is one mixer's evidence, about once a second.
@@ -168,91 +168,91 @@
 
 // Board keeps the latest reports of all mixers.
 type ReportStore struct {
-	mixers map[string]*source
+	mixers map[string]*mixerReports
 }
 
-type source struct {
-	zone string
-	last uint64
-	list []kept // the oldest first
+type mixerReports struct {
+	zone    string
+	lastSeq uint64
+	list    []receivedReport // the oldest first
 }
 
-type kept struct {
-	at time.Duration
+type receivedReport struct {
+	receivedAt time.Duration
 	Report
 }
 
 // NewBoard returns a Board without reports.
-func NewReportStore() *ReportStore { return &ReportStore{mixers: map[string]*source{}} }
+func NewReportStore() *ReportStore { return &ReportStore{mixers: map[string]*mixerReports{}} }
 
 // Take takes a report. One that is old, or comes again, changes nothing.
 func (b *ReportStore) Put(now time.Duration, r Report) {
-	if r.Mixer == "" || r.Zone == "" || len(r.Zones) > mostZones {
+	if r.Mixer == "" || r.Zone == "" || len(r.Zones) > maxZones {
 		return
 	}
 	s := b.mixers[r.Mixer]
 	if s == nil {
-		if len(b.mixers) >= mostMixer {
+		if len(b.mixers) >= maxMixers {
 			b.DropStale(now)
 		}
-		if len(b.mixers) >= mostMixer {
+		if len(b.mixers) >= maxMixers {
 			return // guards memory against names without end
 		}
-		s = &source{}
+		s = &mixerReports{}
 		b.mixers[r.Mixer] = s
 	}
-	if r.Seq <= s.last {
+	if r.Seq <= s.lastSeq {
 		return
 	}
 	for name, e := range r.Zones {
-		if e.Latency != nil && math.Abs(e.Latency.RelativeAccuracy()-accuracy) > 1e-9 {
+		if e.Latency != nil && math.Abs(e.Latency.RelativeAccuracy()-sketchAccuracy) > 1e-9 {
 			e.Latency = nil // by a program with other sketches
 			r.Zones[name] = e
 		}
 	}
-	s.zone, s.last = r.Zone, r.Seq
-	s.list = append(s.list, kept{now, r})
-	s.list = s.list[max(0, len(s.list)-span):]
+	s.zone, s.lastSeq = r.Zone, r.Seq
+	s.list = append(s.list, receivedReport{now, r})
+	s.list = s.list[max(0, len(s.list)-reportsPerMixer):]
 }
 
 // Forget drops mixers of which nothing has come for long.
 func (b *ReportStore) DropStale(now time.Duration) {
 	for name, s := range b.mixers {
-		if len(s.list) == 0 || now-s.list[len(s.list)-1].at > 20*fresh {
+		if len(s.list) == 0 || now-s.list[len(s.list)-1].receivedAt > 20*reportTTL {
 			delete(b.mixers, name)
 		}
 	}
 }
 
 // row is what one mixer has seen of late.
-type row struct {
+type mixerEvidence struct {
 	mixer, zone string
 	lag         time.Duration
-	at          time.Duration         // when its last report came
+	receivedAt  time.Duration         // when its last report came
 	reports     []map[string]Evidence // its last few, the oldest first
-	sees        map[string]Evidence   // their counts in sum
+	totals      map[string]Evidence   // their counts in sum
 }
 
 // rows are all mixers' evidence that still counts, by name.
-func (b *ReportStore) rows(now time.Duration) (list []row) {
+func (b *ReportStore) recentEvidence(now time.Duration) (list []mixerEvidence) {
 	for name, s := range b.mixers {
-		r := row{mixer: name, zone: s.zone, sees: map[string]Evidence{}}
+		r := mixerEvidence{mixer: name, zone: s.zone, totals: map[string]Evidence{}}
 		for _, k := range s.list {
-			if now-k.at > fresh {
+			if now-k.receivedAt > reportTTL {
 				continue
 			}
-			r.lag, r.at = k.Lag, k.at
+			r.lag, r.receivedAt = k.Lag, k.receivedAt
 			r.reports = append(r.reports, k.Zones)
 			for z, e := range k.Zones {
-				sum := r.sees[z]
-				sum.add(e)
-				r.sees[z] = sum
+				sum := r.totals[z]
+				sum.addCounts(e)
+				r.totals[z] = sum
 			}
 		}
 		if len(r.reports) > 0 {
 			list = append(list, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b row) int { return strings.Compare(a.mixer, b.mixer) })
+	slices.SortFunc(list, func(a, b mixerEvidence) int { return strings.Compare(a.mixer, b.mixer) })
 	return list
 }
--- a/internal/fleet/zone/every_test.go
+++ b/internal/fleet/zone/exhaustive_test.go
@@ -10,31 +10,31 @@
 
 // clone is a keeper that goes its own way from here.
 func (k *Planner) clone() *Planner {
-	next := &Planner{c: k.c, known: map[string]*memo{}, moved: append([]moved(nil), k.moved...)}
-	for z, m := range k.known {
+	next := &Planner{c: k.c, memories: map[string]*zoneMemory{}, moved: append([]moved(nil), k.moved...)}
+	for z, m := range k.memories {
 		c := *m
-		next.known[z] = &c
+		next.memories[z] = &c
 	}
 	return next
 }
 
 // way is one way through all that two zones may look like.
-type way struct {
-	t      *testing.T
-	keeper *Planner
-	now    time.Duration
-	plan   Plan
-	words  string // how it came to this
-	states map[string]bool
-	count  *int
-	manual bool
+type exploration struct {
+	t          *testing.T
+	planner    *Planner
+	now        time.Duration
+	plan       Plan
+	path       string // how it came to this
+	states     map[string]bool
+	stateCount *int
+	manual     bool
 }
 
-var looks = []Verdict{Unknown, Sound, Slow, Failing, Dark}
+var allVerdicts = []Verdict{Unknown, Sound, Slow, Failing, Dark}
 
 // step checks a change of the plan against what is promised of every one.
-func (w *way) step(was, next Plan, j Judgement) {
-	bad := func(format string, args ...any) { w.t.Fatalf("%s: %s", w.words, fmt.Sprintf(format, args...)) }
+func (w *exploration) checkChange(was, next Plan, j Judgement) {
+	bad := func(format string, args ...any) { w.t.Fatalf("%s: %s", w.path, fmt.Sprintf(format, args...)) }
 	out := 0
 	for _, z := range []string{"a", "b"} {
 		a, b := was.StatusOf(z), next.StatusOf(z)
@@ -65,36 +65,36 @@
 }
 
 // go on: every judgement, under this leader or another, and every order.
-func (w way) explore(depth int) {
+func (w exploration) explore(depth int) {
 	if depth == 0 {
 		return
 	}
-	key := fmt.Sprintf("%d %v %v %v", depth, w.plan.Zones, w.now, w.keeper.told())
+	key := fmt.Sprintf("%d %v %v %v", depth, w.plan.Zones, w.now, w.planner.memoryKey())
 	if w.states[key] {
 		return
 	}
 	w.states[key] = true
-	*w.count++
+	*w.stateCount++
 	power := map[string]Capacity{"a": {Total: 100, WarmShare: 1, Load: 40, UsualLoad: 40}, "b": {Total: 100, WarmShare: 0.5, Load: 40, UsualLoad: 40, RestartedNodes: depth % 2}}
-	for _, a := range looks {
-		for _, b := range looks {
+	for _, a := range allVerdicts {
+		for _, b := range allVerdicts {
 			j := Judgement{Zones: map[string]Verdict{"a": a, "b": b}, Why: map[string]string{}}
 			for _, other := range []bool{false, true} {
 				next := w
-				next.keeper = w.keeper.clone()
+				next.planner = w.planner.clone()
 				if other {
-					next.keeper = NewPlanner(w.keeper.c)
+					next.planner = NewPlanner(w.planner.c)
 				}
-				next.words += fmt.Sprintf(" %v/%v", a, b)
+				next.path += fmt.Sprintf(" %v/%v", a, b)
 				if other {
-					next.words += " by another leader"
+					next.path += " by another leader"
 				}
 				for range 4 { // a judgement stands for 2.4 s
-					p, changed := next.keeper.Next(next.now, next.plan, j, power)
+					p, changed := next.planner.Next(next.now, next.plan, j, power)
 					if changed != (p.Seq != next.plan.Seq) {
-						next.t.Fatalf("%s: changed %v, from plan %d to %d", next.words, changed, next.plan.Seq, p.Seq)
+						next.t.Fatalf("%s: changed %v, from plan %d to %d", next.path, changed, next.plan.Seq, p.Seq)
 					}
-					next.step(next.plan, p, j)
+					next.checkChange(next.plan, p, j)
 					next.plan, next.now = p, next.now+600*time.Millisecond
 				}
 				next.explore(depth - 1)
@@ -106,18 +106,18 @@
 			continue // no operator is let do it
 		}
 		next := w
-		next.keeper = w.keeper.clone()
-		next.words += fmt.Sprintf(" order %d", o)
-		next.plan = next.keeper.ApplyOrder(next.now, next.plan, "b", o, "a test")
+		next.planner = w.planner.clone()
+		next.path += fmt.Sprintf(" order %d", o)
+		next.plan = next.planner.ApplyOrder(next.now, next.plan, "b", o, "a test")
 		next.explore(depth - 1)
 	}
 }
 
 // told is all that a keeper remembers.
-func (k *Planner) told() string {
+func (k *Planner) memoryKey() string {
 	s := fmt.Sprint(k.moved)
 	for _, z := range []string{"a", "b"} {
-		if m := k.known[z]; m != nil {
+		if m := k.memories[z]; m != nil {
 			s += fmt.Sprintf(" %s%v", z, *m)
 		}
 	}
@@ -135,17 +135,17 @@
 		c := testConfig
 		c.Manual = manual
 		n := 0
-		start := way{t: t, keeper: NewPlanner(c), now: time.Hour, states: map[string]bool{}, count: &n, manual: manual}
+		start := exploration{t: t, planner: NewPlanner(c), now: time.Hour, states: map[string]bool{}, stateCount: &n, manual: manual}
 		start.explore(depth)
 		returning := start // and from the middle of a return
-		returning.plan = Plan{Seq: 7, Zones: map[string]Stand{"b": {Phase: Returning, Step: 3, Share: steps[3], Failures: 1}}}
+		returning.plan = Plan{Seq: 7, Zones: map[string]Stand{"b": {Phase: Returning, Step: 3, Share: returnSteps[3], Failures: 1}}}
 		returning.explore(depth)
 		t.Logf("manual %v: %d states", manual, n)
 	}
 }
 
 // TestTheGaugeLearnsWhatNodesBear and keeps what was usual while a zone is left.
-func TestTheGaugeLearnsWhatNodesBear(t *testing.T) {
+func TestCapacityEstimatorLearnsLoad(t *testing.T) {
 	g := NewCapacityEstimator()
 	nodes := map[string]NodeStats{"a": {Running: 4, WarmShare: 1}, "b": {Running: 4, WarmShare: 1, Only: 0.25}}
 	j := Judgement{Zones: map[string]Verdict{"a": Sound, "b": Sound}}
--- a/internal/fleet/zone/verdict.go
+++ b/internal/fleet/zone/verdict.go
@@ -28,24 +28,24 @@
 // Figures by which a verdict is found. Each way back asks for more time than the way
 // there, so that nothing flaps.
 const (
-	leastParts   = 12                     // of one zone's mixers to another's nodes, under which shares say nothing
-	darkShare    = 0.7                    // of parts of which nothing was heard
-	quietTime    = 600 * time.Millisecond // without a word to any mixer of a zone, though many parts were due
-	failingShare = 0.3                    // of parts that were of no use
-	slowTimes    = 2.5                    // of what is usual between the two zones
-	slowLate     = 0.25                   // of answers that came late, at least
-	strangeTimes = 1.5                    // of what is usual between others: what is seen first of a pair is usual up to that
-	alikeShare   = 0.5                    // of what the slowest zone is slowed by, that all are
-	fewNodes     = 0.5                    // of a zone's nodes: if those that are bad are fewer,
-	fewTimes     = 1.5                    // and no more is wrong than so many times their share,
-	fewMore      = 0.05                   // and this, it is those nodes, and not the zone
-	turningShare = 0.5                    // of a zone's nodes that leave or are cold: a release is under way
-	usualPace    = 60 * time.Second       // at which what is usual is learned
-	lagging      = 150 * time.Millisecond
-	zoneSilent   = 1300 * time.Millisecond // without a report of any of a zone's mixers, their word does not count
-	holdDark     = 300 * time.Millisecond
-	holdBad      = 2 * time.Second
-	holdSound    = 2500 * time.Millisecond
+	minParts           = 12                     // of one zone's mixers to another's nodes, under which shares say nothing
+	darkShare          = 0.7                    // of parts of which nothing was heard
+	darkSilence        = 600 * time.Millisecond // without a word to any mixer of a zone, though many parts were due
+	failingShare       = 0.3                    // of parts that were of no use
+	slowFactor         = 2.5                    // of what is usual between the two zones
+	slowLateShare      = 0.25                   // of answers that came late, at least
+	unknownPairFactor  = 1.5                    // of what is usual between others: what is seen first of a pair is usual up to that
+	allSlowShare       = 0.5                    // of what the slowest zone is slowed by, that all are
+	badNodesLimit      = 0.5                    // of a zone's nodes: if those that are bad are fewer,
+	badNodesFactor     = 1.5                    // and no more is wrong than so many times their share,
+	badNodesMargin     = 0.05                   // and this, it is those nodes, and not the zone
+	transitionShare    = 0.5                    // of a zone's nodes that leave or are cold: a release is under way
+	usualLatencyWindow = 60 * time.Second       // at which what is usual is learned
+	maxMixerLag        = 150 * time.Millisecond
+	zoneReportTimeout  = 1300 * time.Millisecond // without a report of any of a zone's mixers, their word does not count
+	holdDark           = 300 * time.Millisecond
+	holdBad            = 2 * time.Second
+	holdSound          = 2500 * time.Millisecond
 )
 
 // Judgement is what is known of all zones.
@@ -59,74 +59,76 @@
 
 // Judge finds verdicts from a Board's evidence.
 type Judge struct {
-	usual    map[[2]string]float64 // seconds, by the mixers' and the nodes' zone
-	stands   map[string]*standing
-	looked   time.Duration
-	sharedAt time.Duration // when all were last slow alike; 0: never
+	usualLatency   map[[2]string]float64 // seconds, by the mixers' and the nodes' zone
+	verdicts       map[string]*verdictState
+	lastEvaluation time.Duration
+	allSlowAt      time.Duration // when all were last slow alike; 0: never
 }
 
-type standing struct {
-	now   Verdict
-	why   string
-	next  Verdict
-	since time.Duration // for how long next has held
+type verdictState struct {
+	now            Verdict
+	why            string
+	candidate      Verdict
+	candidateSince time.Duration // for how long next has held
 }
 
 // NewJudge returns a Judge that knows nothing.
-func NewJudge() *Judge { return &Judge{usual: map[[2]string]float64{}, stands: map[string]*standing{}} }
+func NewJudge() *Judge {
+	return &Judge{usualLatency: map[[2]string]float64{}, verdicts: map[string]*verdictState{}}
+}
 
 // Look judges the evidence as it stands. It is called about five times a second.
 func (j *Judge) Evaluate(now time.Duration, b *ReportStore) Judgement {
-	rows := b.rows(now)
+	recentEvidence := b.recentEvidence(now)
 	out := Judgement{Zones: map[string]Verdict{}, Why: map[string]string{}, Cuts: map[[2]string]Verdict{}}
-	out.Off = j.off(rows)
-	rows = heard(now, rows)
-	cells, last, from, to := gather(rows, out.Off)
-	voices := map[[2]string]Verdict{}
-	for at, e := range cells {
-		voices[at] = j.cell(at, e, last[at])
+	out.Off = j.excludedMixers(recentEvidence)
+	recentEvidence = withoutSilentZones(now, recentEvidence)
+	paths, last, from, to := aggregatePaths(recentEvidence, out.Off)
+	pathVerdicts := map[[2]string]Verdict{}
+	for at, e := range paths {
+		pathVerdicts[at] = j.pathVerdict(at, e, last[at])
 	}
 	raw, why := map[string]Verdict{}, map[string]string{}
 	for _, t := range to {
-		raw[t], why[t] = j.column(t, from, to, voices, cells, out.Cuts)
+		raw[t], why[t] = j.zoneVerdict(t, from, to, pathVerdicts, paths, out.Cuts)
 	}
-	if shared(raw) || j.alike(cells) {
-		j.sharedAt = now
+	if allZonesSlow(raw) || j.slowedAlike(paths) {
+		j.allSlowAt = now
 	}
 	// A zone is deemed slow for longer than it is; so is it deemed that all are.
-	out.Shared = j.sharedAt > 0 && now-j.sharedAt <= holdSound+holdBad
+	out.Shared = j.allSlowAt > 0 && now-j.allSlowAt <= holdSound+holdBad
 	for _, t := range to {
-		j.settle(now, t, raw[t], why[t])
+		j.updateVerdict(now, t, raw[t], why[t])
 	}
-	for t, s := range j.stands {
-		if _, told := raw[t]; !told {
-			j.settle(now, t, Unknown, "nothing is sent there")
+	for t, s := range j.verdicts {
+		if _, judged := raw[t]; !judged {
+			j.updateVerdict(now, t, Unknown, "nothing is sent there")
 		}
 		out.Zones[t], out.Why[t] = s.now, s.why
 	}
 	if !out.Shared {
-		j.learn(now, cells, voices)
+		j.learnUsualLatency(now, paths, pathVerdicts)
 	}
-	j.looked = now
+	j.lastEvaluation = now
 	return out
 }
 
 // heard leaves out the mixers of zones of which nothing comes any more: what they saw last was
 // before whatever silenced them.
-func heard(now time.Duration, rows []row) []row {
+func withoutSilentZones(now time.Duration, rows []mixerEvidence) []mixerEvidence {
 	latest := map[string]time.Duration{}
 	for _, r := range rows {
-		latest[r.zone] = max(latest[r.zone], r.at)
+		latest[r.zone] = max(latest[r.zone], r.receivedAt)
 	}
-	return slices.DeleteFunc(rows, func(r row) bool { return now-latest[r.zone] > zoneSilent })
+	return slices.DeleteFunc(rows, func(r mixerEvidence) bool { return now-latest[r.zone] > zoneReportTimeout })
 }
 
 // gather adds up what the mixers of each zone saw of each zone's nodes, in their last few
 // reports and, but for latencies, in the last ones.
-func gather(rows []row, off []string) (cells, last map[[2]string]Evidence, from, to []string) {
-	cells, last = map[[2]string]Evidence{}, map[[2]string]Evidence{}
+func aggregatePaths(rows []mixerEvidence, excluded []string) (paths, last map[[2]string]Evidence, from, to []string) {
+	paths, last = map[[2]string]Evidence{}, map[[2]string]Evidence{}
 	for _, r := range rows {
-		if slices.Contains(off, r.mixer) {
+		if slices.Contains(excluded, r.mixer) {
 			continue
 		}
 		if !slices.Contains(from, r.zone) {
@@ -135,18 +137,18 @@
 		for i, report := range r.reports {
 			for z, e := range report {
 				at := [2]string{r.zone, z}
-				sum := cells[at]
-				sum.add(e)
-				sum.addLatency(e)
-				cells[at] = sum
+				sum := paths[at]
+				sum.addCounts(e)
+				sum.mergeLatency(e)
+				paths[at] = sum
 				if i == len(r.reports)-1 {
 					sum := last[at]
-					sum.add(e)
+					sum.addCounts(e)
 					last[at] = sum
 				}
 			}
 		}
-		for z := range r.sees {
+		for z := range r.totals {
 			if !slices.Contains(to, z) {
 				to = append(to, z)
 			}
@@ -154,28 +156,28 @@
 	}
 	slices.Sort(from)
 	slices.Sort(to)
-	return cells, last, from, to
+	return paths, last, from, to
 }
 
 // cell is how one zone's mixers see another's nodes.
-func (j *Judge) cell(at [2]string, e, last Evidence) Verdict {
-	bad := 0.0
+func (j *Judge) pathVerdict(at [2]string, e, last Evidence) Verdict {
+	badShare := 0.0
 	if e.Nodes > 2 {
-		bad = float64(e.BadNodes) / float64(e.Nodes)
+		badShare = float64(e.BadNodes) / float64(e.Nodes)
 	}
-	few := bad > 0 && bad < fewNodes && e.wrong() <= fewTimes*bad+fewMore
-	turning := e.Nodes > 0 && float64(e.TransitioningNodes) >= turningShare*float64(e.Nodes)
-	usual := j.of(at)
+	onlyBadNodes := badShare > 0 && badShare < badNodesLimit && e.failedShare() <= badNodesFactor*badShare+badNodesMargin
+	transitioning := e.Nodes > 0 && float64(e.TransitioningNodes) >= transitionShare*float64(e.Nodes)
+	usual := j.usualLatencyOf(at)
 	switch {
-	case last.Overdue >= leastParts && last.SilentFor >= quietTime:
+	case last.Overdue >= minParts && last.SilentFor >= darkSilence:
 		return Dark
-	case e.Sent() < leastParts:
+	case e.Sent() < minParts:
 		return Unknown
-	case e.lost() >= darkShare:
+	case e.lostShare() >= darkShare:
 		return Dark
-	case e.wrong() >= failingShare && !few && !turning:
+	case e.failedShare() >= failingShare && !onlyBadNodes && !transitioning:
 		return Failing
-	case usual > 0 && e.median() > slowTimes*usual && e.late() >= slowLate && !turning && !(bad > 0 && bad < fewNodes):
+	case usual > 0 && e.medianLatency() > slowFactor*usual && e.lateShare() >= slowLateShare && !transitioning && !(badShare > 0 && badShare < badNodesLimit):
 		return Slow
 	}
 	return Sound
@@ -183,66 +185,66 @@
 
 // learn takes in what is usual, from what is sound. Guards against a pair that is first seen
 // while all are slow, as nothing was sent there before: its slowness is not what is usual.
-func (j *Judge) learn(now time.Duration, cells map[[2]string]Evidence, voices map[[2]string]Verdict) {
-	weight := 1 - math.Exp(-(now-j.looked).Seconds()/usualPace.Seconds())
-	for at, e := range cells {
-		m := e.median()
-		if voices[at] != Sound || m == 0 {
+func (j *Judge) learnUsualLatency(now time.Duration, paths map[[2]string]Evidence, pathVerdicts map[[2]string]Verdict) {
+	weight := 1 - math.Exp(-(now-j.lastEvaluation).Seconds()/usualLatencyWindow.Seconds())
+	for at, e := range paths {
+		m := e.medianLatency()
+		if pathVerdicts[at] != Sound || m == 0 {
 			continue
 		}
-		if old, known := j.usual[at]; known {
-			j.usual[at] = old + weight*(m-old)
+		if old, known := j.usualLatency[at]; known {
+			j.usualLatency[at] = old + weight*(m-old)
 		} else {
-			j.usual[at] = m
-			if most := j.of(strange); most > 0 {
-				j.usual[at] = min(m, most)
+			j.usualLatency[at] = m
+			if limit := j.usualLatencyOf(unknownPair); limit > 0 {
+				j.usualLatency[at] = min(m, limit)
 			}
 		}
 	}
 }
 
-var strange = [2]string{} // a pair of which nothing is known
+var unknownPair = [2]string{} // a pair of which nothing is known
 
 // of is what is usual between two zones: where that is not known yet, what it may be at most, by
 // what is usual between others; 0: nothing is known.
-func (j *Judge) of(at [2]string) float64 {
-	if x, known := j.usual[at]; known {
+func (j *Judge) usualLatencyOf(at [2]string) float64 {
+	if x, known := j.usualLatency[at]; known {
 		return x
 	}
-	if known := slices.Sorted(maps.Values(j.usual)); len(known) > 0 {
-		return strangeTimes * known[len(known)/2]
+	if known := slices.Sorted(maps.Values(j.usualLatency)); len(known) > 0 {
+		return unknownPairFactor * known[len(known)/2]
 	}
 	return 0
 }
 
 // off names the mixers whose own word is worth nothing: those that stand still for long, and
 // those to which everything looks bad that looks sound to most others.
-func (j *Judge) off(rows []row) (list []string) {
-	sound := map[string][2]int{} // by zone of nodes: mixers to which it looks sound, and all
+func (j *Judge) excludedMixers(rows []mixerEvidence) (list []string) {
+	soundCounts := map[string][2]int{} // by zone of nodes: mixers to which it looks sound, and all
 	for _, r := range rows {
-		for z, e := range r.sees {
+		for z, e := range r.totals {
 			if e.Sent() == 0 {
 				continue
 			}
-			n := sound[z]
-			if n[1]++; e.wrong() < failingShare {
+			n := soundCounts[z]
+			if n[1]++; e.failedShare() < failingShare {
 				n[0]++
 			}
-			sound[z] = n
+			soundCounts[z] = n
 		}
 	}
 	for _, r := range rows {
-		if r.lag > lagging {
+		if r.lag > maxMixerLag {
 			list = append(list, r.mixer)
 			continue
 		}
 		zones, against := 0, 0
-		for z, e := range r.sees {
+		for z, e := range r.totals {
 			if e.Sent() == 0 {
 				continue
 			}
 			zones++
-			if n := sound[z]; e.wrong() >= failingShare && 2*n[0] > n[1] {
+			if n := soundCounts[z]; e.failedShare() >= failingShare && 2*n[0] > n[1] {
 				against++
 			}
 		}
@@ -255,20 +257,20 @@
 }
 
 // column is how a zone's nodes are, by what the mixers of all zones see of them.
-func (j *Judge) column(t string, from, to []string, voices map[[2]string]Verdict, cells map[[2]string]Evidence, cuts map[[2]string]Verdict) (Verdict, string) {
-	var list []Verdict
+func (j *Judge) zoneVerdict(t string, from, to []string, pathVerdicts map[[2]string]Verdict, paths map[[2]string]Evidence, badPaths map[[2]string]Verdict) (Verdict, string) {
+	var badVerdicts []Verdict
 	var bad, sound []string
 	for _, o := range from {
-		switch v := voices[[2]string{o, t}]; {
+		switch v := pathVerdicts[[2]string{o, t}]; {
 		case v == Unknown:
 		case v == Sound:
 			sound = append(sound, o)
 		default:
 			bad = append(bad, o)
-			list = append(list, v)
+			badVerdicts = append(badVerdicts, v)
 		}
 	}
-	slices.Sort(list)
+	slices.Sort(badVerdicts)
 	switch {
 	case len(bad) == 0 && len(sound) == 0:
 		return Unknown, "too little is sent there"
@@ -277,34 +279,34 @@
 	case len(sound) > 0:
 		// Somebody reaches it well: the way there is bad for the others, not the zone.
 		for _, o := range bad {
-			cuts[[2]string{o, t}] = voices[[2]string{o, t}]
+			badPaths[[2]string{o, t}] = pathVerdicts[[2]string{o, t}]
 		}
 		return Sound, fmt.Sprintf("sound from %s, not from %s", strings.Join(sound, ", "), strings.Join(bad, ", "))
-	case len(bad) == 1 && bad[0] != t && !lonely(bad[0], from):
+	case len(bad) == 1 && bad[0] != t && !isOnlySource(bad[0], from):
 		// One zone's word alone, on a way that nobody else uses, may be that way's fault. Where
 		// it is all that anybody hears, as its own mixers are gone, it has to do.
-		if v, o := list[0], bad[0]; v != Dark || !othersSound(o, t, to, voices) {
-			cuts[[2]string{o, t}] = v
+		if v, o := badVerdicts[0], bad[0]; v != Dark || !otherZonesSound(o, t, to, pathVerdicts) {
+			badPaths[[2]string{o, t}] = v
 			return Unknown, "seen from " + o + " alone"
 		}
 	}
 	// The mildest word of most: whoever sees worse may be half cut off besides.
-	v := list[(len(list)-1)/2]
+	v := badVerdicts[(len(badVerdicts)-1)/2]
 	sum := Evidence{}
 	for _, o := range bad {
-		sum.add(cells[[2]string{o, t}])
+		sum.addCounts(paths[[2]string{o, t}])
 	}
 	return v, fmt.Sprintf("of %d parts from %s: %.0f%% without a word, %.0f%% of no use, %.0f%% of answers late, %d of %d nodes bad", sum.Sent(),
-		strings.Join(bad, ", "), 100*sum.lost(), 100*sum.wrong(), 100*sum.late(), sum.BadNodes, sum.Nodes)
+		strings.Join(bad, ", "), 100*sum.lostShare(), 100*sum.failedShare(), 100*sum.lateShare(), sum.BadNodes, sum.Nodes)
 }
 
 // lonely reports whether no other zone has mixers that tell anything.
-func lonely(o string, from []string) bool { return len(from) == 1 && from[0] == o }
+func isOnlySource(o string, from []string) bool { return len(from) == 1 && from[0] == o }
 
 // othersSound reports whether a zone's mixers see all other zones well.
-func othersSound(o, but string, to []string, voices map[[2]string]Verdict) bool {
+func otherZonesSound(o, except string, to []string, pathVerdicts map[[2]string]Verdict) bool {
 	for _, t := range to {
-		if v := voices[[2]string{o, t}]; t != but && v != Sound && v != Unknown {
+		if v := pathVerdicts[[2]string{o, t}]; t != except && v != Sound && v != Unknown {
 			return false
 		}
 	}
@@ -312,7 +314,7 @@
 }
 
 // shared reports whether all zones that anything is known of are slow alike, or worse.
-func shared(raw map[string]Verdict) bool {
+func allZonesSlow(raw map[string]Verdict) bool {
 	known, slow := 0, 0
 	for _, v := range raw {
 		if v == Unknown {
@@ -329,46 +331,46 @@
 // alike reports whether what slows the slowest zone slows all others by half as much or more,
 // by its times or by the time that it adds: what all depend on is slow, and no zone is the better
 // one.
-func (j *Judge) alike(cells map[[2]string]Evidence) bool {
-	times, adds := map[string]float64{}, map[string]float64{} // by zone of nodes, of the usual, to whom it is quickest
-	for at, e := range cells {
-		usual, m := j.usual[at], e.median()
-		if usual == 0 || m == 0 || e.Sent() < leastParts {
+func (j *Judge) slowedAlike(paths map[[2]string]Evidence) bool {
+	slowdowns, delays := map[string]float64{}, map[string]float64{} // by zone of nodes, of the usual, to whom it is quickest
+	for at, e := range paths {
+		usualLatency, m := j.usualLatency[at], e.medianLatency()
+		if usualLatency == 0 || m == 0 || e.Sent() < minParts {
 			continue
 		}
-		if x, known := times[at[1]]; !known || m/usual < x {
-			times[at[1]] = m / usual
+		if x, known := slowdowns[at[1]]; !known || m/usualLatency < x {
+			slowdowns[at[1]] = m / usualLatency
 		}
-		if x, known := adds[at[1]]; !known || m-usual < x {
-			adds[at[1]] = m - usual
+		if x, known := delays[at[1]]; !known || m-usualLatency < x {
+			delays[at[1]] = m - usualLatency
 		}
 	}
-	least, most := ends(times)
-	leastAdd, mostAdd := ends(adds)
-	return len(times) > 1 && most > slowTimes && (least >= alikeShare*most || leastAdd >= alikeShare*mostAdd)
+	minSlowdown, maxSlowdown := minMax(slowdowns)
+	minDelay, maxDelay := minMax(delays)
+	return len(slowdowns) > 1 && maxSlowdown > slowFactor && (minSlowdown >= allSlowShare*maxSlowdown || minDelay >= allSlowShare*maxDelay)
 }
 
 // ends are the least and the largest.
-func ends(list map[string]float64) (least, most float64) {
-	least, most = math.Inf(1), math.Inf(-1)
+func minMax(list map[string]float64) (lowest, highest float64) {
+	lowest, highest = math.Inf(1), math.Inf(-1)
 	for _, x := range list {
-		least, most = min(least, x), max(most, x)
+		lowest, highest = min(lowest, x), max(highest, x)
 	}
-	return least, most
+	return lowest, highest
 }
 
 // settle lets a verdict change once the new one has held for long enough.
-func (j *Judge) settle(now time.Duration, t string, v Verdict, why string) {
-	s := j.stands[t]
+func (j *Judge) updateVerdict(now time.Duration, t string, v Verdict, why string) {
+	s := j.verdicts[t]
 	if s == nil {
-		s = &standing{now: v, why: why, next: v, since: now}
+		s = &verdictState{now: v, why: why, candidate: v, candidateSince: now}
 		if v > Sound {
 			s.now = Unknown // what is bad from the start has to hold as well
 		}
-		j.stands[t] = s
+		j.verdicts[t] = s
 	}
-	if v != s.next {
-		s.next, s.since = v, now
+	if v != s.candidate {
+		s.candidate, s.candidateSince = v, now
 	}
 	if v == s.now {
 		s.why = why
@@ -381,7 +383,7 @@
 	case v < s.now:
 		hold = holdSound
 	}
-	if now-s.since >= hold {
+	if now-s.candidateSince >= hold {
 		s.now, s.why = v, why
 	}
 }
