--- a/internal/fleet/zone/capacity.go
+++ b/internal/fleet/zone/capacity.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	capacityHalfLife = 10 * time.Minute // in which what nodes bore is half forgotten
-	usualLoadWindow  = 30 * time.Second // over which what is usually sent to a zone is a mean
-	trustFactor      = 1.5              // of what they bore, that nodes are trusted to bear: one that does not shows it, and part is taken back
+	capacityHalfLife = 10 * time.Minute // half-life of the largest load seen on a node
+	usualLoadWindow  = 30 * time.Second // time constant of the mean of a zone's usual load
+	trustFactor      = 1.5              // multiple of the largest load seen that nodes are expected to bear; if they do not, they slow down and part of the load is taken back
 )
 
-// Nodes is what the list tells of a zone's nodes.
+// NodeStats is what the node list says about the nodes of a zone.
 type NodeStats struct {
 	Running   int
-	WarmShare float64 // share of what they can do now, by their starts; 1: all are warm
-	Only      float64 // share of what they hold that no running node of another zone holds
-	Restarts  int     // started anew since the present step of a return began
+	WarmShare float64 // share of their capacity that the nodes have now, by their start times; 1: all are warm
+	Only      float64 // share of the data that no running node of another zone holds
+	Restarts  int     // nodes that restarted since the present step of a return began
 }
 
-// Gauge learns what zones' nodes can do. Nobody tells: what is known is what they bore while
-// all was well, in parts a second.
+// CapacityEstimator estimates the capacity of zones in parts per second. No node announces its
+// capacity; the estimate rests on the load that nodes bore while their zone was sound.
 type CapacityEstimator struct {
-	maxNodeLoad float64 // most that a node bore
+	maxNodeLoad float64 // largest load of one node
 	usualLoads  map[string]float64
 	lastUpdate  time.Duration
 }
 
-// NewGauge returns a Gauge that knows nothing.
+// NewCapacityEstimator returns a CapacityEstimator without data.
 func NewCapacityEstimator() *CapacityEstimator {
 	return &CapacityEstimator{usualLoads: map[string]float64{}}
 }
 
-// Take takes in what is sent to each zone now, and says what the zones can do.
+// Update takes the present load of each zone, in parts per second, and returns the capacities of
+// the zones.
 func (g *CapacityEstimator) Update(now time.Duration, p Plan, j Judgement, loads map[string]float64, nodes map[string]NodeStats) map[string]Capacity {
 	elapsed := now - g.lastUpdate
 	if g.lastUpdate == 0 {
@@ -40,7 +41,7 @@
 	}
 	g.lastUpdate = now
 	g.maxNodeLoad *= math.Exp2(-elapsed.Seconds() / capacityHalfLife.Seconds())
-	shifted := len(p.Zones) > 0 // what is sent now is not what is usual
+	shifted := len(p.Zones) > 0 // load has been moved between zones, so the present load is not the usual one
 	for zone, n := range nodes {
 		if n.Running == 0 || p.StatusOf(zone).Phase != In || j.Zones[zone] != Sound {
 			continue
@@ -59,7 +60,8 @@
 	return list
 }
 
-// Loads is what all mixers send to each zone, in parts a second, by their last reports.
+// Loads returns what all mixers send to each zone, in parts per second, according to their latest
+// reports.
 func (b *ReportStore) Loads(now time.Duration) map[string]float64 {
 	list := map[string]float64{}
 	for _, r := range b.recentEvidence(now) {
--- a/internal/fleet/zone/evidence.go
+++ b/internal/fleet/zone/evidence.go
@@ -1,8 +1,8 @@
-// Package zone tells from the evidence of a whole fleet of mixers whether a zone's stock
-// nodes have gone bad, and says what the fleet sends there: it leaves a zone, in whole or
-// in part, and returns at a pace that cold nodes bear. It is pure: no I/O, no clock, no
-// goroutine. Times are of the caller's monotonic clock; none is compared between
-// processes.
+// Package zone decides from the evidence of a whole fleet of mixers whether the stock nodes of a
+// zone have failed, and how much of the traffic the fleet sends to each zone. The fleet leaves a
+// failing zone in whole or in part, and returns to it in steps that cold nodes can bear. The
+// package is pure: it does no I/O, reads no clock and starts no goroutine. Times are of the
+// caller's monotonic clock; no time is compared between processes.
 //
 // docs/design/zones.md derives the rules and says why they hold.
 package zone
@@ -21,50 +21,51 @@
 )
 
 const (
-	sketchAccuracy  = 0.05                    // relative, of latencies
-	sketchBins      = 64                      // of a sketch; beyond that the quick ones are taken together
-	reportsPerMixer = 3                       // reports of a mixer that count
-	reportTTL       = 3500 * time.Millisecond // for so long after it came
-	maxMixers       = 4096
-	maxZones        = 64
+	sketchAccuracy  = 0.05                    // relative accuracy of latencies
+	sketchBins      = 64                      // bins of a sketch; if more are needed, those of the lowest latencies are merged
+	reportsPerMixer = 3                       // latest reports of a mixer that count
+	reportTTL       = 3500 * time.Millisecond // age up to which a report counts, from its arrival
+	maxMixers       = 4096                    // mixers whose reports are kept
+	maxZones        = 64                      // zones in a report
 
-	maxSketchBytes = 2 << 10
+	maxSketchBytes = 2 << 10 // of an encoded latency sketch
 )
 
-// Evidence is what one mixer saw of one zone's nodes since its last report. Of a zone
-// that is left or silent checks count as parts do: they are all there is.
+// Evidence is what one mixer observed of the nodes of one zone since its last report. If the zone
+// is left or silent, health checks count like parts, as they are the only evidence.
 type Evidence struct {
-	InTime             uint32 // parts answered within the time that was planned for them
-	Late               uint32 // answered, and later
-	Unanswered         uint32 // given up without a word
-	Refused            uint32 // turned away
-	Failed             uint32 // answered with an error, or broken off
-	Unconnected        uint32 // whose connection never came up
-	Nodes              uint16 // that it sent to
-	BadNodes           uint16 // those of which most parts were none of the first two
-	TransitioningNodes uint16 // those that leave or are cold, by the list
-	// Unheard parts were sent since the last word of any of its nodes, which came Quiet ago,
-	// and should have been answered by now.
+	InTime             uint32 // parts answered within the planned time
+	Late               uint32 // parts answered later than planned
+	Unanswered         uint32 // parts given up without any answer
+	Refused            uint32 // parts that a node refused
+	Failed             uint32 // parts answered with an error, or cut off
+	Unconnected        uint32 // parts without a connection
+	Nodes              uint16 // nodes that the mixer sent parts to
+	BadNodes           uint16 // nodes that answered most of their parts neither in time nor late
+	TransitioningNodes uint16 // nodes that are leaving or cold, according to the node list
+	// Overdue is the number of parts sent since any node of the zone last answered, SilentFor ago,
+	// that should have been answered by now.
 	Overdue   uint32
 	SilentFor time.Duration
-	// Latency is of the answers, in seconds; nil: there were none.
+	// Latency holds the latencies of the answers, in seconds; nil: no answers.
 	Latency *ddsketch.DDSketch
 }
 
-// Sent is how many parts it rests on.
+// Sent returns the number of parts that the evidence rests on.
 func (e Evidence) Sent() uint32 {
 	return e.InTime + e.Late + e.Unanswered + e.Refused + e.Failed + e.Unconnected
 }
 
-// lost is the share of parts of which nothing was heard.
+// lostShare returns the share of parts without any answer.
 func (e Evidence) lostShare() float64 { return ratio(e.Unanswered+e.Unconnected, e.Sent()) }
 
-// wrong is the share of parts that were of no use.
+// failedShare returns the share of parts without a useful answer.
 func (e Evidence) failedShare() float64 { return ratio(e.Sent()-e.InTime-e.Late, e.Sent()) }
 
-// late is the share of answers that came late.
+// lateShare returns the share of answers that came late.
 func (e Evidence) lateShare() float64 { return ratio(e.Late, e.InTime+e.Late) }
 
+// ratio returns part/of; 0 if of is 0.
 func ratio(part, of uint32) float64 {
 	if of == 0 {
 		return 0
@@ -72,13 +73,13 @@
 	return float64(part) / float64(of)
 }
 
-// Answered notes an answer's latency.
+// RecordAnswer counts an answer and records its latency.
 func (e *Evidence) RecordAnswer(took time.Duration, inTime bool) {
 	if e.Latency == nil {
 		e.Latency = newSketch()
 	}
 	if err := e.Latency.Add(took.Seconds()); err != nil {
-		return // a time that is none
+		return // not a valid latency
 	}
 	if inTime {
 		e.InTime++
@@ -87,15 +88,16 @@
 	}
 }
 
+// newSketch returns an empty latency sketch.
 func newSketch() *ddsketch.DDSketch {
 	m, err := mapping.NewLogarithmicMapping(sketchAccuracy)
 	if err != nil {
-		panic(err) // of a constant
+		panic(err) // cannot happen: the accuracy is constant
 	}
 	return ddsketch.NewDDSketch(m, store.NewCollapsingLowestDenseStore(sketchBins), store.NewCollapsingLowestDenseStore(sketchBins))
 }
 
-// Latencies is the sketch as it travels; nil: there is none.
+// EncodeLatencies returns the encoded latency sketch; nil if there is none.
 func (e Evidence) EncodeLatencies() (b []byte) {
 	if e.Latency != nil {
 		e.Latency.Encode(&b, true)
@@ -103,7 +105,8 @@
 	return b
 }
 
-// SetLatencies takes one that has travelled.
+// DecodeLatencies sets the latency sketch from its encoded form. It returns an error if the
+// encoding is too long or invalid, or holds no latencies.
 func (e *Evidence) DecodeLatencies(b []byte) error {
 	s := newSketch()
 	if len(b) > maxSketchBytes {
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// add adds the counts of another report of the same zone.
+// addCounts adds the counts of another report on the same zone, without its latencies.
 func (e *Evidence) addCounts(o Evidence) {
 	switch {
 	case o.Sent()+o.Overdue == 0:
@@ -134,7 +137,7 @@
 	e.Nodes, e.BadNodes, e.TransitioningNodes = max(e.Nodes, o.Nodes), max(e.BadNodes, o.BadNodes), max(e.TransitioningNodes, o.TransitioningNodes)
 }
 
-// addLatency adds its latencies, which takes far longer than the counts.
+// mergeLatency merges the latencies of another report, which takes far longer than the counts.
 func (e *Evidence) mergeLatency(o Evidence) {
 	if o.Latency == nil {
 		return
@@ -142,10 +145,10 @@
 	if e.Latency == nil {
 		e.Latency = newSketch()
 	}
-	_ = e.Latency.MergeWith(o.Latency) // fails only for a sketch of another accuracy, which Take does not let in
+	_ = e.Latency.MergeWith(o.Latency) // fails only for a sketch of another accuracy, which Put drops
 }
 
-// median is of the latencies, in seconds; 0: none is known.
+// medianLatency returns the median latency in seconds; 0 if none is known.
 func (e Evidence) medianLatency() float64 {
 	if e.Latency == nil {
 		return 0
@@ -157,35 +160,37 @@
 	return median
 }
 
-// Report is one mixer's evidence, about once a second.
+// Report is the evidence of one mixer on all zones. Each mixer makes one about every second.
 type Report struct {
 	Mixer string
-	Zone  string // its own
-	Seq   uint64 // counts its reports
-	Lag   time.Duration
-	Zones map[string]Evidence // by the nodes' zone
+	Zone  string              // zone of the mixer
+	Seq   uint64              // sequence number of the mixer's reports
+	Lag   time.Duration       // longest delay of a timer of the mixer since its previous report
+	Zones map[string]Evidence // by the zone of the nodes
 }
 
-// Board keeps the latest reports of all mixers.
+// ReportStore keeps the latest reports of all mixers.
 type ReportStore struct {
 	mixers map[string]*mixerReports
 }
 
+// mixerReports is the latest reports of one mixer.
 type mixerReports struct {
 	zone    string
 	lastSeq uint64
-	list    []receivedReport // the oldest first
+	list    []receivedReport // oldest first
 }
 
+// receivedReport is a report with the time at which it arrived.
 type receivedReport struct {
 	receivedAt time.Duration
 	Report
 }
 
-// NewBoard returns a Board without reports.
+// NewReportStore returns an empty ReportStore.
 func NewReportStore() *ReportStore { return &ReportStore{mixers: map[string]*mixerReports{}} }
 
-// Take takes a report. One that is old, or comes again, changes nothing.
+// Put stores a report that arrived at a time. It ignores old and repeated reports.
 func (b *ReportStore) Put(now time.Duration, r Report) {
 	if r.Mixer == "" || r.Zone == "" || len(r.Zones) > maxZones {
 		return
@@ -196,7 +201,7 @@
 			b.DropStale(now)
 		}
 		if len(b.mixers) >= maxMixers {
-			return // guards memory against names without end
+			return // bounds memory if there are more names than any fleet has
 		}
 		s = &mixerReports{}
 		b.mixers[r.Mixer] = s
@@ -206,7 +211,7 @@
 	}
 	for name, e := range r.Zones {
 		if e.Latency != nil && math.Abs(e.Latency.RelativeAccuracy()-sketchAccuracy) > 1e-9 {
-			e.Latency = nil // by a program with other sketches
+			e.Latency = nil // from a program version with other sketches
 			r.Zones[name] = e
 		}
 	}
@@ -215,7 +220,7 @@
 	s.list = s.list[max(0, len(s.list)-reportsPerMixer):]
 }
 
-// Forget drops mixers of which nothing has come for long.
+// DropStale drops mixers that have not reported for long.
 func (b *ReportStore) DropStale(now time.Duration) {
 	for name, s := range b.mixers {
 		if len(s.list) == 0 || now-s.list[len(s.list)-1].receivedAt > 20*reportTTL {
@@ -224,16 +229,16 @@
 	}
 }
 
-// row is what one mixer has seen of late.
+// mixerEvidence is what one mixer has seen in its latest reports.
 type mixerEvidence struct {
 	mixer, zone string
 	lag         time.Duration
-	receivedAt  time.Duration         // when its last report came
-	reports     []map[string]Evidence // its last few, the oldest first
-	totals      map[string]Evidence   // their counts in sum
+	receivedAt  time.Duration         // when its latest report came
+	reports     []map[string]Evidence // its latest reports, oldest first
+	totals      map[string]Evidence   // sums of the counts, by the zone of the nodes
 }
 
-// rows are all mixers' evidence that still counts, by name.
+// recentEvidence returns the evidence of all mixers that is still valid, sorted by mixer.
 func (b *ReportStore) recentEvidence(now time.Duration) (list []mixerEvidence) {
 	for name, s := range b.mixers {
 		r := mixerEvidence{mixer: name, zone: s.zone, totals: map[string]Evidence{}}
--- a/internal/fleet/zone/exhaustive_test.go
+++ b/internal/fleet/zone/exhaustive_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// clone is a keeper that goes its own way from here.
+// clone returns an independent copy of the planner.
 func (k *Planner) clone() *Planner {
 	next := &Planner{c: k.c, memories: map[string]*zoneMemory{}, moved: append([]moved(nil), k.moved...)}
 	for z, m := range k.memories {
@@ -18,13 +18,13 @@
 	return next
 }
 
-// way is one way through all that two zones may look like.
+// exploration is one path through all verdicts that two zones may have.
 type exploration struct {
 	t          *testing.T
 	planner    *Planner
 	now        time.Duration
 	plan       Plan
-	path       string // how it came to this
+	path       string // the judgements and orders that led here
 	states     map[string]bool
 	stateCount *int
 	manual     bool
@@ -32,7 +32,7 @@
 
 var allVerdicts = []Verdict{Unknown, Sound, Slow, Failing, Dark}
 
-// step checks a change of the plan against what is promised of every one.
+// checkChange checks that a change of the plan keeps the guarantees for all plans.
 func (w *exploration) checkChange(was, next Plan, j Judgement) {
 	bad := func(format string, args ...any) { w.t.Fatalf("%s: %s", w.path, fmt.Sprintf(format, args...)) }
 	out := 0
@@ -64,7 +64,7 @@
 	}
 }
 
-// go on: every judgement, under this leader or another, and every order.
+// explore continues with every judgement, under this leader or a new one, and with every order.
 func (w exploration) explore(depth int) {
 	if depth == 0 {
 		return
@@ -103,7 +103,7 @@
 	}
 	for _, o := range []Order{OrderLeave, OrderReturn, OrderHold, OrderRelease} {
 		if o == OrderLeave && w.plan.StatusOf("a").Share == 0 {
-			continue // no operator is let do it
+			continue // the operator's tool does not allow it
 		}
 		next := w
 		next.planner = w.planner.clone()
@@ -113,7 +113,7 @@
 	}
 }
 
-// told is all that a keeper remembers.
+// memoryKey returns all that a planner remembers as text.
 func (k *Planner) memoryKey() string {
 	s := fmt.Sprint(k.moved)
 	for _, z := range []string{"a", "b"} {
@@ -124,8 +124,8 @@
 	return s
 }
 
-// TestEveryWayOfTwoZones goes through all that two zones may look like for some steps, with
-// another leader and an operator's word at each: no plan breaks what is promised of all.
+// TestEveryWayOfTwoZones explores all sequences of verdicts on two zones up to a number of steps,
+// with a change of leader or an operator's order at each step. No plan may break a guarantee.
 func TestEveryWayOfTwoZones(t *testing.T) {
 	depth := 5
 	if os.Getenv("KITELOFT_MEASURE") != "" {
@@ -144,7 +144,8 @@
 	}
 }
 
-// TestTheGaugeLearnsWhatNodesBear and keeps what was usual while a zone is left.
+// TestCapacityEstimatorLearnsLoad checks that the estimator learns the capacity of nodes from their
+// load, and keeps the usual load of a zone while it is left.
 func TestCapacityEstimatorLearnsLoad(t *testing.T) {
 	g := NewCapacityEstimator()
 	nodes := map[string]NodeStats{"a": {Running: 4, WarmShare: 1}, "b": {Running: 4, WarmShare: 1, Only: 0.25}}
@@ -155,7 +156,7 @@
 		now += time.Second
 		p = g.Update(now, Plan{}, j, map[string]float64{"a": 80, "b": 40}, nodes)
 	}
-	if got := p["b"]; got.UsualLoad != 40 || got.Load != 40 || got.Only != 0.25 || got.Total < 115 || got.Total > 120 { // 1.5 times what a node of a bore
+	if got := p["b"]; got.UsualLoad != 40 || got.Load != 40 || got.Only != 0.25 || got.Total < 115 || got.Total > 120 { // 1.5 times the load that a node of zone a bore
 		t.Errorf("b: %+v", got)
 	}
 	left := Plan{Zones: map[string]Stand{"b": {Phase: Leaving}}}
--- a/internal/fleet/zone/plan.go
+++ b/internal/fleet/zone/plan.go
@@ -7,39 +7,41 @@
 	"time"
 )
 
-// Phase is how the fleet stands to a zone.
+// Phase is the phase of the fleet's use of a zone.
 type Phase uint8
 
 // The phases.
 const (
-	In        Phase = iota // used as ever
+	In        Phase = iota // in normal use
 	Leaving                // left, in whole or in part
 	Returning              // its share grows step by step
 )
 
 var phaseNames = [...]string{"in", "leaving", "returning"}
 
+// String returns the phase's name as operators see it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Stand is how the fleet stands to one zone. It is what mixers agree on.
+// Stand is how the fleet uses one zone. The mixers agree on it, and its JSON form is part of the
+// replicated plan.
 type Stand struct {
 	Phase     Phase   `json:"phase"`
-	Share     float64 `json:"share"`            // of what would be sent there, that is
-	Step      int     `json:"step,omitempty"`   // Returning: how far
-	Failures  int     `json:"failed,omitempty"` // how often it was left of late
-	Held      bool    `json:"held,omitempty"`   // an operator's word: the machine leaves it as it is
-	Forced    bool    `json:"forced,omitempty"` // Returning by an operator's word, whatever it looks like
-	UsualLoad float64 `json:"usual,omitempty"`  // parts a second that were sent there before it was left, for a leader who did not see it
+	Share     float64 `json:"share"`            // of the traffic that the zone would get in normal use, from 0 to 1
+	Step      int     `json:"step,omitempty"`   // in phase Returning: index of the present step
+	Failures  int     `json:"failed,omitempty"` // how often the zone was left in the recent past
+	Held      bool    `json:"held,omitempty"`   // frozen by an operator's order: only another order changes it
+	Forced    bool    `json:"forced,omitempty"` // an operator ordered the return: it goes on even if the zone is not known to be sound
+	UsualLoad float64 `json:"usual,omitempty"`  // parts per second sent there before it was left, for a leader that did not see it
 	Why       string  `json:"why,omitempty"`
 }
 
-// Plan is how the fleet stands to all zones. A zone that it does not name is used as ever.
+// Plan is how the fleet uses all zones. Zones that are not in it are in normal use.
 type Plan struct {
-	Seq   uint64           `json:"seq"` // counts the changes
+	Seq   uint64           `json:"seq"` // number of changes so far
 	Zones map[string]Stand `json:"zones,omitempty"`
 }
 
-// Of is how the fleet stands to a zone.
+// StatusOf returns how the fleet uses a zone.
 func (p Plan) StatusOf(zone string) Stand {
 	if s, ok := p.Zones[zone]; ok {
 		return s
@@ -47,18 +49,21 @@
 	return Stand{Share: 1}
 }
 
-// Power is what a zone's nodes can do and are asked for, in any unit of work a second.
+// Capacity is what the nodes of a zone can do and what they are asked to do, in any unit of work
+// per second.
 type Capacity struct {
-	Total          float64 // all its nodes, warm
-	WarmShare      float64 // share of that which they can do now, by their starts; 1: all are warm
+	Total          float64 // all nodes, when warm
+	WarmShare      float64 // share of Total that they can do now, by their start times; 1: all are warm
 	Load           float64 // what is sent there now
-	UsualLoad      float64 // what is sent there while it is used as ever; 0: as now
-	Only           float64 // share of its work that no other zone's nodes can do: it is still asked there
-	RestartedNodes int     // nodes that were pushed over since it returns
+	UsualLoad      float64 // what is sent there in normal use; 0: same as Load
+	Only           float64 // share of the zone's work that no node of another zone can do; it stays with this zone
+	RestartedNodes int     // nodes that restarted during the present step of a return, as if overloaded
 }
 
+// headroom returns the load that can still be moved to the zone.
 func (p Capacity) headroom() float64 { return max(0, targetUtilization*p.Total*p.WarmShare-p.Load) }
 
+// usualLoad returns the load of normal use, or the present one if that is not known.
 func (p Capacity) usualLoad() float64 {
 	if p.UsualLoad > 0 {
 		return p.UsualLoad
@@ -66,14 +71,14 @@
 	return p.Load
 }
 
-// beyond reports whether a share of what is usually sent to a zone is more than its nodes bear
-// by now.
+// exceeds reports whether a share of the zone's usual load is more than its nodes can bear now.
 func (p Capacity) exceeds(share float64, s Stand) bool {
 	usual := max(p.UsualLoad, s.UsualLoad)
 	return usual > 0 && p.Total > 0 && share*usual > coldMargin*p.Total*p.WarmShare
 }
 
-// bears is the last step of a return that is not beyond them; the first one always is not.
+// highestSafeStep returns the last step of a return that does not exceed what the nodes can bear
+// now, but at least the first step with traffic.
 func (p Capacity) highestSafeStep(s Stand) int {
 	step := len(returnSteps) - 1
 	for step > 1 && p.exceeds(returnSteps[step], s) {
@@ -82,37 +87,37 @@
 	return step
 }
 
-// Figures of the decision.
+// Parameters of the decisions.
 const (
-	targetUtilization = 0.85                   // of what nodes can do, that is planned to be sent to them
-	minMove           = 0.1                    // of a zone's work; less is not worth a change
-	maxSlowMove       = 0.5                    // of a slow zone's work, at most: it still answers
-	sideEffectWindow  = 12 * time.Second       // within which another zone's slowness is held to be a move's fault,
-	sideEffectDelay   = time.Second            // and not sooner
-	leaveCooldown     = 30 * time.Second       // a zone that was taken back as it slowed another is not left again before
-	soundBeforeReturn = 2 * time.Second        // a zone left has to look sound to probes for so long before it returns
-	warmStepTime      = time.Second            // a step of the return where all nodes are warm
-	pressedStepTime   = 500 * time.Millisecond // and where no other zone is well: what it can do is wanted at once
-	setbackWaits      = 2                      // times that a step is repeated after one
-	failureMemory     = 90 * time.Second       // a zone that fails again so soon waits longer
-	maxFailures       = 5
-	coldMargin        = 0.8 // of what cold nodes can do, that is sent to them
+	targetUtilization = 0.85                   // share of the nodes' capacity up to which load is moved to them
+	minMove           = 0.1                    // share of a zone's work; moving less is not worth a change
+	maxSlowMove       = 0.5                    // share of a slow zone's work that is moved at most: the zone still answers
+	sideEffectWindow  = 12 * time.Second       // a zone that slows down within this time after a move is held to be slowed by it,
+	sideEffectDelay   = time.Second            // but not if it slows sooner than this
+	leaveCooldown     = 30 * time.Second       // minimum time until a zone is left again after load was taken back because it slowed another
+	soundBeforeReturn = 2 * time.Second        // time that a left zone has to look sound to health checks before its return
+	warmStepTime      = time.Second            // length of a step of a return if all nodes are warm
+	pressedStepTime   = 500 * time.Millisecond // length of a step if no other zone is sound: the capacity is needed at once
+	setbackWaits      = 2                      // extra step lengths that a step lasts after a step back
+	failureMemory     = 90 * time.Second       // a zone that fails again within this time waits longer for its return
+	maxFailures       = 5                      // counted at most; limits the wait for a return
+	coldMargin        = 0.8                    // share of the capacity of cold nodes that is used at most
 )
 
-// steps are the shares of a return.
+// returnSteps are the shares of a zone in the steps of a return.
 var returnSteps = []float64{0, 0.05, 0.12, 0.25, 0.45, 0.7, 1}
 
-// Config is what the operators set.
+// Config holds the operators' settings.
 type Config struct {
-	WarmupTime       time.Duration // for which nodes that start are cold
-	WarmupStartShare float64       // share of what they can do, at their start
-	// Manual has operators alone leave and return to zones; the steps of a return and its
-	// setbacks are the machine's all the same.
+	WarmupTime       time.Duration // time for which nodes are cold after their start
+	WarmupStartShare float64       // share of their capacity that nodes have at their start
+	// Manual leaves it to operators alone to leave zones and to return to them. The steps of a
+	// return, forward and back, are still decided by the Planner.
 	Manual bool
 }
 
-// stepTime is how long a step of a return lasts: all of them take half of the cold time, where
-// anything is cold. That no step goes beyond what cold nodes bear is seen to besides.
+// stepTime returns the length of a step of a return. If any nodes are cold, all steps together take
+// half of WarmupTime. Capacity.exceeds limits each step to what cold nodes can bear.
 func (c Config) stepTime(p Capacity) time.Duration {
 	if p.WarmShare >= 1 {
 		return warmStepTime
@@ -120,34 +125,36 @@
 	return max(warmStepTime, c.WarmupTime/time.Duration(2*(len(returnSteps)-1)))
 }
 
-// Keeper decides, at whoever leads. A new leader begins anew: what was to wait waits again.
+// Planner decides how the fleet uses the zones. It runs at the leader. A new leader starts with a
+// new Planner, so all waiting times start again.
 type Planner struct {
 	c        Config
 	memories map[string]*zoneMemory
 	moved    []moved
 }
 
-// memo is what the keeper remembers of a zone; none of it is agreed.
+// zoneMemory is what a Planner remembers of a zone; it is not replicated.
 type zoneMemory struct {
-	soundSince   time.Duration // since when it looks sound while it is left; -1: it does not
-	step         time.Duration // when its present step began; -1: under another leader
-	extraWaits   int           // times that the present step is still to be waited for, after a setback
+	soundSince   time.Duration // since when a left zone has looked sound; -1: it does not
+	step         time.Duration // when the present step began; -1: under another leader
+	extraWaits   int           // extra step lengths to wait in the present step, after a step back
 	leftAt       time.Duration // when it was last left; -1: never
-	takenBackAt  time.Duration // when it was last taken back as it slowed another; -1: never
-	overloadedAt time.Duration // when it was last bad while another was left, or all were slow; -1: never
+	takenBackAt  time.Duration // when load was last taken back because moving it slowed another zone; -1: never
+	overloadedAt time.Duration // when it was last bad while another zone was left or all were slow; -1: never
 }
 
-// moved is work that was moved off a zone.
+// moved is load that was moved off a zone.
 type moved struct {
 	movedAt    time.Duration
 	zone       string
 	share      float64
-	alreadyBad []string // zones that were slow before
+	alreadyBad []string // zones that were slow or worse before the move
 }
 
-// NewKeeper returns a Keeper.
+// NewPlanner returns a Planner without history.
 func NewPlanner(c Config) *Planner { return &Planner{c: c, memories: map[string]*zoneMemory{}} }
 
+// memoryOf returns what the planner remembers of a zone, which may be changed.
 func (k *Planner) memoryOf(zone string) *zoneMemory {
 	m := k.memories[zone]
 	if m == nil {
@@ -157,8 +164,8 @@
 	return m
 }
 
-// Next is the plan that follows from what is known, and whether it is another one. At most
-// one zone is changed at a time, the worst first.
+// Next returns the plan that follows from the evidence, and whether it differs from p. It changes
+// at most one zone at a time, the one with the worst verdict first.
 func (k *Planner) Next(now time.Duration, p Plan, j Judgement, power map[string]Capacity) (Plan, bool) {
 	names := j.ZoneNames()
 	for zone := range p.Zones {
@@ -211,10 +218,11 @@
 	return p, false
 }
 
-// Acts is what a mixer acts on: the plan, and under it its own evidence. A zone that is dark
-// to it, it leaves at once, before all have agreed; unless all are: then it is cut off
-// itself, and what it leaves would help nobody. On a return the plan alone counts: so
-// that no mixer takes what others leave.
+// WithOwnEvidence returns the plan that a mixer acts on: the agreed plan, changed by the mixer's
+// own evidence. The mixer leaves a zone that is dark to it at once, before the fleet has agreed on
+// it. If all zones are dark to it, the mixer itself is cut off and it would help nobody to leave
+// them. A return follows the agreed plan alone, so that a mixer does not use capacity that the
+// others have left free.
 func (p Plan) WithOwnEvidence(own Judgement) Plan {
 	if allDark(own) {
 		return p
@@ -232,21 +240,23 @@
 	return effective
 }
 
-// serves reports whether any of some zones gets anything, but for one.
+// servesAny reports whether any of the zones, with one exception, gets traffic.
 func (p Plan) servesAny(zones []string, except string) bool {
 	return slices.ContainsFunc(zones, func(z string) bool { return z != except && p.StatusOf(z).Share > 0 })
 }
 
-// pressed reports whether no zone that is used as ever is well: what a left one can do is wanted.
+// noOtherZoneWell reports whether no other zone in normal use is sound or unknown: the capacity of
+// this one is needed even though it was left.
 func (p Plan) noOtherZoneWell(zone string, j Judgement) bool {
 	return len(j.Zones) > 1 && !slices.ContainsFunc(j.ZoneNames(), func(z string) bool { return z != zone && p.StatusOf(z).Phase == In && j.Zones[z] <= Sound })
 }
 
-// last reports whether all zones but one are dark, or get nothing: what it can do is all there is.
+// isLastZone reports whether all other zones are dark or get no traffic: no other capacity exists.
 func (p Plan) isLastZone(zone string, j Judgement) bool {
 	return !slices.ContainsFunc(j.ZoneNames(), func(z string) bool { return z != zone && j.Zones[z] != Dark && p.StatusOf(z).Share > 0 })
 }
 
+// withStatus returns the next plan, in which one zone has a new status.
 func (p Plan) withStatus(zone string, s Stand) Plan {
 	updated := Plan{Seq: p.Seq + 1, Zones: maps.Clone(p.Zones)}
 	if updated.Zones == nil {
@@ -260,7 +270,7 @@
 	return updated
 }
 
-// others reports whether another zone is left, or on its way back.
+// anotherZoneChanging reports whether another zone is left or being returned to.
 func (p Plan) anotherZoneChanging(zone string) bool {
 	for z, s := range p.Zones {
 		if z != zone && s.Phase != In {
@@ -270,7 +280,7 @@
 	return false
 }
 
-// movable is the share of a zone's work that the others have room for.
+// movableShare returns the share of a zone's work that the other zones have capacity for.
 func movableShare(zone string, p Plan, j Judgement, power map[string]Capacity) float64 {
 	headroom := 0.0
 	for z, w := range power {
@@ -285,7 +295,7 @@
 	return min(1, headroom/work)
 }
 
-// leave decides on a zone that is used as ever.
+// decideIn decides whether to leave a zone in normal use.
 func (k *Planner) decideIn(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
 	m, v := k.memoryOf(zone), j.Zones[zone]
 	if s.Failures > 0 && m.leftAt >= 0 && now-m.leftAt > failureMemory {
@@ -300,7 +310,7 @@
 		if j.Shared || p.anotherZoneChanging(zone) || m.takenBackAt >= 0 && now-m.takenBackAt < leaveCooldown {
 			return s, false
 		}
-		// Guards against leaving a zone for what it bore in another's place, which it still shows.
+		// Guards against leaving a zone for the effects of load that it carried for another zone.
 		if m.overloadedAt >= 0 && now-m.overloadedAt < sideEffectWindow {
 			return s, false
 		}
@@ -314,13 +324,14 @@
 		return s, false
 	}
 	if v == Dark && len(j.Zones) > 1 && (allDark(j) || !p.servesAny(j.ZoneNames(), zone)) {
-		return s, false // nowhere to go; and it is not likely that all are
+		return s, false // there is no other zone to use; and it is unlikely that all are dark
 	}
 	k.moved = append(k.moved, moved{now, zone, share, j.badZones()})
 	m.leftAt, m.soundSince = now, -1
 	return Stand{Phase: Leaving, Share: 1 - share, Failures: min(s.Failures+1, maxFailures), UsualLoad: power[zone].usualLoad(), Why: fmt.Sprintf("%v: %s", v, j.Why[zone])}, true
 }
 
+// allDark reports whether all zones are dark or unknown.
 func allDark(j Judgement) bool {
 	for _, v := range j.Zones {
 		if v != Dark && v != Unknown {
@@ -330,11 +341,13 @@
 	return true
 }
 
-// left decides on a zone that is left: whether it is left further, or returned to.
+// decideLeaving decides on a zone that is left: whether to move more load off it or to return to
+// it.
 func (k *Planner) decideLeaving(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
 	m := k.memoryOf(zone)
 	if v := j.Zones[zone]; v != Dark && v != Unknown && len(j.Zones) > 1 && p.isLastZone(zone, j) {
-		// However it is: nothing else is left. As much at once as its nodes bear.
+		// No other zone is usable, so its verdict does not matter. Use as much at once as its nodes
+		// can bear.
 		if step := power[zone].highestSafeStep(s); returnSteps[step] > s.Share {
 			m.step, m.extraWaits = now, 0
 			s.Phase, s.Step, s.Share, s.Why = Returning, step, returnSteps[step], "all others are dark, or left"
@@ -346,8 +359,8 @@
 		if m.soundSince < 0 {
 			m.soundSince = now
 		}
-		// Each time that it failed of late doubles the wait: one that fails again and again is
-		// left for longer and longer.
+		// Each recent failure doubles the wait, so that a zone that fails repeatedly is left for
+		// longer and longer.
 		wait, noOtherZoneWell := soundBeforeReturn<<min(max(s.Failures-1, 0), maxFailures), p.noOtherZoneWell(zone, j)
 		if noOtherZoneWell {
 			wait -= soundBeforeReturn
@@ -385,7 +398,8 @@
 	return s, false
 }
 
-// back decides on a zone that is being returned to: a step on, a step back, or out again.
+// decideReturning decides on a zone that is being returned to: a step forward, a step back, or
+// leaving it again.
 func (k *Planner) decideReturning(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
 	m, w := k.memoryOf(zone), power[zone]
 	if m.step < 0 {
@@ -401,7 +415,7 @@
 		return Stand{Phase: Leaving, Failures: min(s.Failures+1, maxFailures), UsualLoad: s.UsualLoad, Why: "dark again: " + j.Why[zone]}, true
 	case w.RestartedNodes > 0 || v > Sound:
 		if stepAge < warmStepTime {
-			return s, false // what is seen may be of the step before
+			return s, false // the evidence may be from the previous step
 		}
 		step := max(0, s.Step-1)
 		if step == s.Step {
@@ -416,7 +430,7 @@
 		k.moved = slices.DeleteFunc(k.moved, func(x moved) bool { return x.zone == zone })
 		return Stand{Phase: In, Share: 1, Failures: s.Failures}, true
 	}
-	// Whatever the steps say, no more than its nodes bear by now.
+	// Do not exceed what the nodes can bear now.
 	next := returnSteps[s.Step+1]
 	if w.exceeds(next, s) {
 		return s, false
@@ -426,7 +440,7 @@
 	return s, true
 }
 
-// bad are the zones that are slow or worse.
+// badZones returns the zones that are slow or worse.
 func (j Judgement) badZones() (list []string) {
 	for _, z := range j.ZoneNames() {
 		if j.Zones[z] > Sound {
@@ -436,8 +450,8 @@
 	return list
 }
 
-// caused notices that a zone slowed after another one's work was moved to it: part of that is
-// taken back, and the zone that slowed is not left.
+// takeBackHarmfulMove finds a zone that slowed down after load of another zone was moved to it.
+// Part of that load is taken back, and the slowed zone is not left.
 func (k *Planner) takeBackHarmfulMove(now time.Duration, p Plan, j Judgement) (string, Stand, bool) {
 	k.moved = slices.DeleteFunc(k.moved, func(x moved) bool { return now-x.movedAt > sideEffectWindow })
 	for i, x := range k.moved {
@@ -453,30 +467,30 @@
 			k.memoryOf(x.zone).takenBackAt = now
 			s.Share = min(1, s.Share+x.share/2)
 			s.Why = fmt.Sprintf("part of it is taken back: %s is %v since", z, j.Zones[z])
-			k.moved = append(k.moved, moved{now + holdSound, x.zone, x.share / 2, nil}) // until then what is seen is of before
+			k.moved = append(k.moved, moved{now + holdSound, x.zone, x.share / 2, nil}) // until then the evidence is from before the change
 			return x.zone, s, true
 		}
 	}
 	return "", Stand{}, false
 }
 
-// Order is an operator's word, which goes before the machine's.
+// Order is an operator's order. It takes precedence over the Planner's own decisions.
 type Order uint8
 
 // The orders.
 const (
-	OrderLeave   Order = iota + 1 // send nothing there, until another order
-	OrderReturn                   // return to it step by step, whatever it looks like
-	OrderHold                     // leave it as it is, until another order
-	OrderRelease                  // the machine decides again
+	OrderLeave   Order = iota + 1 // send nothing there until another order
+	OrderReturn                   // return step by step, whatever the verdict
+	OrderHold                     // keep the zone as it is until another order
+	OrderRelease                  // let the Planner decide again
 )
 
 var ordersByName = map[string]Order{"leave": OrderLeave, "return": OrderReturn, "hold": OrderHold, "free": OrderRelease}
 
-// ParseOrder is the order of a name; 0: there is none.
+// ParseOrder returns the order with a name; 0 if there is none.
 func ParseOrder(name string) Order { return ordersByName[name] }
 
-// Obey carries out an operator's word.
+// ApplyOrder returns the plan that follows from an operator's order on a zone.
 func (k *Planner) ApplyOrder(now time.Duration, p Plan, zone string, o Order, reason string) Plan {
 	s, m := p.StatusOf(zone), k.memoryOf(zone)
 	switch o {
--- a/internal/fleet/zone/scenarios_test.go
+++ b/internal/fleet/zone/scenarios_test.go
@@ -11,14 +11,14 @@
 
 var three = []string{"a", "b", "c"}
 
-// TestVerdicts has one thing after another happen to a fleet, and asks what it makes of it.
+// TestVerdicts injects one fault after another and checks the verdict and the plan.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		do      func(w *simulation)
 		verdict string      // of zone b after 8 s
-		left    bool        // zone b is left then, in whole or in part
-		cuts    [][2]string // that are known then
+		left    bool        // zone b is left by then, in whole or in part
+		cuts    [][2]string // bad paths that are found by then
 		check   func(w *simulation) string
 	}{
 		{"calm", func(*simulation) {}, "sound", false, nil, nil},
@@ -77,15 +77,15 @@
 	}
 }
 
-// TestDarkAndBackCold: in 20 seeds a zone goes dark for 5 s and comes back cold. What is
-// served in the 10 s after that is held against a fleet that is told the truth at once,
-// and against mixers that each find out alone.
+// TestDarkZoneReturnsCold has a zone go dark for 10 s and come back with cold nodes, with 20 seeds.
+// The share of parts answered in time during the 10 s is compared with a fleet in which each mixer
+// knows the truth at once, and with mixers that each decide alone.
 func TestDarkZoneReturnsCold(t *testing.T) {
 	var sums [3]float64
 	var slowest, longest, shortest time.Duration
 	worstColdLoad, toppled := 0.0, 0
 	seeds := uint64(20)
-	if raceOn { // the detector is slow
+	if raceOn { // the race detector is slow
 		seeds = 2
 	}
 	for seed := range seeds {
@@ -138,7 +138,8 @@
 	}
 }
 
-// TestNoZoneIsLeftForNothing: an hour of noise, bursts and slow moments shared by all.
+// TestNoiseLeavesNoZone checks that noise, bursts and slow periods that all zones share do not lead
+// to leaving a zone.
 func TestNoiseLeavesNoZone(t *testing.T) {
 	hours := 0.2
 	if testing.Short() || raceOn {
@@ -164,14 +165,15 @@
 	}
 }
 
-// TestALeftZoneSlowsAnother: the zones have no room for a slow one's work; the machine sees
-// that it caused the second's slowness, takes work back, and leaves the second alone.
+// TestMovedLoadSlowsAnotherZone checks the case that the other zones have no capacity for the load
+// of a bad one: the planner finds that it caused the second zone's slowness, takes load back, and
+// does not leave the second zone.
 func TestMovedLoadSlowsAnotherZone(t *testing.T) {
 	took := 0
 	for seed := range uint64(5) {
 		w := newSimulation(t, 50+seed, 12, three...)
 		w.zones["b"].badNodes = 5
-		w.zones["a"].slowFactor = 1.2 // it can do less than anybody believes
+		w.zones["a"].slowFactor = 1.2 // its capacity is lower than the planner knows
 		w.rate *= 1.35
 		w.run(20 * time.Second)
 		if w.plan.StatusOf("a").Phase != In || w.plan.StatusOf("c").Phase != In {
@@ -187,7 +189,8 @@
 	}
 }
 
-// TestAZoneThatFailsAgainAndAgain every 20 s is returned to ever more rarely.
+// TestRepeatedFailuresDelayReturn checks that a zone that fails every 20 s is returned to less and
+// less often.
 func TestRepeatedFailuresDelayReturn(t *testing.T) {
 	w := newSimulation(t, 3, 12, three...)
 	b := w.zones["b"]
@@ -210,7 +213,8 @@
 	}
 }
 
-// TestAnotherLeaderInTheMiddle of a return begins its step anew and goes on.
+// TestLeaderChangeDuringReturn checks that a new leader starts the present step again and continues
+// the return.
 func TestLeaderChangeDuringReturn(t *testing.T) {
 	w := newSimulation(t, 5, 12, three...)
 	b := w.zones["b"]
@@ -232,7 +236,7 @@
 	}
 }
 
-// TestOrders: an operator's word goes before the machine's.
+// TestOrders checks that an operator's order takes precedence over the planner's decisions.
 func TestOrders(t *testing.T) {
 	w := newSimulation(t, 6, 12, three...)
 	w.adopt(w.planner.ApplyOrder(w.now, w.plan, "c", OrderLeave, "we work there"))
@@ -262,7 +266,8 @@
 	}
 }
 
-// TestALargeFleet: 300 mixers, six zones; the same times, and evidence of one size.
+// TestLargeFleet checks 300 mixers in six zones: the delays have to be the same as in a small
+// fleet.
 func TestLargeFleet(t *testing.T) {
 	if raceOn {
 		t.Skip("the detector is slow, and a world has one goroutine")
@@ -288,7 +293,8 @@
 	}
 }
 
-// TestAPairFirstSeenWhileAllAreSlow is no measure of itself: nothing was sent between the two before.
+// TestPairFirstSeenWhileAllAreSlow checks that the first latency of a pair that was unused before
+// does not become its usual latency while all zones are slow.
 func TestPairFirstSeenWhileAllAreSlow(t *testing.T) {
 	b, j, now, seq := NewReportStore(), NewJudge(), time.Hour, uint64(0)
 	var got Judgement
@@ -314,7 +320,8 @@
 	}
 }
 
-// TestEvidenceIsBounded against reports without end, old ones, and sketches of others.
+// TestEvidenceIsBounded checks that the store stays bounded with endless reporter names, repeated
+// reports and old reports.
 func TestEvidenceIsBounded(t *testing.T) {
 	b := NewReportStore()
 	for i := range 2 * maxMixers {
@@ -340,7 +347,7 @@
 	}
 }
 
-// TestPure: no I/O, no clock, no goroutine.
+// TestPure checks that the package does no I/O, reads no clock and starts no goroutine.
 func TestPure(t *testing.T) {
 	pure.Imports(t, "errors", "fmt", "maps", "math", "slices", "strings", "time", "github.com/DataDog/sketches-go/ddsketch", "github.com/DataDog/sketches-go/ddsketch/mapping", "github.com/DataDog/sketches-go/ddsketch/store")
 }
--- a/internal/fleet/zone/simulation_test.go
+++ b/internal/fleet/zone/simulation_test.go
@@ -15,12 +15,12 @@
 const (
 	ms                    = time.Millisecond
 	stepTime              = 100 * ms
-	baseLatencySeconds    = 0.05 // seconds, of an answer where nothing is busy
-	plannedLatencySeconds = 0.25 // in which an answer is in time
+	baseLatencySeconds    = 0.05 // latency of an answer without load
+	plannedLatencySeconds = 0.25 // an answer within this time is in time
 )
 
-// world is a fleet of mixers in zones, with nodes that have a capacity, a cold ramp and a
-// point at which they topple, on a clock of its own. Work is in parts a second.
+// simulation is a fleet of mixers in zones with its own clock. The nodes have a capacity, a cold
+// phase, and a load at which they fail. Load is in parts per second.
 type simulation struct {
 	t             testing.TB
 	rng           *rand.Rand
@@ -29,11 +29,11 @@
 	zoneNames     []string
 	zones         map[string]*zoneNodes
 	mixers        []*mixer
-	rate          float64               // parts a second of the whole fleet
-	lossRates     map[[2]string]float64 // share of what mixers of the first zone send to nodes of the second, or say to mixers there, that is lost
-	latencyFactor float64               // all answers take so many times longer
-	usesTruth     bool                  // mixers know the truth at once
-	decidesAlone  bool                  // each decides by its own evidence
+	rate          float64               // load of the whole fleet, in parts per second
+	lossRates     map[[2]string]float64 // share of the traffic from mixers of the first zone to nodes and mixers of the second that is lost
+	latencyFactor float64               // multiple of all latencies
+	usesTruth     bool                  // mixers know the true state at once
+	decidesAlone  bool                  // each mixer decides by its own evidence
 
 	leader     *mixer
 	reports    *ReportStore
@@ -44,27 +44,27 @@
 	changes    []string
 	violations []string
 
-	inTimeParts, allParts float64 // parts in time, and all, since the last count
+	inTimeParts, allParts float64 // parts in time and all parts since the last call of inTimeShare
 }
 
-// room is a zone's nodes.
+// zoneNodes is the nodes of one zone.
 type zoneNodes struct {
 	name          string
-	capacity      float64 // parts a second, warm
+	capacity      float64 // parts per second, when warm
 	nodes         int
-	badNodes      int           // nodes that answer nothing
-	coldSince     time.Duration // when its nodes started; under 0: long ago
-	slowFactor    float64       // times that their work takes longer
+	badNodes      int           // nodes that never answer
+	coldSince     time.Duration // when its nodes started; negative: long ago
+	slowFactor    float64       // multiple of the time that their work takes
 	dark          bool
-	mixersGone    bool // its mixers too
+	mixersGone    bool // its mixers are gone too
 	transitioning int
 	failed        bool
-	worstColdLoad float64 // most that was sent while cold, of what they can do
+	worstColdLoad float64 // largest load while cold, as a multiple of the capacity at that time
 	load          float64 // smoothed
 	usualLoad     float64
 }
 
-// maker is a mixer.
+// mixer is one simulated mixer.
 type mixer struct {
 	name, zone   string
 	seq          uint64
@@ -76,7 +76,7 @@
 	judge        *Judge
 	planner      *Planner
 	weight       float64
-	lastHeard    map[string]time.Duration // when a zone's nodes last said something
+	lastHeard    map[string]time.Duration // when nodes of a zone last answered
 	overdue      map[string]uint32
 }
 
@@ -115,7 +115,7 @@
 
 func (w *simulation) run(d time.Duration) { w.events.Run(&w.now, d, nil) }
 
-// warm is the share of its capacity that a room has.
+// warmShare returns the share of its capacity that a zone has now.
 func (w *simulation) warmShare(r *zoneNodes) float64 {
 	if r.coldSince < 0 || w.now-r.coldSince >= testConfig.WarmupTime {
 		return 1
@@ -123,7 +123,7 @@
 	return testConfig.WarmupStartShare + (1-testConfig.WarmupStartShare)*(w.now-r.coldSince).Seconds()/testConfig.WarmupTime.Seconds()
 }
 
-// step sends what all mixers send within a step, and says what became of it.
+// step distributes the parts that all mixers send in one step, and simulates their answers.
 func (w *simulation) step() {
 	w.schedule(stepTime, w.step)
 	type sent struct {
@@ -136,7 +136,7 @@
 	asked := map[string]float64{}
 	for _, m := range w.mixers {
 		if w.zones[m.zone].mixersGone {
-			continue // its clients go to the others
+			continue // its clients use the other mixers
 		}
 		plan := m.plan.WithOwnEvidence(m.ownJudgement)
 		if w.usesTruth {
@@ -189,7 +189,7 @@
 		}
 		e.TransitioningNodes, e.BadNodes = uint16(r.transitioning), 0
 		if r.coldSince >= 0 && w.warmShare(r) < 1 {
-			e.TransitioningNodes = 0 // the whole zone is cold: that is no release of it
+			e.TransitioningNodes = 0 // the whole zone is cold, which is not a release
 		}
 		n, before := w.poisson(s.n), e.Unanswered
 		w.allParts += float64(n)
@@ -224,7 +224,8 @@
 	}
 }
 
-// alive is by how much more those mixers get that are there.
+// survivorFactor returns the factor by which the load of each running mixer grows as the others are
+// gone.
 func (w *simulation) survivorFactor() float64 {
 	sum := 0.0
 	for _, m := range w.mixers {
@@ -250,7 +251,7 @@
 	return n
 }
 
-// hears notes how many of some parts were not answered.
+// recordAnswers records how many parts were sent to a zone and how many of them got no answer.
 func (m *mixer) recordAnswers(now time.Duration, zone string, sent, silent int) {
 	if silent < sent {
 		m.lastHeard[zone], m.overdue[zone] = now, 0
@@ -259,7 +260,7 @@
 	}
 }
 
-// report has a mixer say what it saw, and check the nodes of zones that are left.
+// report sends a mixer's report, and has it check the nodes of zones that are left.
 func (w *simulation) report(m *mixer) {
 	w.schedule(time.Second, func() { w.report(m) })
 	for _, z := range w.zoneNames {
@@ -301,7 +302,7 @@
 	}
 }
 
-// talks reports whether words of the mixers of one zone reach those of another.
+// reaches reports whether messages of the mixers of one zone reach those of another.
 func (w *simulation) reaches(from, to string) bool {
 	return !w.zones[from].mixersGone && !w.zones[to].mixersGone && w.lossRates[[2]string{from, to}] < 0.5
 }
@@ -318,7 +319,7 @@
 	return list
 }
 
-// look has the leader judge and decide; a plan reaches each mixer that it can reach.
+// evaluate has the leader judge and decide, and sends a new plan to the mixers.
 func (w *simulation) evaluate() {
 	w.schedule(200*ms, w.evaluate)
 	if w.usesTruth || w.decidesAlone {
@@ -327,7 +328,7 @@
 	if w.zones[w.leader.zone].mixersGone {
 		for _, m := range w.mixers {
 			if !w.zones[m.zone].mixersGone {
-				// Another leads after a while; it has heard nothing yet.
+				// a new leader takes over without any reports
 				w.leader = m
 				w.reports, w.judge, w.planner = NewReportStore(), NewJudge(), NewPlanner(testConfig)
 				break
@@ -369,7 +370,7 @@
 	}
 }
 
-// hand brings a plan to a mixer, once it can be reached.
+// deliver sends a plan to a mixer, and retries until the mixer can be reached.
 func (w *simulation) deliver(m *mixer, p Plan) {
 	w.schedule(time.Duration(200+w.rng.IntN(600))*ms, func() {
 		switch {
@@ -382,14 +383,15 @@
 	})
 }
 
-// served is the share of parts in time since it was last asked.
+// inTimeShare returns the share of parts in time since the last call.
 func (w *simulation) inTimeShare() float64 {
 	s := w.inTimeParts / max(w.allParts, 1)
 	w.inTimeParts, w.allParts = 0, 0
 	return s
 }
 
-// until runs until a condition holds; it returns how long that took, or -1.
+// runUntil runs until a condition holds. It returns how long that took, or -1 if it does not hold
+// within the limit.
 func (w *simulation) runUntil(limit time.Duration, ok func() bool) time.Duration {
 	begun := w.now
 	for !ok() {
--- a/internal/fleet/zone/verdict.go
+++ b/internal/fleet/zone/verdict.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Verdict is how a zone's nodes are, or how one zone's mixers see another's nodes.
+// Verdict is the state of a zone's nodes, or of these nodes as the mixers of one zone see them.
 type Verdict uint8
 
-// The verdicts, the worst last.
+// The verdicts, from the best to the worst.
 const (
 	Unknown Verdict = iota // too little is known
 	Sound
@@ -23,61 +23,63 @@
 
 var verdictNames = [...]string{"unknown", "sound", "slow", "failing", "dark"}
 
+// String returns the verdict's name as operators see it.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Figures by which a verdict is found. Each way back asks for more time than the way
-// there, so that nothing flaps.
+// Thresholds of the verdicts. A better verdict has to hold for longer than a worse one before it is
+// accepted, to prevent flapping.
 const (
-	minParts           = 12                     // of one zone's mixers to another's nodes, under which shares say nothing
-	darkShare          = 0.7                    // of parts of which nothing was heard
-	darkSilence        = 600 * time.Millisecond // without a word to any mixer of a zone, though many parts were due
-	failingShare       = 0.3                    // of parts that were of no use
-	slowFactor         = 2.5                    // of what is usual between the two zones
-	slowLateShare      = 0.25                   // of answers that came late, at least
-	unknownPairFactor  = 1.5                    // of what is usual between others: what is seen first of a pair is usual up to that
-	allSlowShare       = 0.5                    // of what the slowest zone is slowed by, that all are
-	badNodesLimit      = 0.5                    // of a zone's nodes: if those that are bad are fewer,
-	badNodesFactor     = 1.5                    // and no more is wrong than so many times their share,
-	badNodesMargin     = 0.05                   // and this, it is those nodes, and not the zone
-	transitionShare    = 0.5                    // of a zone's nodes that leave or are cold: a release is under way
-	usualLatencyWindow = 60 * time.Second       // at which what is usual is learned
-	maxMixerLag        = 150 * time.Millisecond
-	zoneReportTimeout  = 1300 * time.Millisecond // without a report of any of a zone's mixers, their word does not count
-	holdDark           = 300 * time.Millisecond
-	holdBad            = 2 * time.Second
-	holdSound          = 2500 * time.Millisecond
+	minParts           = 12                      // from mixers of one zone to nodes of another; with fewer parts, shares mean nothing
+	darkShare          = 0.7                     // share of parts without any answer
+	darkSilence        = 600 * time.Millisecond  // without any answer to a mixer of a zone, though minParts or more are overdue
+	failingShare       = 0.3                     // share of parts without a useful answer
+	slowFactor         = 2.5                     // multiple of the usual latency between the two zones
+	slowLateShare      = 0.25                    // minimum share of late answers
+	unknownPairFactor  = 1.5                     // multiple of the usual latency between other zones that is accepted as usual for a pair seen for the first time
+	allSlowShare       = 0.5                     // if all zones are slowed by this share of what the slowest one is, all are slow
+	badNodesLimit      = 0.5                     // If fewer than this share of a zone's nodes are bad,
+	badNodesFactor     = 1.5                     // and the failed share is at most this multiple of the share of bad nodes
+	badNodesMargin     = 0.05                    // plus this margin, the fault lies in these nodes and not in the zone
+	transitionShare    = 0.5                     // if this share of a zone's nodes is leaving or cold, a release is under way
+	usualLatencyWindow = 60 * time.Second        // time constant of the mean of the usual latency
+	maxMixerLag        = 150 * time.Millisecond  // a mixer whose event loop lags by more is stalled
+	zoneReportTimeout  = 1300 * time.Millisecond // reports of a zone's mixers do not count if none of them has reported for this time
+	holdDark           = 300 * time.Millisecond  // time that a Dark verdict has to hold until it is accepted
+	holdBad            = 2 * time.Second         // for another verdict that is worse than the present one
+	holdSound          = 2500 * time.Millisecond // for a better verdict
 )
 
-// Judgement is what is known of all zones.
+// Judgement is the result of one evaluation of all zones.
 type Judgement struct {
-	Zones  map[string]Verdict
-	Why    map[string]string
-	Cuts   map[[2]string]Verdict // how the first's mixers see the second's nodes, where others see them better
-	Off    []string              // mixers that are cut off, or stand still, themselves: their word does not count
-	Shared bool                  // all are slow alike: there is nowhere better
+	Zones  map[string]Verdict    // by zone of the nodes
+	Why    map[string]string     // reason of each verdict
+	Cuts   map[[2]string]Verdict // how the mixers of the first zone see the nodes of the second, where others see them better
+	Off    []string              // mixers that are cut off or stalled themselves: their evidence does not count
+	Shared bool                  // all zones are slow to a similar degree: no zone is better than another
 }
 
-// Judge finds verdicts from a Board's evidence.
+// Judge derives verdicts on zones from the reports in a ReportStore.
 type Judge struct {
 	usualLatency   map[[2]string]float64 // seconds, by the mixers' and the nodes' zone
 	verdicts       map[string]*verdictState
 	lastEvaluation time.Duration
-	allSlowAt      time.Duration // when all were last slow alike; 0: never
+	allSlowAt      time.Duration // when all zones were last slow alike; 0: never
 }
 
+// verdictState is the accepted verdict on a zone and the candidate that may replace it.
 type verdictState struct {
-	now            Verdict
-	why            string
+	now            Verdict // the accepted verdict
+	why            string  // its reason
 	candidate      Verdict
-	candidateSince time.Duration // for how long next has held
+	candidateSince time.Duration // since when the candidate has held
 }
 
-// NewJudge returns a Judge that knows nothing.
+// NewJudge returns a Judge without history.
 func NewJudge() *Judge {
 	return &Judge{usualLatency: map[[2]string]float64{}, verdicts: map[string]*verdictState{}}
 }
 
-// Look judges the evidence as it stands. It is called about five times a second.
+// Evaluate judges the evidence as of a time. It is called about five times a second.
 func (j *Judge) Evaluate(now time.Duration, b *ReportStore) Judgement {
 	recentEvidence := b.recentEvidence(now)
 	out := Judgement{Zones: map[string]Verdict{}, Why: map[string]string{}, Cuts: map[[2]string]Verdict{}}
@@ -95,7 +97,7 @@
 	if allZonesSlow(raw) || j.slowedAlike(paths) {
 		j.allSlowAt = now
 	}
-	// A zone is deemed slow for longer than it is; so is it deemed that all are.
+	// A verdict outlasts the slowness of its zone by the hold times, so Shared has to do the same.
 	out.Shared = j.allSlowAt > 0 && now-j.allSlowAt <= holdSound+holdBad
 	for _, t := range to {
 		j.updateVerdict(now, t, raw[t], why[t])
@@ -113,8 +115,8 @@
 	return out
 }
 
-// heard leaves out the mixers of zones of which nothing comes any more: what they saw last was
-// before whatever silenced them.
+// withoutSilentZones removes the mixers of zones that have stopped reporting: their last reports
+// are from before whatever silenced them.
 func withoutSilentZones(now time.Duration, rows []mixerEvidence) []mixerEvidence {
 	latest := map[string]time.Duration{}
 	for _, r := range rows {
@@ -123,8 +125,8 @@
 	return slices.DeleteFunc(rows, func(r mixerEvidence) bool { return now-latest[r.zone] > zoneReportTimeout })
 }
 
-// gather adds up what the mixers of each zone saw of each zone's nodes, in their last few
-// reports and, but for latencies, in the last ones.
+// aggregatePaths adds up what the mixers of each zone observed of the nodes of each zone: paths
+// over their latest few reports, and last, without latencies, over the latest report of each.
 func aggregatePaths(rows []mixerEvidence, excluded []string) (paths, last map[[2]string]Evidence, from, to []string) {
 	paths, last = map[[2]string]Evidence{}, map[[2]string]Evidence{}
 	for _, r := range rows {
@@ -159,7 +161,7 @@
 	return paths, last, from, to
 }
 
-// cell is how one zone's mixers see another's nodes.
+// pathVerdict returns how the mixers of one zone see the nodes of another.
 func (j *Judge) pathVerdict(at [2]string, e, last Evidence) Verdict {
 	badShare := 0.0
 	if e.Nodes > 2 {
@@ -183,8 +185,9 @@
 	return Sound
 }
 
-// learn takes in what is usual, from what is sound. Guards against a pair that is first seen
-// while all are slow, as nothing was sent there before: its slowness is not what is usual.
+// learnUsualLatency updates the usual latencies from the sound paths. It limits the first value of
+// a pair: if a pair is first used while all zones are slow, as nothing was sent there before, its
+// latency then is not the usual one.
 func (j *Judge) learnUsualLatency(now time.Duration, paths map[[2]string]Evidence, pathVerdicts map[[2]string]Verdict) {
 	weight := 1 - math.Exp(-(now-j.lastEvaluation).Seconds()/usualLatencyWindow.Seconds())
 	for at, e := range paths {
@@ -203,10 +206,10 @@
 	}
 }
 
-var unknownPair = [2]string{} // a pair of which nothing is known
+var unknownPair = [2]string{} // a pair of zones of which nothing is known
 
-// of is what is usual between two zones: where that is not known yet, what it may be at most, by
-// what is usual between others; 0: nothing is known.
+// usualLatencyOf returns the usual latency between two zones in seconds. If it is not known yet, it
+// returns an upper limit from the median of the other pairs; 0: nothing is known.
 func (j *Judge) usualLatencyOf(at [2]string) float64 {
 	if x, known := j.usualLatency[at]; known {
 		return x
@@ -217,10 +220,10 @@
 	return 0
 }
 
-// off names the mixers whose own word is worth nothing: those that stand still for long, and
-// those to which everything looks bad that looks sound to most others.
+// excludedMixers returns the mixers whose evidence is worthless: those that are stalled for long,
+// and those that see all zones as bad although most mixers see each of them as sound.
 func (j *Judge) excludedMixers(rows []mixerEvidence) (list []string) {
-	soundCounts := map[string][2]int{} // by zone of nodes: mixers to which it looks sound, and all
+	soundCounts := map[string][2]int{} // by zone of the nodes: number of mixers that see it sound, and of all that see it
 	for _, r := range rows {
 		for z, e := range r.totals {
 			if e.Sent() == 0 {
@@ -248,7 +251,8 @@
 				against++
 			}
 		}
-		// Of a zone whose mixers are all cut off the others still tell; the pairs say the rest.
+		// If all mixers of a zone are cut off, the mixers of other zones still report on its nodes,
+		// and the verdicts on single paths cover the rest.
 		if zones > 1 && against == zones {
 			list = append(list, r.mixer)
 		}
@@ -256,7 +260,8 @@
 	return list
 }
 
-// column is how a zone's nodes are, by what the mixers of all zones see of them.
+// zoneVerdict returns the verdict on a zone's nodes from what the mixers of all zones see of them,
+// and its reason. It adds paths that are worse than others to badPaths.
 func (j *Judge) zoneVerdict(t string, from, to []string, pathVerdicts map[[2]string]Verdict, paths map[[2]string]Evidence, badPaths map[[2]string]Verdict) (Verdict, string) {
 	var badVerdicts []Verdict
 	var bad, sound []string
@@ -277,20 +282,21 @@
 	case len(bad) == 0:
 		return Sound, ""
 	case len(sound) > 0:
-		// Somebody reaches it well: the way there is bad for the others, not the zone.
+		// Mixers of some zone reach it well, so the path is bad for the others, and the zone itself
+		// is not.
 		for _, o := range bad {
 			badPaths[[2]string{o, t}] = pathVerdicts[[2]string{o, t}]
 		}
 		return Sound, fmt.Sprintf("sound from %s, not from %s", strings.Join(sound, ", "), strings.Join(bad, ", "))
 	case len(bad) == 1 && bad[0] != t && !isOnlySource(bad[0], from):
-		// One zone's word alone, on a way that nobody else uses, may be that way's fault. Where
-		// it is all that anybody hears, as its own mixers are gone, it has to do.
+		// A report from one zone alone may be caused by a fault of the path, which no other zone
+		// uses. It has to suffice if it is the only source, as the zone's own mixers are gone.
 		if v, o := badVerdicts[0], bad[0]; v != Dark || !otherZonesSound(o, t, to, pathVerdicts) {
 			badPaths[[2]string{o, t}] = v
 			return Unknown, "seen from " + o + " alone"
 		}
 	}
-	// The mildest word of most: whoever sees worse may be half cut off besides.
+	// The lower median of the bad verdicts: mixers that see worse may be partly cut off as well.
 	v := badVerdicts[(len(badVerdicts)-1)/2]
 	sum := Evidence{}
 	for _, o := range bad {
@@ -300,10 +306,11 @@
 		strings.Join(bad, ", "), 100*sum.lostShare(), 100*sum.failedShare(), 100*sum.lateShare(), sum.BadNodes, sum.Nodes)
 }
 
-// lonely reports whether no other zone has mixers that tell anything.
+// isOnlySource reports whether no mixers of another zone report anything.
 func isOnlySource(o string, from []string) bool { return len(from) == 1 && from[0] == o }
 
-// othersSound reports whether a zone's mixers see all other zones well.
+// otherZonesSound reports whether the mixers of a zone see all zones except one as sound or
+// unknown.
 func otherZonesSound(o, except string, to []string, pathVerdicts map[[2]string]Verdict) bool {
 	for _, t := range to {
 		if v := pathVerdicts[[2]string{o, t}]; t != except && v != Sound && v != Unknown {
@@ -313,7 +320,7 @@
 	return true
 }
 
-// shared reports whether all zones that anything is known of are slow alike, or worse.
+// allZonesSlow reports whether all zones with a known verdict are slow or failing.
 func allZonesSlow(raw map[string]Verdict) bool {
 	known, slow := 0, 0
 	for _, v := range raw {
@@ -328,11 +335,11 @@
 	return known > 1 && slow == known
 }
 
-// alike reports whether what slows the slowest zone slows all others by half as much or more,
-// by its times or by the time that it adds: what all depend on is slow, and no zone is the better
-// one.
+// slowedAlike reports whether the other zones are slowed by at least half as much as the slowest
+// one, either by the ratio to the usual latency or by the time added. Then something that all zones
+// depend on is slow, and no zone is better than another.
 func (j *Judge) slowedAlike(paths map[[2]string]Evidence) bool {
-	slowdowns, delays := map[string]float64{}, map[string]float64{} // by zone of nodes, of the usual, to whom it is quickest
+	slowdowns, delays := map[string]float64{}, map[string]float64{} // by zone of the nodes, compared to the usual latency, on the quickest path
 	for at, e := range paths {
 		usualLatency, m := j.usualLatency[at], e.medianLatency()
 		if usualLatency == 0 || m == 0 || e.Sent() < minParts {
@@ -350,7 +357,7 @@
 	return len(slowdowns) > 1 && maxSlowdown > slowFactor && (minSlowdown >= allSlowShare*maxSlowdown || minDelay >= allSlowShare*maxDelay)
 }
 
-// ends are the least and the largest.
+// minMax returns the smallest and the largest value.
 func minMax(list map[string]float64) (lowest, highest float64) {
 	lowest, highest = math.Inf(1), math.Inf(-1)
 	for _, x := range list {
@@ -359,13 +366,13 @@
 	return lowest, highest
 }
 
-// settle lets a verdict change once the new one has held for long enough.
+// updateVerdict changes the verdict on a zone after the new one has held for its hold time.
 func (j *Judge) updateVerdict(now time.Duration, t string, v Verdict, why string) {
 	s := j.verdicts[t]
 	if s == nil {
 		s = &verdictState{now: v, why: why, candidate: v, candidateSince: now}
 		if v > Sound {
-			s.now = Unknown // what is bad from the start has to hold as well
+			s.now = Unknown // a verdict that is bad from the start has to hold first as well
 		}
 		j.verdicts[t] = s
 	}
@@ -388,5 +395,5 @@
 	}
 }
 
-// Names are the zones judged, sorted.
+// ZoneNames returns the names of the judged zones, sorted.
 func (j Judgement) ZoneNames() []string { return slices.Sorted(maps.Keys(j.Zones)) }
