--- a/internal/fleet/member/exhaustive_test.go
+++ b/internal/fleet/member/exhaustive_test.go
@@ -101,9 +101,9 @@
 	}
 	clear(w.cut)
 	w.lossRate, w.duplicateRate = 0, 0
-	w.runUntil(20*period, "all agree", w.converged)
+	w.runUntil(20*period, "all views converge", w.converged)
 	states[w.stateHash()] = true
-	w.runUntil(40*period, "shares are whole", func() bool {
+	w.runUntil(40*period, "all shares are back", func() bool {
 		for _, q := range w.processes {
 			if q.machine != nil && q.machine.Share(w.now) == 0 {
 				return false
@@ -161,5 +161,5 @@
 			return
 		}
 	}
-	t.Error("no plan shows members that never feel cut off")
+	t.Error("no plan fails although members never hold themselves isolated")
 }
--- a/internal/fleet/member/large_test.go
+++ b/internal/fleet/member/large_test.go
@@ -30,18 +30,18 @@
 	datagramsSent := w.datagramsSent
 	w.run(5 * time.Second)
 	if rate := float64(w.datagramsSent-datagramsSent) / float64(fleetSize) / 5; rate > 33 {
-		t.Errorf("%.1f datagrams a member and second, %v at nine", rate, 32)
+		t.Errorf("%.1f datagrams per member and second, %v in a fleet of nine", rate, 32)
 	} else {
-		t.Logf("%.1f datagrams a member and second", rate)
+		t.Logf("%.1f datagrams per member and second", rate)
 	}
 	w.lossRate = 0.2
 	known := time.Duration(2*bits.Len(uint(fleetSize))) * period
 	w.kill(w.processes[fleetSize/9])
-	t.Logf("a killed process was known to all after %v", w.runUntil(known, "all know", w.converged))
+	t.Logf("a killed process was known to all after %v", w.runUntil(known, "all views converge", w.converged))
 	w.processes[fleetSize/7].machine.Leave(w.now)
 	w.applyOutput(w.processes[fleetSize/7])
 	w.kill(w.processes[fleetSize/7])
-	t.Logf("one that left, after %v", w.runUntil(known, "all know", w.converged))
+	t.Logf("a member that left was known to all after %v", w.runUntil(known, "all views converge", w.converged))
 	w.lossRate = 0
 	w.checkInvariants()
 	w.changes = nil
@@ -52,7 +52,7 @@
 	w.checkInvariants()
 	for _, c := range w.declaredGone() {
 		if slices.ContainsFunc(a, func(p *process) bool { return p.id == c.observer }) {
-			t.Fatalf("the zone that is cut off throws out: %+v", c)
+			t.Fatalf("a member of the isolated zone declares another gone: %+v", c)
 		}
 	}
 	clear(w.cut)
@@ -60,7 +60,7 @@
 		w.run(period)
 		w.checkInvariants()
 	}
-	t.Logf("after a zone's cut all agreed after %v more", w.runUntil(known, "all agree", w.converged))
+	t.Logf("after a zone's cut all agreed after %v more", w.runUntil(known, "all views converge", w.converged))
 	if w.maxUpdates > maxUpdatesPerDatagram+2 {
 		t.Errorf("%d updates in a datagram", w.maxUpdates)
 	}
@@ -72,8 +72,8 @@
 	for _, p := range w.processes[fleetSize/3:] {
 		w.kill(p)
 	}
-	t.Logf("known to all after %v", w.runUntil(time.Duration(2*bits.Len(uint(fleetSize)))*period, "all know", w.converged))
-	w.runUntil(40*period, "they share all", func() bool { return w.processes[5].machine.Share(w.now) > 2.97/float64(fleetSize) })
+	t.Logf("known to all after %v", w.runUntil(time.Duration(2*bits.Len(uint(fleetSize)))*period, "all views converge", w.converged))
+	w.runUntil(40*period, "the running members use the whole budget", func() bool { return w.processes[5].machine.Share(w.now) > 2.97/float64(fleetSize) })
 }
 
 // TestSameSeedGivesSameRun checks that the simulation is deterministic, on one core and on all.
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -9,14 +9,14 @@
 	w := settledFleet(t, 1, 9)
 	for _, p := range w.processes {
 		if s := p.machine.Share(w.now); s < 0.11 || s > 0.112 {
-			t.Errorf("%s has a share of %.4f", p.id, s)
+			t.Errorf("%s: share %.4f, want 1/9", p.id, s)
 		}
 	}
 	datagramsSent := w.datagramsSent
 	w.run(10 * time.Second)
-	t.Logf("%.1f datagrams a member and second at rest", float64(w.datagramsSent-datagramsSent)/9/10)
+	t.Logf("%.1f datagrams per member and second in a settled fleet", float64(w.datagramsSent-datagramsSent)/9/10)
 	if len(w.changes) > 0 {
-		t.Errorf("at rest: %+v", w.changes)
+		t.Errorf("changes in a settled fleet: %+v", w.changes)
 	}
 }
 
@@ -33,7 +33,7 @@
 			p.machine = nil
 			w.setCut([]*process{p}, w.others(p), true)
 		}
-		took := w.runUntil(20*period, "all know", w.converged)
+		took := w.runUntil(20*period, "all views converge", w.converged)
 		worst = max(worst, took)
 		if took > 6*period {
 			t.Errorf("seed %d: took %v\n%s", seed, took, w.describeViews())
@@ -57,6 +57,6 @@
 		for _, c := range w.declaredGone() {
 			t.Errorf("seed %d: %v", seed, c)
 		}
-		w.runUntil(6*period, "all agree", w.converged)
+		w.runUntil(6*period, "all views converge", w.converged)
 	}
 }
--- a/internal/fleet/member/scenarios_test.go
+++ b/internal/fleet/member/scenarios_test.go
@@ -49,13 +49,13 @@
 			}
 		}
 		cut(true)
-		detectedAfter := w.runUntil(6*period, "it knows that it is cut off", func() bool { whole, _ := p.machine.HasQuorum(w.now); return !whole })
+		detectedAfter := w.runUntil(6*period, "the process finds that it is isolated", func() bool { whole, _ := p.machine.HasQuorum(w.now); return !whole })
 		if n := len(w.declaredGone()); n > 0 {
-			t.Errorf("seed %d: %d threw it out before it knew", seed, n)
+			t.Errorf("seed %d: %d members declared it gone before it found that it is isolated", seed, n)
 		}
-		w.runUntil(6*period, "the others hold it as gone", func() bool { return len(w.declaredGone()) == 8 })
+		w.runUntil(6*period, "the others declare it gone", func() bool { return len(w.declaredGone()) == 8 })
 		if share := p.machine.Share(w.now); share < 0.05 || share > 0.056 {
-			t.Errorf("cut off, it uses %.4f", share)
+			t.Errorf("isolated, it uses a share of %.4f", share)
 		}
 		w.run(20 * time.Second)
 		if f := w.maxChangesPerMember(); f > 2 {
@@ -68,12 +68,12 @@
 		}
 		w.changes = nil
 		cut(false)
-		convergedAfter := w.runUntil(6*period, "all agree", w.converged)
-		w.runUntil(20*period, "its share is whole", func() bool { return p.machine.Share(w.now) > 0.11 })
+		convergedAfter := w.runUntil(6*period, "all views converge", w.converged)
+		w.runUntil(20*period, "its share is back at 1/9", func() bool { return p.machine.Share(w.now) > 0.11 })
 		if f := w.maxChangesPerMember(); f > 2 {
 			t.Errorf("seed %d: %d changes on its return\n%+v", seed, f, w.changes)
 		}
-		t.Logf("seed %d: knew after %v, all agreed %v after the end", seed, detectedAfter.Round(10*ms), convergedAfter)
+		t.Logf("seed %d: isolation found after %v, views converged %v after the end of the cut", seed, detectedAfter.Round(10*ms), convergedAfter)
 	}
 }
 
@@ -87,7 +87,7 @@
 	w.setCut(w.processes[2:4], []*process{p}, true)
 	w.run(time.Minute)
 	if len(w.changes) > 0 {
-		t.Errorf("two hear it, so all do, by them: %+v", w.changes)
+		t.Errorf("two members still hear the process, but its state changed: %+v", w.changes)
 	}
 }
 
@@ -107,14 +107,14 @@
 				}
 				w.run(c.length)
 				if out := len(w.declaredGone()) > 0; out != c.out {
-					t.Errorf("seed %d: thrown out: %+v", seed, w.declaredGone())
+					t.Errorf("seed %d: declared gone: %+v", seed, w.declaredGone())
 				}
-				took := w.runUntil(6*period, "all agree", w.converged)
+				took := w.runUntil(6*period, "all views converge", w.converged)
 				w.run(10 * time.Second)
 				if f := w.maxChangesPerMember(); f > 3 {
 					t.Errorf("seed %d: %d changes, agreed after %v", seed, f, took)
 				}
-				w.runUntil(20*period, "shares are whole", func() bool { return w.processes[0].machine.Share(w.now) > 0.11 })
+				w.runUntil(20*period, "all shares are back", func() bool { return w.processes[0].machine.Share(w.now) > 0.11 })
 			}
 		})
 	}
@@ -127,16 +127,16 @@
 		for _, p := range w.processes[3:] {
 			w.kill(p)
 		}
-		took := w.runUntil(6*period, "the three know", w.converged)
+		took := w.runUntil(6*period, "the three remaining members know", w.converged)
 		share := w.processes[0].machine.Share(w.now)
 		w.lossRate = 0
-		w.runUntil(10*period, "they share all", func() bool { return w.processes[0].machine.Share(w.now) > 0.33 })
-		t.Logf("known after %v, share %.3f then", took, share)
+		w.runUntil(10*period, "the running members use the whole budget", func() bool { return w.processes[0].machine.Share(w.now) > 0.33 })
+		t.Logf("known after %v, share %.3f at that time", took, share)
 		for _, p := range w.processes[3:] {
 			w.start(p)
 		}
 		w.runUntil(12*period, "all are back", w.converged)
-		w.runUntil(20*period, "shares are whole", func() bool { return w.processes[8].machine.Share(w.now) > 0.11 })
+		w.runUntil(20*period, "all shares are back", func() bool { return w.processes[8].machine.Share(w.now) > 0.11 })
 	}
 }
 
@@ -154,11 +154,11 @@
 		}
 		for _, p := range few {
 			if !p.machine.Isolated() {
-				t.Errorf("seed %d: %s does not know that it is cut off\n%s", seed, p.id, w.describeViews())
+				t.Errorf("seed %d: %s has not found that it is isolated\n%s", seed, p.id, w.describeViews())
 			}
 		}
 		clear(w.cut)
-		took := w.runUntil(6*period, "all agree", w.converged)
+		took := w.runUntil(6*period, "all views converge", w.converged)
 		t.Logf("seed %d: agreed %v after the cut", seed, took)
 	}
 }
@@ -183,7 +183,7 @@
 		p.machine.Leave(w.now)
 		w.applyOutput(p)
 		w.kill(p)
-		if took := w.runUntil(6*period, "all know", w.converged); took > 2*period {
+		if took := w.runUntil(6*period, "all views converge", w.converged); took > 2*period {
 			t.Errorf("seed %d: %v", seed, took)
 		}
 		for _, c := range w.changes {
@@ -203,8 +203,8 @@
 			}
 			w.startAll()
 			w.run(100 * ms)
-			w.runUntil(10*time.Second, "all agree", w.converged)
-			w.runUntil(20*period, "shares are whole", func() bool { return w.processes[8].machine.Share(w.now) > 0.11 })
+			w.runUntil(10*time.Second, "all views converge", w.converged)
+			w.runUntil(20*period, "all shares are back", func() bool { return w.processes[8].machine.Share(w.now) > 0.11 })
 		}
 	})
 	t.Run("one after another, under the same names and addresses", func(t *testing.T) {
@@ -219,14 +219,14 @@
 				w.start(p)
 				w.run(time.Second)
 			}
-			w.runUntil(6*period, "all agree", w.converged)
+			w.runUntil(6*period, "all views converge", w.converged)
 			for _, c := range w.declaredGone() {
 				t.Errorf("%+v", c)
 			}
 			if len(w.stopReasons) > 0 {
 				t.Errorf("%v", w.stopReasons)
 			}
-			w.runUntil(20*period, "shares are whole", func() bool { return w.processes[8].machine.Share(w.now) > 0.11 })
+			w.runUntil(20*period, "all shares are back", func() bool { return w.processes[8].machine.Share(w.now) > 0.11 })
 		}
 	})
 }
@@ -236,12 +236,12 @@
 	twin := &process{id: w.processes[3].id, zone: "c", addr: "h999"}
 	w.processes = append(w.processes, twin)
 	w.start(twin)
-	w.runUntil(10*time.Second, "the second stops", func() bool { return len(w.stopReasons) > 0 })
+	w.runUntil(10*time.Second, "the second process stops", func() bool { return len(w.stopReasons) > 0 })
 	if !strings.HasPrefix(w.stopReasons[0], "n003@h999: the name n003 is taken") || w.processes[3].machine == nil {
 		t.Fatalf("%v", w.stopReasons)
 	}
 	w.processes = w.processes[:5]
-	w.runUntil(4*period, "the view is as it was", w.converged)
+	w.runUntil(4*period, "all views converge without the second process", w.converged)
 	for _, c := range w.changes {
 		if !c.FirstSeen { // the second process saw all members for the first time before it stopped
 			t.Errorf("%+v", c)
@@ -253,7 +253,7 @@
 		w.processes = append(w.processes, &process{id: "dead", addr: "h003"}) // nobody listens at this address any more
 		w.start(w.processes[3])
 		w.run(100 * ms)
-		w.runUntil(30*time.Second, "it has its place", func() bool { return w.processes[3].machine.Share(w.now) > 0.16 })
+		w.runUntil(30*time.Second, "the new process has entered the fleet with a full share", func() bool { return w.processes[3].machine.Share(w.now) > 0.16 })
 		if len(w.stopReasons) > 1 {
 			t.Errorf("%v", w.stopReasons)
 		}
@@ -275,7 +275,7 @@
 			}
 		}
 	}
-	w.runUntil(time.Minute, "all know all", w.converged)
+	w.runUntil(time.Minute, "all views converge", w.converged)
 	w.run(10 * time.Second)
 	w.kill(w.processes[4])
 	w.run(11 * time.Minute)
@@ -314,13 +314,13 @@
 			}
 		}
 		w.run(100 * ms)
-		w.runUntil(20*time.Second, "all agree", w.converged)
+		w.runUntil(20*time.Second, "all views converge", w.converged)
 		most = max(most, w.shareSum)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
-	t.Logf("the shares added up to %.4f at most", most)
+	t.Logf("the largest sum of shares was %.4f", most)
 }
 
 // injectRandomFault injects one random fault.
--- a/internal/fleet/member/simulation_test.go
+++ b/internal/fleet/member/simulation_test.go
@@ -246,7 +246,7 @@
 		shareSum += p.machine.Share(w.now)
 		if mine, _ := p.machine.Mine(w.now, "", "duty"); mine {
 			if owner != "" {
-				w.t.Fatalf("%v: %s and %s hold one duty\n%s", w.now, owner, p.id, w.describeViews())
+				w.t.Fatalf("%v: %s and %s both own a duty\n%s", w.now, owner, p.id, w.describeViews())
 			}
 			owner = p.id
 		}
@@ -304,7 +304,7 @@
 	begun := w.now
 	for !ok() {
 		if w.now-begun > limit {
-			w.t.Fatalf("waited %v in vain until %s\n%s", limit, what, w.describeViews())
+			w.t.Fatalf("not within %v: %s\n%s", limit, what, w.describeViews())
 		}
 		w.run(10 * ms)
 	}
@@ -316,7 +316,7 @@
 	w := newSimulation(t, seed, n)
 	w.startAll()
 	w.run(100 * ms)
-	w.runUntil(time.Minute, "all know all", w.converged)
+	w.runUntil(time.Minute, "all views converge", w.converged)
 	w.runUntil(time.Minute, "all are ready", func() bool {
 		return !slices.ContainsFunc(w.processes, func(p *process) bool { return p.machine.Share(w.now) == 0 })
 	})
--- a/internal/fleet/zone/exhaustive_test.go
+++ b/internal/fleet/zone/exhaustive_test.go
@@ -46,17 +46,17 @@
 		}
 		switch {
 		case a.Held && a != b:
-			bad("%s, which an operator holds, goes from %+v to %+v", z, a, b)
+			bad("%s is held by an operator but changes from %+v to %+v", z, a, b)
 		case w.manual && !a.Held && a.Phase != Returning && a.Share != b.Share:
-			bad("%s is changed with no operator's word: %+v to %+v", z, a, b)
+			bad("%s changes without an operator's order: %+v to %+v", z, a, b)
 		case b.Share > a.Share && a.Phase == Leaving && b.Phase == In:
-			bad("%s is returned to in one step: %+v to %+v", z, a, b)
+			bad("%s is returned to in a single step: %+v to %+v", z, a, b)
 		case b.Share > a.Share && a.Phase == Returning && b.Step != a.Step+1 && b.Phase != In:
-			bad("%s: more than a step: %+v to %+v", z, a, b)
+			bad("%s: more than one step at a time: %+v to %+v", z, a, b)
 		case b.Share > a.Share && a.Phase != Leaving && j.Zones[z] != Sound && !a.Forced:
-			bad("%s, which is %v, gets more: %+v to %+v", z, j.Zones[z], a, b)
+			bad("%s is %v but its share grows: %+v to %+v", z, j.Zones[z], a, b)
 		case b.Share < a.Share && a.Phase == In && j.Zones[z] <= Sound:
-			bad("%s, which is %v, is left: %+v to %+v", z, j.Zones[z], a, b)
+			bad("%s is %v but is left: %+v to %+v", z, j.Zones[z], a, b)
 		}
 	}
 	if out == 2 && !was.StatusOf("a").Held && !was.StatusOf("b").Held {
@@ -87,7 +87,7 @@
 				}
 				next.path += fmt.Sprintf(" %v/%v", a, b)
 				if other {
-					next.path += " by another leader"
+					next.path += " by a new leader"
 				}
 				for range 4 { // a judgement stands for 2.4 s
 					p, changed := next.planner.Next(next.now, next.plan, j, power)
@@ -168,10 +168,10 @@
 		t.Errorf("b, which is left: %+v", got)
 	}
 	if got := p["a"]; got.UsualLoad != 80 || got.Load != 120 {
-		t.Errorf("a, which carries it: %+v", got)
+		t.Errorf("a, which carries the load of b: %+v", got)
 	}
 	now += time.Second
 	if p = g.Update(now, left, Judgement{Zones: map[string]Verdict{"a": Slow, "b": Sound}}, map[string]float64{"a": 900, "b": 0}, nodes); p["a"].Total > 190 {
-		t.Errorf("what a is sent while it is slow counts as borne: %+v", p["a"])
+		t.Errorf("the load of a while it is slow raises its capacity: %+v", p["a"])
 	}
 }
--- a/internal/fleet/zone/scenarios_test.go
+++ b/internal/fleet/zone/scenarios_test.go
@@ -35,7 +35,7 @@
 		{"a fifth lost on the way", func(w *simulation) { w.lossRates[[2]string{"a", "b"}], w.lossRates[[2]string{"c", "b"}] = 0.2, 0.2 }, "sound", false, nil, nil},
 		{"all slow alike", func(w *simulation) { w.latencyFactor = 6 }, "slow", false, nil, func(w *simulation) string {
 			if !w.judgement.Shared {
-				return "nobody notices that all are slow"
+				return "Shared is false although all zones are slow"
 			}
 			return ""
 		}},
@@ -64,7 +64,7 @@
 				}
 				for _, at := range c.cuts {
 					if w.judgement.Cuts[at] < Failing {
-						t.Errorf("seed %d: the cut from %s to %s is not known: %v", seed, at[0], at[1], w.judgement.Cuts)
+						t.Errorf("seed %d: the cut from %s to %s is not found: %v", seed, at[0], at[1], w.judgement.Cuts)
 					}
 				}
 				if c.check != nil {
@@ -97,7 +97,7 @@
 			if kind == 0 {
 				took := w.runUntil(6*time.Second, w.everywhere("b", isLeft))
 				if took < 0 {
-					t.Fatalf("seed %d: it is not left\n%s", seed, w.changeLog())
+					t.Fatalf("seed %d: the dark zone is not left everywhere within 6 s\n%s", seed, w.changeLog())
 				}
 				slowest = max(slowest, took)
 				w.run(10*time.Second - took)
@@ -112,18 +112,18 @@
 			back := w.now
 			took := w.runUntil(time.Minute, w.everywhere("b", isIn))
 			if took < 0 {
-				t.Fatalf("seed %d: nobody is back\n%s", seed, w.changeLog())
+				t.Fatalf("seed %d: the zone is not back in normal use everywhere within a minute\n%s", seed, w.changeLog())
 			}
 			if shortest == 0 || took < shortest {
 				shortest = took
 			}
 			longest = max(longest, took)
 			if w.inTimeShare(); took > 13*testConfig.WarmupTime/10 {
-				t.Errorf("seed %d: back after %v\n%s", seed, w.now-back, w.changeLog())
+				t.Errorf("seed %d: back in normal use only after %v\n%s", seed, w.now-back, w.changeLog())
 			}
 			w.run(5 * time.Second)
 			if s := w.inTimeShare(); s < 0.95 {
-				t.Errorf("seed %d: %.2f is served after the return", seed, s)
+				t.Errorf("seed %d: only %.2f of the parts are in time after the return", seed, s)
 			}
 			worstColdLoad = max(worstColdLoad, b.worstColdLoad)
 			if b.failed {
@@ -131,10 +131,10 @@
 			}
 		}
 	}
-	t.Logf("left everywhere within %v; served in the first 10 s: %.3f, each alone %.3f, told at once %.3f; back in full after %v to %v; cold nodes sent %.2f of what they can do at most, %d toppled",
+	t.Logf("left everywhere within %v; parts in time in the first 10 s: %.3f, if each mixer decides alone %.3f, if the truth is known at once %.3f; back in normal use after %v to %v; largest load of cold nodes %.2f of their capacity, %d zones failed",
 		slowest, sums[0], sums[1], sums[2], shortest, longest, worstColdLoad, toppled)
 	if sums[0] < 0.9*sums[2] || sums[0] <= sums[1] || toppled > 0 || slowest > 4*time.Second {
-		t.Error("that is not what is promised")
+		t.Error("the fleet did worse than 90% of a fleet that knows the truth, or than mixers that decide alone, or cold nodes failed, or leaving took over 4 s")
 	}
 }
 
@@ -159,7 +159,7 @@
 		}
 		for _, z := range three {
 			if s := w.plan.StatusOf(z); s.Phase != In {
-				t.Fatalf("%s is %v for nothing: %s\n%s", z, s.Phase, s.Why, w.changeLog())
+				t.Fatalf("%s is %v without a fault: %s\n%s", z, s.Phase, s.Why, w.changeLog())
 			}
 		}
 	}
@@ -183,9 +183,9 @@
 			took++
 		}
 	}
-	t.Logf("in %d of 5 seeds work was taken back", took)
+	t.Logf("load was taken back in %d of 5 seeds", took)
 	if took == 0 {
-		t.Error("work was never taken back")
+		t.Error("load was never taken back")
 	}
 }
 
@@ -207,9 +207,9 @@
 			left++
 		}
 	}
-	t.Logf("in 5 minutes in which it failed 15 times it was left %d times", left)
+	t.Logf("the zone failed 15 times in 5 minutes and was left %d times", left)
 	if left == 0 || left > 8 {
-		t.Errorf("it was left %d times\n%s", left, w.changeLog())
+		t.Errorf("the zone was left %d times, want 1 to 8\n%s", left, w.changeLog())
 	}
 }
 
@@ -229,10 +229,10 @@
 	w.leader = w.mixers[5]
 	w.run(time.Second)
 	if s := w.plan.StatusOf("b"); s.Step < step || s.Phase != Returning {
-		t.Errorf("%+v after another leads, step %d before\n%s", s, step, w.changeLog())
+		t.Errorf("%+v after a change of leader, step %d before\n%s", s, step, w.changeLog())
 	}
 	if w.runUntil(30*time.Second, w.everywhere("b", isIn)) < 0 || b.failed {
-		t.Errorf("toppled: %v\n%s", b.failed, w.changeLog())
+		t.Errorf("zone not back within 30 s, or failed (%v)\n%s", b.failed, w.changeLog())
 	}
 }
 
@@ -242,7 +242,7 @@
 	w.adopt(w.planner.ApplyOrder(w.now, w.plan, "c", OrderLeave, "we work there"))
 	w.run(30 * time.Second)
 	if s := w.plan.StatusOf("c"); !isLeft(s) || !strings.Contains(s.Why, "we work there") {
-		t.Errorf("%+v: the machine undid an order", s)
+		t.Errorf("%+v: the planner undid an order", s)
 	}
 	w.zones["b"].dark = true
 	w.run(5 * time.Second)
@@ -258,7 +258,7 @@
 	w.zones["a"].dark = true
 	w.run(5 * time.Second)
 	if s := w.plan.StatusOf("a"); s.Phase != In || !s.Held {
-		t.Errorf("%+v: left though it is held", s)
+		t.Errorf("%+v: left although it is held", s)
 	}
 	w.adopt(w.planner.ApplyOrder(w.now, w.plan, "a", OrderRelease, "look yourselves"))
 	if w.runUntil(5*time.Second, func() bool { return isLeft(w.plan.StatusOf("a")) }) < 0 {
@@ -270,7 +270,7 @@
 // fleet.
 func TestLargeFleet(t *testing.T) {
 	if raceOn {
-		t.Skip("the detector is slow, and a world has one goroutine")
+		t.Skip("the race detector is slow, and a simulation has one goroutine")
 	}
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	w := newSimulation(t, 8, 300, names...)
@@ -278,14 +278,14 @@
 	b.dark = true
 	took := w.runUntil(6*time.Second, w.everywhere("b", isLeft))
 	if took < 0 || took > 4*time.Second {
-		t.Fatalf("left after %v\n%s", took, w.changeLog())
+		t.Fatalf("left everywhere only after %v, want 4s at most\n%s", took, w.changeLog())
 	}
 	b.dark, b.coldSince = false, w.now
 	back := w.runUntil(time.Minute, w.everywhere("b", isIn))
 	if back < 0 || b.failed {
-		t.Fatalf("back after %v, toppled %v\n%s", back, b.failed, w.changeLog())
+		t.Fatalf("back after %v, failed %v\n%s", back, b.failed, w.changeLog())
 	}
-	t.Logf("300 mixers, six zones: left everywhere after %v, back after %v, cold nodes sent %.2f of what they can do at most", took, back, b.worstColdLoad)
+	t.Logf("300 mixers, six zones: left everywhere after %v, back after %v, largest load of cold nodes %.2f of their capacity", took, back, b.worstColdLoad)
 	for _, z := range names {
 		if z != "b" && w.plan.StatusOf(z).Phase != In {
 			t.Errorf("%s is left\n%s", z, w.changeLog())
@@ -332,7 +332,7 @@
 	}
 	b.DropStale(2 * time.Hour)
 	if len(b.mixers) != 0 {
-		t.Errorf("%d mixers are never forgotten", len(b.mixers))
+		t.Errorf("%d mixers are kept after DropStale", len(b.mixers))
 	}
 	now := 3 * time.Hour
 	for i := range 10 {
