--- a/internal/fleet/zone/evidence.go
+++ b/internal/fleet/zone/evidence.go
@@ -110,13 +110,13 @@
 func (e *Evidence) DecodeLatencies(b []byte) error {
 	s := newSketch()
 	if len(b) > maxSketchBytes {
-		return errors.New("a sketch that is too long")
+		return errors.New("latency sketch is too long")
 	}
 	if err := s.DecodeAndMergeWith(b); err != nil {
-		return fmt.Errorf("latencies: %w", err)
+		return fmt.Errorf("latency sketch: %w", err)
 	}
 	if n := s.GetCount(); !(n > 0 && n < math.MaxUint32) {
-		return errors.New("latencies of no answers")
+		return errors.New("latency sketch holds no answers, or too many")
 	}
 	e.Latency = s
 	return nil
