--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -107,43 +107,43 @@
 // Config is the configuration of a Machine.
 type Config struct {
 	ID, Zone, Addr string
-	Instance       uint64 // random, not 0
-	Generation     uint32 // last one that is known to have been used under this name; 0: none
-	Period         time.Duration
+	Instance       uint64        // random, not 0
+	Generation     uint32        // last one that is known to have been used under this name; 0: none
+	Period         time.Duration // between two pings of one member; the unit of the protocol's parameters
 	Forget         time.Duration // time after which a gone member is forgotten
 	Expected       int           // number of mixers according to the settings
-	Seed           uint64
-	Seeds          []string // addresses contacted at start
-	KnownMembers   []Record // members known from an earlier run; they are contacted as well
+	Seed           uint64        // of the random numbers
+	Seeds          []string      // addresses contacted at start
+	KnownMembers   []Record      // members known from an earlier run; they are contacted as well
 }
 
 // Parameters of the protocol, in periods (Config.Period) unless stated otherwise.
 // docs/design/membership.md derives them.
 const (
-	observersPerMember    = 8   // number of observers of one member, and of members that one member observes
-	helperCount           = 3   // members involved in one indirect ping or one attempt to join
-	directPingTimeout     = 0.4 // without an answer in this time, helpers are asked for indirect pings
-	dialAfterSilence      = 2.0 // after this silence, a connection is tried
-	doubtAfterSilence     = 3.0 // after this silence, a doubt is published
-	isolatedAfterSilence  = 4.0 // if a majority is silent for so long, this member holds itself isolated
-	goneAfterSilence      = 4.8 // a member that no observer hears for so long is gone
-	doubtTTL              = 12  // a doubt that is not repeated in this time is dropped
-	doubtRepeatInterval   = 5   // between two repetitions of a doubt
-	tickInterval          = 0.2 // maximum between two calls of Tick
-	stallThreshold        = 0.5 // a Tick later than this shows that this process was stalled
-	lateAckTimeout        = 4.0 // an Ack counts up to this time after its ping
-	gossipInterval        = 0.2 // between two rounds of gossip
-	gossipFanout          = 2   // members that one round of gossip goes to
-	syncInterval          = 2.0 // between two full exchanges that this member starts because views differ
-	joinInterval          = 1.0 // between two attempts to contact seeds
-	recoveryDelay         = 4.0 // time in which a member that regains a majority catches up with what it missed
-	joinTriesBeforeAlone  = 5   // attempts without an answer after which this member starts a fleet alone
-	maxUpdatesPerDatagram = 12  // updates in one datagram
-	resendFactor          = 3   // an update is sent this many times log2 of the fleet's size
-	maxNews               = 512 // pieces of news stored
-	isolatedShareFactor   = 0.5 // part of its share that an isolated member goes on using
-	maxMembers            = 4096
-	forever               = time.Duration(1<<63 - 1)
+	observersPerMember    = 8                        // number of observers of one member, and of members that one member observes
+	helperCount           = 3                        // members involved in one indirect ping or one attempt to join
+	directPingTimeout     = 0.4                      // without an answer in this time, helpers are asked for indirect pings
+	dialAfterSilence      = 2.0                      // after this silence, a connection is tried
+	doubtAfterSilence     = 3.0                      // after this silence, a doubt is published
+	isolatedAfterSilence  = 4.0                      // if a majority is silent for so long, this member holds itself isolated
+	goneAfterSilence      = 4.8                      // a member that no observer hears for so long is gone
+	doubtTTL              = 12                       // a doubt that is not repeated in this time is dropped
+	doubtRepeatInterval   = 5                        // between two repetitions of a doubt
+	tickInterval          = 0.2                      // maximum between two calls of Tick
+	stallThreshold        = 0.5                      // a Tick later than this shows that this process was stalled
+	lateAckTimeout        = 4.0                      // an Ack counts up to this time after its ping
+	gossipInterval        = 0.2                      // between two rounds of gossip
+	gossipFanout          = 2                        // members that one round of gossip goes to
+	syncInterval          = 2.0                      // between two full exchanges that this member starts because views differ
+	joinInterval          = 1.0                      // between two attempts to contact seeds
+	recoveryDelay         = 4.0                      // time in which a member that regains a majority catches up with what it missed
+	joinTriesBeforeAlone  = 5                        // attempts without an answer after which this member serves alone
+	maxUpdatesPerDatagram = 12                       // updates in one datagram
+	resendFactor          = 3                        // an update is sent this many times log2 of the fleet's size
+	maxNews               = 512                      // pieces of news stored
+	isolatedShareFactor   = 0.5                      // part of its share that an isolated member goes on using
+	maxMembers            = 4096                     // members that a view holds, forgotten ones included
+	forever               = time.Duration(1<<63 - 1) // the end of a lease that needs no other member
 )
 
 // Target is the destination of a message.
@@ -166,12 +166,12 @@
 
 // Change is a change of a member's state in this view.
 type Change struct {
-	At          time.Duration
+	At          time.Duration // by the caller's clock
 	ID          string
 	From, To    State
 	FirstSeen   bool // the member was not known before
 	Incarnation Incarnation
-	Cause       string
+	Cause       string   // for operators
 	Observers   []string // those whose doubts led to the change
 }
 
@@ -189,8 +189,8 @@
 	Record
 	reportedState    State // as last reported to the caller
 	reportedAt       time.Duration
-	incarnationSince time.Duration
-	goneSince        time.Duration
+	incarnationSince time.Duration // when its present incarnation became known
+	goneSince        time.Duration // if it is Gone or Left
 	ringPositions    [observersPerMember]uint64
 	doubts           map[string]*receivedDoubt
 
@@ -239,7 +239,7 @@
 
 // Machine is the membership state machine of one mixer. It is not safe for concurrent use.
 type Machine struct {
-	c             Config
+	c             Config // the configuration
 	rng           *rand.Rand
 	now           time.Duration
 	self          Record
@@ -259,7 +259,7 @@
 	quorumBaseSize     int
 	fairShareNow       float64
 	lastQuorumShare    float64 // share when a majority was last in reach
-	cap                float64 // upper bound of the share now
+	cap                float64 // upper bound of this member's share now
 	pendingShare       float64 // fair share that becomes the upper bound at shareGrowsAt
 	shareGrowsAt       time.Duration
 	recentMaxShare     float64 // largest fair share of late, and when it held
--- a/internal/fleet/member/share.go
+++ b/internal/fleet/member/share.go
@@ -66,10 +66,12 @@
 	hash   uint64
 }
 
+// claimOn returns the claim of a member to a duty, and whether the member may own duties now.
 func (r Record) claimOn(zone, key string) (c dutyClaim, eligible bool) {
 	return dutyClaim{zone != "" && r.Zone == zone, hash(r.ID+"\x00"+key, 0)}, r.State == Alive && r.Ready
 }
 
+// before reports whether a claim precedes another one.
 func (c dutyClaim) before(o dutyClaim) bool {
 	return c.inZone && !o.inZone || c.inZone == o.inZone && c.hash > o.hash
 }
