--- a/internal/fleet/zone/capacity.go
+++ b/internal/fleet/zone/capacity.go
@@ -34,37 +34,37 @@
 
 // Update takes the present load of each zone, in parts per second, and returns the capacities of
 // the zones.
-func (g *CapacityEstimator) Update(now time.Duration, p Plan, j Judgement, loads map[string]float64, nodes map[string]NodeStats) map[string]Capacity {
-	elapsed := now - g.lastUpdate
-	if g.lastUpdate == 0 {
+func (estimator *CapacityEstimator) Update(now time.Duration, p Plan, j Judgement, loads map[string]float64, nodes map[string]NodeStats) map[string]Capacity {
+	elapsed := now - estimator.lastUpdate
+	if estimator.lastUpdate == 0 {
 		elapsed = 0
 	}
-	g.lastUpdate = now
-	g.maxNodeLoad *= math.Exp2(-elapsed.Seconds() / capacityHalfLife.Seconds())
+	estimator.lastUpdate = now
+	estimator.maxNodeLoad *= math.Exp2(-elapsed.Seconds() / capacityHalfLife.Seconds())
 	shifted := len(p.Zones) > 0 // load has been moved between zones, so the present load is not the usual one
 	for zone, n := range nodes {
 		if n.Running == 0 || p.StatusOf(zone).Phase != In || j.Zones[zone] != Sound {
 			continue
 		}
-		g.maxNodeLoad = max(g.maxNodeLoad, loads[zone]/(float64(n.Running)*max(n.WarmShare, 0.1)))
-		if old, known := g.usualLoads[zone]; !shifted && known {
-			g.usualLoads[zone] = old + (loads[zone]-old)*(1-math.Exp(-elapsed.Seconds()/usualLoadWindow.Seconds()))
+		estimator.maxNodeLoad = max(estimator.maxNodeLoad, loads[zone]/(float64(n.Running)*max(n.WarmShare, 0.1)))
+		if old, known := estimator.usualLoads[zone]; !shifted && known {
+			estimator.usualLoads[zone] = old + (loads[zone]-old)*(1-math.Exp(-elapsed.Seconds()/usualLoadWindow.Seconds()))
 		} else if !shifted {
-			g.usualLoads[zone] = loads[zone]
+			estimator.usualLoads[zone] = loads[zone]
 		}
 	}
 	list := map[string]Capacity{}
 	for zone, n := range nodes {
-		list[zone] = Capacity{Total: trustFactor * g.maxNodeLoad * float64(n.Running), WarmShare: n.WarmShare, Load: loads[zone], UsualLoad: g.usualLoads[zone], Only: n.Only, RestartedNodes: n.Restarts}
+		list[zone] = Capacity{Total: trustFactor * estimator.maxNodeLoad * float64(n.Running), WarmShare: n.WarmShare, Load: loads[zone], UsualLoad: estimator.usualLoads[zone], Only: n.Only, RestartedNodes: n.Restarts}
 	}
 	return list
 }
 
 // Loads returns what all mixers send to each zone, in parts per second, according to their latest
 // reports.
-func (b *ReportStore) Loads(now time.Duration) map[string]float64 {
+func (rs *ReportStore) Loads(now time.Duration) map[string]float64 {
 	list := map[string]float64{}
-	for _, r := range b.recentEvidence(now) {
+	for _, r := range rs.recentEvidence(now) {
 		for zone, e := range r.totals {
 			list[zone] += float64(e.Sent()) / float64(len(r.reports))
 		}
--- a/internal/fleet/zone/evidence.go
+++ b/internal/fleet/zone/evidence.go
@@ -191,20 +191,20 @@
 func NewReportStore() *ReportStore { return &ReportStore{mixers: map[string]*mixerReports{}} }
 
 // Put stores a report that arrived at a time. It ignores old and repeated reports.
-func (b *ReportStore) Put(now time.Duration, r Report) {
+func (rs *ReportStore) Put(now time.Duration, r Report) {
 	if r.Mixer == "" || r.Zone == "" || len(r.Zones) > maxZones {
 		return
 	}
-	s := b.mixers[r.Mixer]
+	s := rs.mixers[r.Mixer]
 	if s == nil {
-		if len(b.mixers) >= maxMixers {
-			b.DropStale(now)
+		if len(rs.mixers) >= maxMixers {
+			rs.DropStale(now)
 		}
-		if len(b.mixers) >= maxMixers {
+		if len(rs.mixers) >= maxMixers {
 			return // bounds memory if there are more names than any fleet has
 		}
 		s = &mixerReports{}
-		b.mixers[r.Mixer] = s
+		rs.mixers[r.Mixer] = s
 	}
 	if r.Seq <= s.lastSeq {
 		return
@@ -221,10 +221,10 @@
 }
 
 // DropStale drops mixers that have not reported for long.
-func (b *ReportStore) DropStale(now time.Duration) {
-	for name, s := range b.mixers {
+func (rs *ReportStore) DropStale(now time.Duration) {
+	for name, s := range rs.mixers {
 		if len(s.list) == 0 || now-s.list[len(s.list)-1].receivedAt > 20*reportTTL {
-			delete(b.mixers, name)
+			delete(rs.mixers, name)
 		}
 	}
 }
@@ -239,8 +239,8 @@
 }
 
 // recentEvidence returns the evidence of all mixers that is still valid, sorted by mixer.
-func (b *ReportStore) recentEvidence(now time.Duration) (list []mixerEvidence) {
-	for name, s := range b.mixers {
+func (rs *ReportStore) recentEvidence(now time.Duration) (list []mixerEvidence) {
+	for name, s := range rs.mixers {
 		r := mixerEvidence{mixer: name, zone: s.zone, totals: map[string]Evidence{}}
 		for _, k := range s.list {
 			if now-k.receivedAt > reportTTL {
@@ -258,6 +258,6 @@
 			list = append(list, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b mixerEvidence) int { return strings.Compare(a.mixer, b.mixer) })
+	slices.SortFunc(list, func(a, rs mixerEvidence) int { return strings.Compare(a.mixer, rs.mixer) })
 	return list
 }
--- a/internal/fleet/zone/exhaustive_test.go
+++ b/internal/fleet/zone/exhaustive_test.go
@@ -9,9 +9,9 @@
 )
 
 // clone returns an independent copy of the planner.
-func (k *Planner) clone() *Planner {
-	next := &Planner{c: k.c, memories: map[string]*zoneMemory{}, moved: append([]moved(nil), k.moved...)}
-	for z, m := range k.memories {
+func (planner *Planner) clone() *Planner {
+	next := &Planner{c: planner.c, memories: map[string]*zoneMemory{}, moved: append([]moved(nil), planner.moved...)}
+	for z, m := range planner.memories {
 		c := *m
 		next.memories[z] = &c
 	}
@@ -114,10 +114,10 @@
 }
 
 // memoryKey returns all that a planner remembers as text.
-func (k *Planner) memoryKey() string {
-	s := fmt.Sprint(k.moved)
+func (planner *Planner) memoryKey() string {
+	s := fmt.Sprint(planner.moved)
 	for _, z := range []string{"a", "b"} {
-		if m := k.memories[z]; m != nil {
+		if m := planner.memories[z]; m != nil {
 			s += fmt.Sprintf(" %s%v", z, *m)
 		}
 	}
--- a/internal/fleet/zone/plan.go
+++ b/internal/fleet/zone/plan.go
@@ -61,27 +61,27 @@
 }
 
 // headroom returns the load that can still be moved to the zone.
-func (p Capacity) headroom() float64 { return max(0, targetUtilization*p.Total*p.WarmShare-p.Load) }
+func (c Capacity) headroom() float64 { return max(0, targetUtilization*c.Total*c.WarmShare-c.Load) }
 
 // usualLoad returns the load of normal use, or the present one if that is not known.
-func (p Capacity) usualLoad() float64 {
-	if p.UsualLoad > 0 {
-		return p.UsualLoad
+func (c Capacity) usualLoad() float64 {
+	if c.UsualLoad > 0 {
+		return c.UsualLoad
 	}
-	return p.Load
+	return c.Load
 }
 
 // exceeds reports whether a share of the zone's usual load is more than its nodes can bear now.
-func (p Capacity) exceeds(share float64, s Stand) bool {
-	usual := max(p.UsualLoad, s.UsualLoad)
-	return usual > 0 && p.Total > 0 && share*usual > coldMargin*p.Total*p.WarmShare
+func (c Capacity) exceeds(share float64, s Stand) bool {
+	usual := max(c.UsualLoad, s.UsualLoad)
+	return usual > 0 && c.Total > 0 && share*usual > coldMargin*c.Total*c.WarmShare
 }
 
 // highestSafeStep returns the last step of a return that does not exceed what the nodes can bear
 // now, but at least the first step with traffic.
-func (p Capacity) highestSafeStep(s Stand) int {
+func (c Capacity) highestSafeStep(s Stand) int {
 	step := len(returnSteps) - 1
-	for step > 1 && p.exceeds(returnSteps[step], s) {
+	for step > 1 && c.exceeds(returnSteps[step], s) {
 		step--
 	}
 	return step
@@ -118,8 +118,8 @@
 
 // stepTime returns the length of a step of a return. If any nodes are cold, all steps together take
 // half of WarmupTime. Capacity.exceeds limits each step to what cold nodes can bear.
-func (c Config) stepTime(p Capacity) time.Duration {
-	if p.WarmShare >= 1 {
+func (c Config) stepTime(capacity Capacity) time.Duration {
+	if capacity.WarmShare >= 1 {
 		return warmStepTime
 	}
 	return max(warmStepTime, c.WarmupTime/time.Duration(2*(len(returnSteps)-1)))
@@ -155,18 +155,18 @@
 func NewPlanner(c Config) *Planner { return &Planner{c: c, memories: map[string]*zoneMemory{}} }
 
 // memoryOf returns what the planner remembers of a zone, which may be changed.
-func (k *Planner) memoryOf(zone string) *zoneMemory {
-	m := k.memories[zone]
+func (planner *Planner) memoryOf(zone string) *zoneMemory {
+	m := planner.memories[zone]
 	if m == nil {
 		m = &zoneMemory{soundSince: -1, step: -1, leftAt: -1, takenBackAt: -1, overloadedAt: -1}
-		k.memories[zone] = m
+		planner.memories[zone] = m
 	}
 	return m
 }
 
 // Next returns the plan that follows from the evidence, and whether it differs from p. It changes
 // at most one zone at a time, the one with the worst verdict first.
-func (k *Planner) Next(now time.Duration, p Plan, j Judgement, power map[string]Capacity) (Plan, bool) {
+func (planner *Planner) Next(now time.Duration, p Plan, j Judgement, capacities map[string]Capacity) (Plan, bool) {
 	names := j.ZoneNames()
 	for zone := range p.Zones {
 		if !slices.Contains(names, zone) {
@@ -184,10 +184,10 @@
 	})
 	for _, zone := range names {
 		if j.Zones[zone] > Sound && (j.Shared || p.anotherZoneChanging(zone)) {
-			k.memoryOf(zone).overloadedAt = now
+			planner.memoryOf(zone).overloadedAt = now
 		}
 	}
-	if zone, s, ok := k.takeBackHarmfulMove(now, p, j); ok && !k.c.Manual {
+	if zone, s, ok := planner.takeBackHarmfulMove(now, p, j); ok && !planner.c.Manual {
 		return p.withStatus(zone, s), true
 	}
 	for _, zone := range names {
@@ -199,17 +199,17 @@
 		var change bool
 		switch s.Phase {
 		case In:
-			if k.c.Manual {
+			if planner.c.Manual {
 				continue
 			}
-			status, change = k.decideIn(now, p, zone, s, j, power)
+			status, change = planner.decideIn(now, p, zone, s, j, capacities)
 		case Leaving:
-			if k.c.Manual {
+			if planner.c.Manual {
 				continue
 			}
-			status, change = k.decideLeaving(now, p, zone, s, j, power)
+			status, change = planner.decideLeaving(now, p, zone, s, j, capacities)
 		default:
-			status, change = k.decideReturning(now, p, zone, s, j, power)
+			status, change = planner.decideReturning(now, p, zone, s, j, capacities)
 		}
 		if change {
 			return p.withStatus(zone, status), true
@@ -281,14 +281,14 @@
 }
 
 // movableShare returns the share of a zone's work that the other zones have capacity for.
-func movableShare(zone string, p Plan, j Judgement, power map[string]Capacity) float64 {
+func movableShare(zone string, p Plan, j Judgement, capacities map[string]Capacity) float64 {
 	headroom := 0.0
-	for z, w := range power {
+	for z, w := range capacities {
 		if s := p.StatusOf(z); z != zone && s.Phase == In && (j.Zones[z] == Sound || j.Zones[z] == Unknown) {
 			headroom += w.headroom()
 		}
 	}
-	work := power[zone].Load * (1 - power[zone].Only)
+	work := capacities[zone].Load * (1 - capacities[zone].Only)
 	if work <= 0 {
 		return 1
 	}
@@ -296,8 +296,8 @@
 }
 
 // decideIn decides whether to leave a zone in normal use.
-func (k *Planner) decideIn(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
-	m, v := k.memoryOf(zone), j.Zones[zone]
+func (planner *Planner) decideIn(now time.Duration, p Plan, zone string, s Stand, j Judgement, capacities map[string]Capacity) (Stand, bool) {
+	m, v := planner.memoryOf(zone), j.Zones[zone]
 	if s.Failures > 0 && m.leftAt >= 0 && now-m.leftAt > failureMemory {
 		s.Failures = 0
 		return s, true
@@ -314,7 +314,7 @@
 		if m.overloadedAt >= 0 && now-m.overloadedAt < sideEffectWindow {
 			return s, false
 		}
-		if share = movableShare(zone, p, j, power); v == Slow {
+		if share = movableShare(zone, p, j, capacities); v == Slow {
 			share = min(share, maxSlowMove)
 		}
 		if share < minMove {
@@ -326,9 +326,9 @@
 	if v == Dark && len(j.Zones) > 1 && (allDark(j) || !p.servesAny(j.ZoneNames(), zone)) {
 		return s, false // there is no other zone to use; and it is unlikely that all are dark
 	}
-	k.moved = append(k.moved, moved{now, zone, share, j.badZones()})
+	planner.moved = append(planner.moved, moved{now, zone, share, j.badZones()})
 	m.leftAt, m.soundSince = now, -1
-	return Stand{Phase: Leaving, Share: 1 - share, Failures: min(s.Failures+1, maxFailures), UsualLoad: power[zone].usualLoad(), Why: fmt.Sprintf("%v: %s", v, j.Why[zone])}, true
+	return Stand{Phase: Leaving, Share: 1 - share, Failures: min(s.Failures+1, maxFailures), UsualLoad: capacities[zone].usualLoad(), Why: fmt.Sprintf("%v: %s", v, j.Why[zone])}, true
 }
 
 // allDark reports whether all zones are dark or unknown.
@@ -343,12 +343,12 @@
 
 // decideLeaving decides on a zone that is left: whether to move more load off it or to return to
 // it.
-func (k *Planner) decideLeaving(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
-	m := k.memoryOf(zone)
+func (planner *Planner) decideLeaving(now time.Duration, p Plan, zone string, s Stand, j Judgement, capacities map[string]Capacity) (Stand, bool) {
+	m := planner.memoryOf(zone)
 	if v := j.Zones[zone]; v != Dark && v != Unknown && len(j.Zones) > 1 && p.isLastZone(zone, j) {
 		// No other zone is usable, so its verdict does not matter. Use as much at once as its nodes
 		// can bear.
-		if step := power[zone].highestSafeStep(s); returnSteps[step] > s.Share {
+		if step := capacities[zone].highestSafeStep(s); returnSteps[step] > s.Share {
 			m.step, m.extraWaits = now, 0
 			s.Phase, s.Step, s.Share, s.Why = Returning, step, returnSteps[step], "all others are dark, or left"
 			return s, true
@@ -373,7 +373,7 @@
 			step++
 		}
 		if noOtherZoneWell {
-			step = max(step, power[zone].highestSafeStep(s))
+			step = max(step, capacities[zone].highestSafeStep(s))
 		}
 		m.step, m.extraWaits = now, 0
 		s.Phase, s.Step, s.Share, s.Why = Returning, step, max(s.Share, returnSteps[step]), "it looks sound"
@@ -386,9 +386,9 @@
 		}
 	case Failing:
 		m.soundSince = -1
-		more := min(s.Share, movableShare(zone, p, j, power)*s.Share)
+		more := min(s.Share, movableShare(zone, p, j, capacities)*s.Share)
 		if !j.Shared && more >= minMove && p.servesAny(j.ZoneNames(), zone) && (m.takenBackAt < 0 || now-m.takenBackAt >= leaveCooldown) {
-			k.moved = append(k.moved, moved{now, zone, more, j.badZones()})
+			planner.moved = append(planner.moved, moved{now, zone, more, j.badZones()})
 			s.Share, s.Why = s.Share-more, fmt.Sprintf("%v: %s", v, j.Why[zone])
 			return s, true
 		}
@@ -400,12 +400,12 @@
 
 // decideReturning decides on a zone that is being returned to: a step forward, a step back, or
 // leaving it again.
-func (k *Planner) decideReturning(now time.Duration, p Plan, zone string, s Stand, j Judgement, power map[string]Capacity) (Stand, bool) {
-	m, w := k.memoryOf(zone), power[zone]
+func (planner *Planner) decideReturning(now time.Duration, p Plan, zone string, s Stand, j Judgement, capacities map[string]Capacity) (Stand, bool) {
+	m, w := planner.memoryOf(zone), capacities[zone]
 	if m.step < 0 {
 		m.step = now
 	}
-	stepAge, pace := now-m.step, k.c.stepTime(w)
+	stepAge, pace := now-m.step, planner.c.stepTime(w)
 	if p.noOtherZoneWell(zone, j) {
 		pace = pressedStepTime
 	}
@@ -427,7 +427,7 @@
 	case v != Sound && !s.Forced, stepAge < pace*time.Duration(1+m.extraWaits):
 		return s, false
 	case s.Step+1 >= len(returnSteps):
-		k.moved = slices.DeleteFunc(k.moved, func(x moved) bool { return x.zone == zone })
+		planner.moved = slices.DeleteFunc(planner.moved, func(x moved) bool { return x.zone == zone })
 		return Stand{Phase: In, Share: 1, Failures: s.Failures}, true
 	}
 	// Do not exceed what the nodes can bear now.
@@ -452,9 +452,9 @@
 
 // takeBackHarmfulMove finds a zone that slowed down after load of another zone was moved to it.
 // Part of that load is taken back, and the slowed zone is not left.
-func (k *Planner) takeBackHarmfulMove(now time.Duration, p Plan, j Judgement) (string, Stand, bool) {
-	k.moved = slices.DeleteFunc(k.moved, func(x moved) bool { return now-x.movedAt > sideEffectWindow })
-	for i, x := range k.moved {
+func (planner *Planner) takeBackHarmfulMove(now time.Duration, p Plan, j Judgement) (string, Stand, bool) {
+	planner.moved = slices.DeleteFunc(planner.moved, func(x moved) bool { return now-x.movedAt > sideEffectWindow })
+	for i, x := range planner.moved {
 		s := p.StatusOf(x.zone)
 		if s.Phase != Leaving || s.Held || j.Zones[x.zone] == Dark || now-x.movedAt < sideEffectDelay || x.share < minMove {
 			continue
@@ -463,11 +463,11 @@
 			if v := j.Zones[z]; z == x.zone || v != Slow && v != Failing || p.StatusOf(z).Phase != In || slices.Contains(x.alreadyBad, z) {
 				continue
 			}
-			k.moved = slices.Delete(k.moved, i, i+1)
-			k.memoryOf(x.zone).takenBackAt = now
+			planner.moved = slices.Delete(planner.moved, i, i+1)
+			planner.memoryOf(x.zone).takenBackAt = now
 			s.Share = min(1, s.Share+x.share/2)
 			s.Why = fmt.Sprintf("part of it is taken back: %s is %v since", z, j.Zones[z])
-			k.moved = append(k.moved, moved{now + holdSound, x.zone, x.share / 2, nil}) // until then the evidence is from before the change
+			planner.moved = append(planner.moved, moved{now + holdSound, x.zone, x.share / 2, nil}) // until then the evidence is from before the change
 			return x.zone, s, true
 		}
 	}
@@ -491,8 +491,8 @@
 func ParseOrder(name string) Order { return ordersByName[name] }
 
 // ApplyOrder returns the plan that follows from an operator's order on a zone.
-func (k *Planner) ApplyOrder(now time.Duration, p Plan, zone string, o Order, reason string) Plan {
-	s, m := p.StatusOf(zone), k.memoryOf(zone)
+func (planner *Planner) ApplyOrder(now time.Duration, p Plan, zone string, o Order, reason string) Plan {
+	s, m := p.StatusOf(zone), planner.memoryOf(zone)
 	switch o {
 	case OrderLeave:
 		s = Stand{Phase: Leaving, Held: true, UsualLoad: s.UsualLoad}
