--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -130,92 +130,92 @@
 	Storm(state, about string)
 }
 
-// lastGuard is how long before a query's deadline the core itself fails the query, if the
+// finalGuardMargin is how long before a query's deadline the core itself fails the query, if the
 // decision module has not ended it. Where a tick is shorter, it is one tick. The module
 // ends queries two ticks before their deadline.
-const lastGuard = 3 * time.Millisecond
+const finalGuardMargin = 3 * time.Millisecond
 
-// judgePace is the interval between checks for a retry storm.
-const judgePace = 100 * time.Millisecond
+// stormCheckInterval is the interval between checks for a retry storm.
+const stormCheckInterval = 100 * time.Millisecond
 
-// forgetGone is how long a node that has left the list is remembered after its drain
+// goneNodeRetention is how long a node that has left the list is remembered after its drain
 // grace has ended.
-const forgetGone = 30 * time.Second
+const goneNodeRetention = 30 * time.Second
 
-// lateTicks is the number of ticks before its deadline within which a query that fails
+// expiredTicks is the number of ticks before its deadline within which a query that fails
 // counts as expired.
-const lateTicks = 4
+const expiredTicks = 4
 
 // Core keeps all state of the broker. Its methods must be called on its own goroutine,
 // from posted functions, except New, Post and Run.
 type Core struct {
-	set    settings.Settings
-	mod    Stepper
-	clock  func() time.Duration
-	nodes  Nodes
-	dir    Directory
-	prober Prober
-	log    Logger
-	traces *tracing.Recorder // nil: no traces are recorded
-	counts *counts.Set       // nil: nothing is counted
-	recent *counts.Recent    // latest events by query, for the log lines of guards
-	listed time.Duration     // time of the last list update
-	watch  *storm.Detector
-	judged time.Duration
-	mail   mailbox
-	timers timers
-	now    time.Duration
-
-	events   []decide.Event
-	stepped  time.Duration
-	queries  map[string]*query // by the module's id
-	wireIDs  map[string]*query
-	parts    map[string]*part // parts of open queries, and parts that still have an attempt out
-	members  map[string]ListedNode
-	told     map[string]time.Duration // by node id: when the notice came that it drains or is gone
-	limits   Limits
-	barred   map[string]bool // nodes to which nothing is sent, whatever the list says
-	before   func()          // may be nil
-	observer Observer        // may be nil
-	lag      time.Duration   // longest delay of a timer since the last call of Lag
-	number   int64           // number of the latest query
-	held     int             // open queries and their parts
-	audit    Audit
-	ended    bool   // FailAllQueries was called: no new query is taken
-	shards   []int  // buffer of sum
-	stopping bool   // OnIdle was called
-	idle     func() // called once when no query is open, after OnIdle
+	config         settings.Settings
+	module         Stepper
+	clock          func() time.Duration
+	nodes          Nodes
+	directory      Directory
+	prober         Prober
+	log            Logger
+	traces         *tracing.Recorder // nil: no traces are recorded
+	counts         *counts.Set       // nil: nothing is counted
+	recent         *counts.Recent    // latest events by query, for the log lines of guards
+	listed         time.Duration     // time of the last list update
+	stormDetector  *storm.Detector
+	lastStormCheck time.Duration
+	mail           mailbox
+	timers         timers
+	now            time.Duration
+
+	events       []decide.Event
+	lastStep     time.Duration
+	queries      map[string]*query // by the module's id
+	wireIDs      map[string]*query
+	parts        map[string]*part // parts of open queries, and parts that still have an attempt out
+	listedNodes  map[string]ListedNode
+	told         map[string]time.Duration // by node id: when the notice came that it drains or is gone
+	limits       Limits
+	barred       map[string]bool // nodes to which nothing is sent, whatever the list says
+	onTurn       func()          // may be nil
+	observer     Observer        // may be nil
+	timerLag     time.Duration   // longest delay of a timer since the last call of Lag
+	number       int64           // number of the latest query
+	openCount    int             // open queries and their parts
+	audit        Audit
+	closed       bool   // FailAllQueries was called: no new query is taken
+	shards       []int  // buffer of sum
+	awaitingIdle bool   // OnIdle was called
+	onIdle       func() // called once when no query is open, after OnIdle
 }
 
 // query is an open query.
 type query struct {
 	Query
-	id      string
-	number  int64
-	class   *decide.Class
-	end     time.Duration // its deadline
-	parts   []*part       // of the current step
-	second  bool          // the second step has begun
-	from    []int         // shards that were answered in the first step
-	whole   bool          // the first step's answer was whole
-	over    bool          // it has its final answer, or its client has left
-	counted int           // its share of Core.held
-	trace   *tracing.Query
+	id              string
+	number          int64
+	class           *decide.Class
+	deadline        time.Duration // its deadline
+	parts           []*part       // of the current step
+	secondStep      bool          // the second step has begun
+	firstStepShards []int         // shards that were answered in the first step
+	whole           bool          // the first step's answer was whole
+	ended           bool          // it has its final answer, or its client has left
+	ownOpenCount    int           // its share of Core.openCount
+	trace           *tracing.Query
 }
 
 // part is a part of one step of a query.
 type part struct {
-	q        *query
-	id       string
-	shard    int
-	weight   float64
-	second   bool
-	attempts []*Attempt
-	out      int  // attempts that have not ended
-	in       bool // it has its answer: score and value
-	score    int64
-	value    []byte
-	trace    int32 // index in the query's trace
+	q            *query
+	id           string
+	shard        int
+	weight       float64
+	secondStep   bool
+	attempts     []*Attempt
+	openAttempts int  // attempts that have not ended
+	answered     bool // it has its answer: score and value
+	score        int64
+	value        []byte
+	trace        int32 // index in the query's trace
 }
 
 // Attempt is one send of a part to a node.
@@ -231,23 +231,23 @@
 	Node            Node
 	TransportState  any // state of the Nodes implementation
 
-	p    *part
-	n    int           // index among the part's attempts
-	sent time.Duration // when the module asked for it
-	stop time.Duration // when it times out
-	over bool          // it has ended
+	p         *part
+	index     int           // index among the part's attempts
+	sent      time.Duration // when the module asked for it
+	timeoutAt time.Duration // when it times out
+	ended     bool          // it has ended
 
-	begun bool // the gate has allowed it once
+	allowed bool // the gate has allowed it once
 
 	neverRan bool  // its outcome proves that the node did not run it
 	trace    int32 // index in the query's trace; -1: not recorded
 }
 
 // TimeLeft returns how long the attempt will still be waited for.
-func (a *Attempt) TimeLeft(now time.Duration) time.Duration { return a.stop - now }
+func (a *Attempt) TimeLeft(now time.Duration) time.Duration { return a.timeoutAt - now }
 
 // HasEnded reports whether the attempt has ended.
-func (a *Attempt) HasEnded() bool { return a.over }
+func (a *Attempt) HasEnded() bool { return a.ended }
 
 // Connected records in the trace when a connection was available for the attempt.
 func (a *Attempt) Connected(now time.Duration) { a.p.q.trace.Connected(a.trace, now) }
@@ -272,15 +272,15 @@
 }
 
 // New returns a Core. Attach has to be called before Run.
-func New(set settings.Settings, mod Stepper, clock func() time.Duration, log Logger) *Core {
-	return &Core{limits: Limits{MaxOpen: set.Module.MaxOpen, MaxAttempts: set.Module.MaxAttempts}, set: set, mod: mod, clock: clock, log: log, mail: newMailbox(), watch: storm.New(),
-		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, members: map[string]ListedNode{},
+func New(config settings.Settings, module Stepper, clock func() time.Duration, log Logger) *Core {
+	return &Core{limits: Limits{MaxOpen: config.Module.MaxOpen, MaxAttempts: config.Module.MaxAttempts}, config: config, module: module, clock: clock, log: log, mail: newMailbox(), stormDetector: storm.New(),
+		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, listedNodes: map[string]ListedNode{},
 		told: map[string]time.Duration{}}
 }
 
 // Attach sets the transport to the nodes and the source of the node list. Nodes are also
 // probed through n, unless SetProber sets another prober.
-func (c *Core) Attach(n Nodes, d Directory) { c.nodes, c.dir, c.prober = n, d, n }
+func (c *Core) Attach(n Nodes, d Directory) { c.nodes, c.directory, c.prober = n, d, n }
 
 // SetProber sets the prober in place of the Nodes given to Attach.
 func (c *Core) SetProber(p Prober) { c.prober = p }
@@ -293,12 +293,12 @@
 
 // Node returns a listed node; false if the node is not listed.
 func (c *Core) Node(id string) (Node, bool) {
-	m, ok := c.members[id]
+	m, ok := c.listedNodes[id]
 	return Node{ID: id, Addr: m.Addr}, ok
 }
 
 // ListedNode returns a node's entry in the list, or the zero ListedNode if it is not listed.
-func (c *Core) ListedNode(id string) ListedNode { return c.members[id] }
+func (c *Core) ListedNode(id string) ListedNode { return c.listedNodes[id] }
 
 // SetTraceRecorder sets the recorder of traces.
 func (c *Core) SetTraceRecorder(r *tracing.Recorder) { c.traces = r }
@@ -329,14 +329,14 @@
 func (c *Core) Audit() Audit { return c.audit }
 
 // OpenCount returns the number of open queries and their parts.
-func (c *Core) OpenCount() int { return c.held }
+func (c *Core) OpenCount() int { return c.openCount }
 
 // Run runs the event loop until stop is closed. The calling goroutine becomes the core's.
 func (c *Core) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		if d, ok := c.pause(); ok {
+		if d, ok := c.sleepTime(); ok {
 			timer.Reset(d)
 		}
 		select {
@@ -349,13 +349,13 @@
 	}
 }
 
-// pause returns how long the event loop may sleep, and whether anything is due at all.
+// sleepTime returns how long the event loop may sleep, and whether anything is due at all.
 // Steps of the module are at least a tick apart; events that come in between share the
 // next one.
-func (c *Core) pause() (time.Duration, bool) {
+func (c *Core) sleepTime() (time.Duration, bool) {
 	due, ok := c.timers.next()
 	if len(c.events) > 0 {
-		if t := c.stepped + c.set.Module.Tick; !ok || t < due {
+		if t := c.lastStep + c.config.Module.Tick; !ok || t < due {
 			due, ok = t, true
 		}
 	}
@@ -367,32 +367,32 @@
 // that controls the clock, as a benchmark does.
 func (c *Core) RunOnce() {
 	c.now = c.clock()
-	if c.before != nil {
-		c.before()
+	if c.onTurn != nil {
+		c.onTurn()
 	}
 	for _, fn := range c.mail.take() {
 		fn()
 	}
 	if due, ok := c.timers.next(); ok && c.now > due {
 		c.counts.Add(counts.LagMicros, (c.now - due).Microseconds())
-		c.lag = max(c.lag, c.now-due)
+		c.timerLag = max(c.timerLag, c.now-due)
 	}
 	c.timers.run(c.now)
-	if len(c.events) > 0 && c.now >= c.stepped+c.set.Module.Tick {
+	if len(c.events) > 0 && c.now >= c.lastStep+c.config.Module.Tick {
 		c.step()
 	}
-	if c.now >= c.judged+judgePace {
-		c.judge()
+	if c.now >= c.lastStormCheck+stormCheckInterval {
+		c.checkStorm()
 	}
-	if c.stopping && len(c.queries) == 0 && c.idle != nil {
-		idle := c.idle
-		c.idle = nil
-		idle()
+	if c.awaitingIdle && len(c.queries) == 0 && c.onIdle != nil {
+		onIdle := c.onIdle
+		c.onIdle = nil
+		onIdle()
 	}
 }
 
 // OnIdle has idle called once, as soon as no query is open.
-func (c *Core) OnIdle(idle func()) { c.stopping, c.idle = true, idle }
+func (c *Core) OnIdle(onIdle func()) { c.awaitingIdle, c.onIdle = true, onIdle }
 
 // ReadClock reads the module's clock. Unlike Now, it counts what the current turn of the
 // event loop has taken so far, which may be long.
@@ -401,11 +401,11 @@
 // FailAllQueries fails every open query and has all new ones turned away. It is called when the
 // process is about to be killed.
 func (c *Core) FailAllQueries() {
-	c.ended = true
+	c.closed = true
 	open := slices.Collect(maps.Values(c.queries))
 	slices.SortFunc(open, func(a, b *query) int { return cmp.Compare(a.number, b.number) })
 	for _, q := range open {
-		c.abandon(q)
+		c.expireQuery(q)
 	}
 }
 
@@ -426,51 +426,51 @@
 // Admit submits a query to the module. If the result is not Taken, the handle is nil and
 // the caller has to answer the client itself.
 func (c *Core) Admit(in Query) (Admission, *QueryHandle) {
-	if in.Class < 0 || in.Class >= len(c.set.Module.Classes) || !c.sound(in.Parts) || in.Left <= 0 {
+	if in.Class < 0 || in.Class >= len(c.config.Module.Classes) || !c.validParts(in.Parts) || in.Left <= 0 {
 		return Invalid, nil
 	}
 	if c.wireIDs[in.WireID] != nil {
 		return Duplicate, nil
 	}
-	if gate.Admit(c.ended) != gate.Allowed {
+	if gate.Admit(c.closed) != gate.Allowed {
 		return ShuttingDown, nil
 	}
 	sum := c.sum(in)
-	c.watch.RecordQuery(c.now, in.Repeat, sum)
+	c.stormDetector.RecordQuery(c.now, in.Repeat, sum)
 	// Bounds memory, and keeps to the number of open queries and parts that the module's
 	// settings promise it.
-	if most := c.limits.MaxOpen; most > 0 && c.held+1+len(in.Parts) > most {
-		c.watch.Ended(c.now, false)
-		c.saw(counts.Crowded, in.WireID, "")
+	if most := c.limits.MaxOpen; most > 0 && c.openCount+1+len(in.Parts) > most {
+		c.stormDetector.Ended(c.now, false)
+		c.countEvent(counts.Crowded, in.WireID, "")
 		return Crowded, nil
 	}
-	c.saw(counts.Taken, in.WireID, "")
+	c.countEvent(counts.Taken, in.WireID, "")
 	c.audit.Taken++
 	c.number++
-	q := &query{Query: in, id: "q" + number(c.number), number: c.number, class: &c.set.Module.Classes[in.Class],
-		end: c.now + in.Left}
+	q := &query{Query: in, id: "q" + number(c.number), number: c.number, class: &c.config.Module.Classes[in.Class],
+		deadline: c.now + in.Left}
 	c.queries[q.id], c.wireIDs[in.WireID] = q, q
 	work := time.Duration(0)
 	for _, p := range in.Parts {
 		work += p.Work
 	}
 	if c.traces != nil {
-		q.trace = c.begin(in, work, sum)
+		q.trace = c.beginTrace(in, work, sum)
 	}
 	c.events = append(c.events, decide.QueryArrived{ID: q.id, Number: q.number, Class: in.Class, Tenant: in.Tenant,
 		Key: in.Key, Left: in.Left, Work: work, Repeat: in.Repeat})
-	c.open(q, in.Parts)
-	c.hold(q, 1)
-	c.timers.add(q.end-min(lastGuard, c.set.Module.Tick), func() { c.lastMoment(q) })
+	c.openParts(q, in.Parts)
+	c.addOpen(q, 1)
+	c.timers.add(q.deadline-min(finalGuardMargin, c.config.Module.Tick), func() { c.failUnanswered(q) })
 	return Taken, &QueryHandle{c, q}
 }
 
-// sound reports whether the parts are valid: at least one, each with a shard of its own
+// validParts reports whether the parts are valid: at least one, each with a shard of its own
 // that exists and a weight from 0 to 1, with a tolerance for rounding.
-func (c *Core) sound(parts []QueryPart) bool {
+func (c *Core) validParts(parts []QueryPart) bool {
 	seen := map[int]bool{}
 	for _, p := range parts {
-		if p.Shard < 0 || c.set.Shards > 0 && p.Shard >= c.set.Shards || seen[p.Shard] || !(p.Weight >= 0 && p.Weight <= 1.001) {
+		if p.Shard < 0 || c.config.Shards > 0 && p.Shard >= c.config.Shards || seen[p.Shard] || !(p.Weight >= 0 && p.Weight <= 1.001) {
 			return false
 		}
 		seen[p.Shard] = true
@@ -478,14 +478,14 @@
 	return len(parts) > 0
 }
 
-// open creates the parts of a step and reports them to the module.
-func (c *Core) open(q *query, list []QueryPart) {
+// openParts creates the parts of a step and reports them to the module.
+func (c *Core) openParts(q *query, list []QueryPart) {
 	q.parts = nil
 	for _, in := range list {
-		p := &part{q: q, shard: in.Shard, weight: in.Weight, second: q.second}
-		p.trace = q.trace.AddPart(c.now, q.second, in.Shard, in.Weight)
+		p := &part{q: q, shard: in.Shard, weight: in.Weight, secondStep: q.secondStep}
+		p.trace = q.trace.AddPart(c.now, q.secondStep, in.Shard, in.Weight)
 		p.id = q.id + "." + number(int64(in.Shard))
-		if q.second {
+		if q.secondStep {
 			p.id += "b"
 		}
 		q.parts = append(q.parts, p)
@@ -493,11 +493,13 @@
 		c.events = append(c.events, decide.PartArrived{ID: p.id, Number: q.number, Shard: p.shard, Weight: p.weight,
 			Work: in.Work})
 	}
-	c.hold(q, len(list))
+	c.addOpen(q, len(list))
 }
 
-// hold adds n to the open queries and parts, on account of q.
-func (c *Core) hold(q *query, n int) { c.held, q.counted = c.held+n, q.counted+n }
+// addOpen adds n to the open queries and parts, on account of q.
+func (c *Core) addOpen(q *query, n int) {
+	c.openCount, q.ownOpenCount = c.openCount+n, q.ownOpenCount+n
+}
 
 // QueryHandle lets a front end act on a query that was taken.
 type QueryHandle struct {
@@ -507,7 +509,7 @@
 
 // ClientGone ends the query without an answer: its client has left.
 func (h *QueryHandle) ClientGone() {
-	if h.q.over {
+	if h.q.ended {
 		return
 	}
 	h.c.close(h.q, tracing.Deserted, decide.NoEndReason)
@@ -517,28 +519,28 @@
 // FailBy has the query fail at the given time if that is before its deadline. It is used
 // when answers to later requests of the same client have to wait for this one.
 func (h *QueryHandle) FailBy(at time.Duration) {
-	if h.q.over || at >= h.q.end {
+	if h.q.ended || at >= h.q.deadline {
 		return
 	}
 	h.c.timers.add(at, func() {
-		if !h.q.over {
-			h.c.abandon(h.q)
+		if !h.q.ended {
+			h.c.expireQuery(h.q)
 		}
 	})
 }
 
-// lastMoment fails a query that the module has not ended shortly before the client's
+// failUnanswered fails a query that the module has not ended shortly before the client's
 // deadline, so that each query gets its one final answer whatever the module does.
-func (c *Core) lastMoment(q *query) {
-	if q.over {
+func (c *Core) failUnanswered(q *query) {
+	if q.ended {
 		return
 	}
-	c.guard(q, "one-answer", "the module had not ended it")
-	c.abandon(q)
+	c.reportGuard(q, "one-answer", "the module had not ended it")
+	c.expireQuery(q)
 }
 
-// abandon fails a query as expired without a decision of the module, and tells the module.
-func (c *Core) abandon(q *query) {
+// expireQuery fails a query as expired without a decision of the module, and tells the module.
+func (c *Core) expireQuery(q *query) {
 	c.close(q, tracing.Expired, decide.TimeExpired)
 	q.Responder.Failed(true)
 	c.events = append(c.events, decide.ClientGone{Query: q.id})
@@ -546,16 +548,16 @@
 
 // close removes a query, cancels its open attempts and records how it ended.
 func (c *Core) close(q *query, how tracing.How, why decide.EndReason) {
-	q.over = true
+	q.ended = true
 	c.audit.Ended++
-	c.saw(ended(how, why), q.WireID, "")
-	c.held -= q.counted
+	c.countEvent(endKind(how, why), q.WireID, "")
+	c.openCount -= q.ownOpenCount
 	delete(c.queries, q.id)
 	delete(c.wireIDs, q.WireID)
-	c.shed(q)
+	c.cancelAttempts(q)
 	if how != tracing.Deserted {
 		served := how == tracing.Served || how == tracing.Short
-		c.watch.Ended(c.now, served && c.now <= q.end-q.Left+q.class.LatencyTarget)
+		c.stormDetector.Ended(c.now, served && c.now <= q.deadline-q.Left+q.class.LatencyTarget)
 	}
 	if q.trace != nil {
 		c.traces.End(c.now, q.trace, how, uint8(why))
@@ -563,16 +565,16 @@
 	}
 }
 
-// shed cancels the open attempts of a query's current step.
-func (c *Core) shed(q *query) {
+// cancelAttempts cancels the open attempts of a query's current step.
+func (c *Core) cancelAttempts(q *query) {
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
-			if !a.over {
-				c.finish(a, decide.Cancelled, false)
+			if !a.ended {
+				c.finishAttempt(a, decide.Cancelled, false)
 				c.nodes.GiveUp(a)
 			}
 		}
-		if p.out == 0 {
+		if p.openAttempts == 0 {
 			delete(c.parts, p.id)
 		}
 	}
@@ -583,35 +585,35 @@
 // Ended reports the outcome of an attempt. Score and value are used only if the outcome
 // is decide.OK. A report on an attempt that has already ended is ignored.
 func (c *Core) Ended(a *Attempt, o decide.Outcome, score int64, value []byte) {
-	if a.over {
+	if a.ended {
 		return // a late answer
 	}
-	won := o == decide.OK && !a.p.q.over && a.p.second == a.p.q.second && !a.p.in
+	won := o == decide.OK && !a.p.q.ended && a.p.secondStep == a.p.q.secondStep && !a.p.answered
 	if won {
-		a.p.in, a.p.score, a.p.value = true, score, value
+		a.p.answered, a.p.score, a.p.value = true, score, value
 	}
-	c.finish(a, o, won)
+	c.finishAttempt(a, o, won)
 }
 
-// finish ends an attempt and reports its outcome to the module. Won says that the attempt
+// finishAttempt ends an attempt and reports its outcome to the module. Won says that the attempt
 // gave the answer of its part.
-func (c *Core) finish(a *Attempt, o decide.Outcome, won bool) {
+func (c *Core) finishAttempt(a *Attempt, o decide.Outcome, won bool) {
 	a.p.q.trace.AttemptOver(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
-	a.over, a.neverRan = true, o.NeverRan()
+	a.ended, a.neverRan = true, o.NeverRan()
 	if c.observer != nil {
-		c.observer.Observe(c.members[a.Node.ID], o, c.now-a.sent, a.p.q.class.LatencyTarget)
+		c.observer.Observe(c.listedNodes[a.Node.ID], o, c.now-a.sent, a.p.q.class.LatencyTarget)
 	}
-	c.saw(outcomes[o], a.WireID, a.Node.ID)
-	a.p.out--
-	c.report(a, o)
-	if a.p.out == 0 && (a.p.q.over || a.p.second != a.p.q.second) {
+	c.countEvent(outcomeKinds[o], a.WireID, a.Node.ID)
+	a.p.openAttempts--
+	c.reportOutcome(a, o)
+	if a.p.openAttempts == 0 && (a.p.q.ended || a.p.secondStep != a.p.q.secondStep) {
 		delete(c.parts, a.p.id)
 	}
 }
 
-// report queues the outcome of an attempt for the module.
-func (c *Core) report(a *Attempt, o decide.Outcome) {
-	c.events = append(c.events, decide.AttemptDone{Part: a.p.id, Attempt: a.n, Server: a.Node.ID, Outcome: o,
+// reportOutcome queues the outcome of an attempt for the module.
+func (c *Core) reportOutcome(a *Attempt, o decide.Outcome) {
+	c.events = append(c.events, decide.AttemptDone{Part: a.p.id, Attempt: a.index, Server: a.Node.ID, Outcome: o,
 		Latency: c.now - a.sent})
 }
 
@@ -619,44 +621,44 @@
 // the write: while an attempt waits for a connection, the windows of the rules on
 // draining nodes and on repeats run on.
 func (c *Core) MaySend(a *Attempt) bool {
-	if a.over {
+	if a.ended {
 		return false
 	}
-	verdict := c.rules().Attempt(c.facts(a, c.ReadClock()))
+	verdict := c.gateLimits().Attempt(c.gateAttempt(a, c.ReadClock()))
 	if verdict.Unexpected() {
-		c.guard(a.p.q, verdict.String(), "an attempt at node "+a.Node.ID+" waited for too long")
+		c.reportGuard(a.p.q, verdict.String(), "an attempt at node "+a.Node.ID+" waited for too long")
 	}
 	return verdict == gate.Allowed
 }
 
 // CheckWritten checks an attempt that has just been written against the rules, and counts and
 // logs a violation. Told is the time left that the node was sent.
-func (c *Core) CheckWritten(a *Attempt, told time.Duration) {
-	verdict := c.rules().Written(gate.Written{Attempt: c.facts(a, c.ReadClock()), SentTimeLeft: told})
+func (c *Core) CheckWritten(a *Attempt, sentTimeLeft time.Duration) {
+	verdict := c.gateLimits().Written(gate.Written{Attempt: c.gateAttempt(a, c.ReadClock()), SentTimeLeft: sentTimeLeft})
 	if verdict != gate.Allowed {
 		c.audit.Violations++
-		c.guard(a.p.q, verdict.String(), "VIOLATION: an attempt at node "+a.Node.ID+" left too late")
+		c.reportGuard(a.p.q, verdict.String(), "VIOLATION: an attempt at node "+a.Node.ID+" left too late")
 	}
 }
 
-// rules returns the limits that the gate applies.
-func (c *Core) rules() gate.Limits {
-	return gate.Limits{DrainGrace: c.set.Module.DrainGrace, MaxAttempts: c.limits.MaxAttempts}
+// gateLimits returns the limits that the gate applies.
+func (c *Core) gateLimits() gate.Limits {
+	return gate.Limits{DrainGrace: c.config.Module.DrainGrace, MaxAttempts: c.limits.MaxAttempts}
 }
 
-// facts describes an attempt at an instant for the gate.
-func (c *Core) facts(a *Attempt, now time.Duration) gate.Attempt {
+// gateAttempt describes an attempt at an instant for the gate.
+func (c *Core) gateAttempt(a *Attempt, now time.Duration) gate.Attempt {
 	q := a.p.q
 	// An attempt that was allowed once stays with its node, even if the list has changed
 	// since. A node that has left the list is treated as one that drains.
-	m, listed := c.members[a.Node.ID]
-	f := gate.Attempt{Now: now, RequestOver: q.over, StepOver: a.p.second != q.second, Deadline: a.stop, EarlierAttempts: a.n,
-		Listed: a.begun || listed, Withheld: c.barred[a.Node.ID], HoldsShard: a.begun || c.holds(m, a.p.shard),
+	m, listed := c.listedNodes[a.Node.ID]
+	f := gate.Attempt{Now: now, RequestOver: q.ended, StepOver: a.p.secondStep != q.secondStep, Deadline: a.timeoutAt, EarlierAttempts: a.index,
+		Listed: a.allowed || listed, Withheld: c.barred[a.Node.ID], HoldsShard: a.allowed || c.holdsShard(m, a.p.shard),
 		ClassIdempotency: q.class.Idempotency, RepeatWindow: q.class.DedupWindow}
 	f.DrainingSince, f.IsDraining = c.told[a.Node.ID]
 	// Attempts are in the order in which they were sent: the first that may have run counts.
 	for _, other := range a.p.attempts {
-		if other != a && (!other.over || !other.neverRan) {
+		if other != a && (!other.ended || !other.neverRan) {
 			f.MayHaveRun, f.FirstSentAt = true, other.sent
 			break
 		}
@@ -668,9 +670,9 @@
 
 // UpdateNodeList applies an update of the list of nodes and reports it to the module.
 func (c *Core) UpdateNodeList(l List) {
-	old, list := maps.Clone(c.members), l.Members
+	old, list := maps.Clone(c.listedNodes), l.Members
 	if l.Full {
-		clear(c.members)
+		clear(c.listedNodes)
 	}
 	if l.Told <= 0 || l.Told > c.now {
 		l.Told = c.now
@@ -683,24 +685,24 @@
 			c.told[m.ID] = m.Told
 		}
 		if m.State == decide.Deleted {
-			delete(c.members, m.ID)
+			delete(c.listedNodes, m.ID)
 			continue
 		}
-		c.members[m.ID] = m
+		c.listedNodes[m.ID] = m
 	}
 	was := c.barred
-	c.bar()
+	c.updateBarred()
 	for _, m := range list {
-		ev.Servers = append(ev.Servers, c.seen(m.Server))
+		ev.Servers = append(ev.Servers, c.moduleView(m.Server))
 	}
-	ev.Servers = append(ev.Servers, c.changed(was, list)...)
-	known := make([]Node, 0, len(c.members))
-	for id, m := range c.members {
+	ev.Servers = append(ev.Servers, c.barredChanges(was, list)...)
+	known := make([]Node, 0, len(c.listedNodes))
+	for id, m := range c.listedNodes {
 		known = append(known, Node{ID: id, Addr: m.Addr})
 		old[id] = m
 	}
 	for id := range old {
-		m, listed := c.members[id]
+		m, listed := c.listedNodes[id]
 		if _, told := c.told[id]; listed && m.State == decide.Running {
 			delete(c.told, id)
 		} else if !told {
@@ -709,8 +711,8 @@
 	}
 	// Nodes that left the list this long ago have no attempts any more.
 	maps.DeleteFunc(c.told, func(id string, at time.Duration) bool {
-		_, listed := c.members[id]
-		return !listed && c.now > at+c.set.Module.DrainGrace+forgetGone
+		_, listed := c.listedNodes[id]
+		return !listed && c.now > at+c.config.Module.DrainGrace+goneNodeRetention
 	})
 	c.listed = c.now
 	c.nodes.SetNodes(known)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -175,7 +175,7 @@
 		answers []string
 		guards  []string
 	}{
-		{"a module that never answers", 0, [][]decide.Action{both}, 1, time.Second - lastGuard, []string{"expired"}, []string{"one-answer"}},
+		{"a module that never answers", 0, [][]decide.Action{both}, 1, time.Second - finalGuardMargin, []string{"expired"}, []string{"one-answer"}},
 		{"a module that answers twice", 0, [][]decide.Action{both, {decide.Answer{Query: "q1", Whole: true}, decide.Fail{Query: "q1"}}},
 			2, tick, []string{"whole v v"}, nil},
 		{"an answer from too little", 0, [][]decide.Action{both, {decide.Answer{Query: "q1", Whole: true}}},
@@ -210,7 +210,7 @@
 func TestAModuleThatPanics(t *testing.T) {
 	s := play(t, []decide.Action{send("q1.0")})
 	s.ask(t, 0)
-	s.mod = panics{}
+	s.module = panics{}
 	s.Post(func() { s.Ended(s.calls[0][0], decide.OK, 0, nil) })
 	for d := tick; d <= time.Second; d += tick {
 		s.at(d)
@@ -325,8 +325,8 @@
 	s.at(2*tick - time.Millisecond)
 	s.at(2 * tick)
 	for _, e := range s.script.events {
-		if q, ok := e.(decide.QueryArrived); ok && s.Core.now+q.Left != s.queries[q.ID].end {
-			t.Errorf("told of %v left, it is %v", q.Left, s.queries[q.ID].end-s.Core.now)
+		if q, ok := e.(decide.QueryArrived); ok && s.Core.now+q.Left != s.queries[q.ID].deadline {
+			t.Errorf("told of %v left, it is %v", q.Left, s.queries[q.ID].deadline-s.Core.now)
 		}
 	}
 }
@@ -336,7 +336,7 @@
 // also checks how long notices of drains are remembered.
 func TestNothingNewToANodeThatDrains(t *testing.T) {
 	s := play(t, []decide.Action{send("q1.0")}, nil, []decide.Action{send("q1.2")})
-	s.set.Module.DrainGrace = 500 * time.Millisecond // twice the drain margin
+	s.config.Module.DrainGrace = 500 * time.Millisecond // twice the drain margin
 	s.ask(t, 0)
 	s.at(tick)
 	leaving := ListedNode{Server: decide.Server{ID: "n0", State: decide.Stopping}}
@@ -346,11 +346,11 @@
 		t.Fatalf("%d calls; within the window one may be sent", len(s.calls))
 	}
 	s.Post(func() { s.UpdateNodeList(List{Version: 3, Members: []ListedNode{leaving}}) }) // a second notice does not extend the grace
-	s.at(2*tick + s.set.Module.DrainGrace + time.Millisecond)
+	s.at(2*tick + s.config.Module.DrainGrace + time.Millisecond)
 	if s.MaySend(s.calls[0][0]) {
 		t.Error("an attempt may be written after the window")
 	}
-	s.at(4*tick + s.set.Module.DrainGrace)
+	s.at(4*tick + s.config.Module.DrainGrace)
 	if len(s.calls) != 1 || !slices.Contains(s.guards, "draining") {
 		t.Errorf("%d calls, guards %v", len(s.calls), s.guards)
 	}
@@ -364,9 +364,9 @@
 		t.Errorf("told of %v; n0 is back, n1 is off the list", s.told)
 	}
 	s.Post(func() { s.UpdateNodeList(List{Version: 5}) })
-	s.at(11*time.Second + forgetGone)
+	s.at(11*time.Second + goneNodeRetention)
 	s.Post(func() { s.UpdateNodeList(List{Version: 6}) })
-	s.at(20*time.Second + forgetGone)
+	s.at(20*time.Second + goneNodeRetention)
 	if len(s.told) != 0 {
 		t.Errorf("still told of %v", s.told)
 	}
--- a/internal/broker/count.go
+++ b/internal/broker/count.go
@@ -6,33 +6,33 @@
 	"kiteloft/internal/tracing"
 )
 
-// outcomes, choices and refusals map values of the decision module to counters.
+// outcomeKinds, choiceKinds and refusalKinds map values of the decision module to counters.
 var (
-	outcomes = [...]counts.Kind{decide.Failed: counts.Error, decide.OK: counts.OK, decide.Full: counts.Full,
+	outcomeKinds = [...]counts.Kind{decide.Failed: counts.Error, decide.OK: counts.OK, decide.Full: counts.Full,
 		decide.TimedOut: counts.TimedOut, decide.ConnectFailed: counts.ConnectFailed, decide.Reset: counts.Reset,
 		decide.Cancelled: counts.Cancelled, decide.NotSent: counts.NotSent}
-	choices = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.OffsetAvoided: counts.OffsetAvoided,
+	choiceKinds = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.OffsetAvoided: counts.OffsetAvoided,
 		decide.NextBestHolder: counts.NextBestHolder, decide.LateCopy: counts.LateCopy, decide.ForcedCopy: counts.ForcedCopy}
-	refusals = [...]counts.Kind{decide.NoEndReason: counts.RefusedNoHope, decide.TargetUnreachable: counts.RefusedNoHope,
+	refusalKinds = [...]counts.Kind{decide.NoEndReason: counts.RefusedNoHope, decide.TargetUnreachable: counts.RefusedNoHope,
 		decide.TimeExpired: counts.RefusedTimeUp, decide.PartUnavailable: counts.RefusedPartLost, decide.NoServerReached: counts.RefusedUnseen,
 		decide.InvalidQuery: counts.RefusedNoHope}
 )
 
-// saw counts an event of a request, and remembers it for the log lines of guards.
-func (c *Core) saw(what counts.Kind, request, server string) {
+// countEvent counts an event of a request, and remembers it for the log lines of guards.
+func (c *Core) countEvent(what counts.Kind, request, server string) {
 	c.counts.Add(what, 1)
 	c.recent.Note(counts.Event{At: c.now, Request: request, Server: server, What: what})
 }
 
-// ended returns the counter for the end of a query.
-func ended(how tracing.How, why decide.EndReason) counts.Kind {
+// endKind returns the counter for the end of a query.
+func endKind(how tracing.How, why decide.EndReason) counts.Kind {
 	switch how {
 	case tracing.Served:
 		return counts.Served
 	case tracing.Short:
 		return counts.Short
 	case tracing.Refused:
-		return refusals[why]
+		return refusalKinds[why]
 	case tracing.Expired:
 		return counts.Expired
 	case tracing.Deserted:
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -29,46 +29,46 @@
 }
 
 // OnTurn has fn called at the start of each turn of the event loop, before anything is sent.
-func (c *Core) OnTurn(fn func()) { c.before = fn }
+func (c *Core) OnTurn(fn func()) { c.onTurn = fn }
 
 // SetLimits sets the limits that hold from now on. Attempts that are out go on.
 func (c *Core) SetLimits(l Limits) {
 	c.limits = l
-	c.watch.SetThresholds(l.Storm)
+	c.stormDetector.SetThresholds(l.Storm)
 	c.events = append(c.events, decide.Limits{MaxAttempts: l.MaxAttempts, CopiesAllowed: l.Copies, RetryBudgetRatio: l.RetryBudgetRatio,
-		RetryBudgetBase: l.RetryBudgetBase, ColdBudgetFactor: l.ColdShare * c.set.Module.ColdBudgetFactor, Allowances: l.Allowances, Shares: l.Shares})
+		RetryBudgetBase: l.RetryBudgetBase, ColdBudgetFactor: l.ColdShare * c.config.Module.ColdBudgetFactor, Allowances: l.Allowances, Shares: l.Shares})
 	old := c.barred
-	c.bar()
-	if list := c.changed(old, nil); len(list) > 0 {
+	c.updateBarred()
+	if list := c.barredChanges(old, nil); len(list) > 0 {
 		c.events = append(c.events, decide.ServerListUpdate{Servers: list})
 	}
 }
 
-// changed returns the nodes whose place in the barred set differs from was, except those
+// barredChanges returns the nodes whose place in the barred set differs from was, except those
 // in but.
-func (c *Core) changed(was map[string]bool, but []ListedNode) (list []decide.Server) {
+func (c *Core) barredChanges(was map[string]bool, but []ListedNode) (list []decide.Server) {
 	if len(was) == 0 && len(c.barred) == 0 {
 		return nil // always so on the platform, where no node is barred
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.members)) {
+	for _, id := range slices.Sorted(maps.Keys(c.listedNodes)) {
 		if c.barred[id] != was[id] && !slices.ContainsFunc(but, func(m ListedNode) bool { return m.ID == id }) {
-			list = append(list, c.seen(c.members[id].Server))
+			list = append(list, c.moduleView(c.listedNodes[id].Server))
 		}
 	}
 	return list
 }
 
-// seen returns a list entry as the module is to see it: a barred node is reported as deleted.
-func (c *Core) seen(s decide.Server) decide.Server {
+// moduleView returns a list entry as the module is to see it: a barred node is reported as deleted.
+func (c *Core) moduleView(s decide.Server) decide.Server {
 	if c.barred[s.ID] {
 		s.State = decide.Deleted
 	}
 	return s
 }
 
-// bar computes the set of nodes to which nothing is sent. A node of a zone that is left
+// updateBarred computes the set of nodes to which nothing is sent. A node of a zone that is left
 // stays in use if it holds a shard that no running node outside those zones holds.
-func (c *Core) bar() {
+func (c *Core) updateBarred() {
 	if len(c.limits.Barred) == 0 && len(c.limits.Left) == 0 {
 		c.barred = nil
 		return
@@ -82,12 +82,12 @@
 	if len(c.limits.Left) == 0 {
 		return
 	}
-	count := max(c.set.Module.Cells, 1)
-	elsewhere := c.heldBy(func(m ListedNode) bool { return !c.limits.Left[m.Zone] && !c.barred[m.ID] })
-	for id, m := range c.members {
+	count := max(c.config.Module.Cells, 1)
+	elsewhere := c.shardsHeldBy(func(m ListedNode) bool { return !c.limits.Left[m.Zone] && !c.barred[m.ID] })
+	for id, m := range c.listedNodes {
 		needed := false
 		for s := range count {
-			needed = needed || c.holds(m, s) && !elsewhere[s]
+			needed = needed || c.holdsShard(m, s) && !elsewhere[s]
 		}
 		if c.limits.Left[m.Zone] && !needed {
 			c.barred[id] = true
@@ -95,15 +95,15 @@
 	}
 }
 
-// heldBy returns, by shard, whether a running node for which counts returns true holds it.
-func (c *Core) heldBy(counts func(m ListedNode) bool) []bool {
-	held := make([]bool, max(c.set.Module.Cells, 1))
-	for _, m := range c.members {
+// shardsHeldBy returns, by shard, whether a running node for which counts returns true holds it.
+func (c *Core) shardsHeldBy(counts func(m ListedNode) bool) []bool {
+	held := make([]bool, max(c.config.Module.Cells, 1))
+	for _, m := range c.listedNodes {
 		if m.State != decide.Running || !counts(m) {
 			continue
 		}
 		for s := range held {
-			held[s] = held[s] || c.holds(m, s)
+			held[s] = held[s] || c.holdsShard(m, s)
 		}
 	}
 	return held
@@ -112,8 +112,8 @@
 // Only returns, of the shards that the running nodes of a zone hold, the share that no
 // running node of another zone holds.
 func (c *Core) Only(zone int) float64 {
-	here := c.heldBy(func(m ListedNode) bool { return m.Zone == zone })
-	elsewhere := c.heldBy(func(m ListedNode) bool { return m.Zone != zone })
+	here := c.shardsHeldBy(func(m ListedNode) bool { return m.Zone == zone })
+	elsewhere := c.shardsHeldBy(func(m ListedNode) bool { return m.Zone != zone })
 	all, only := 0, 0
 	for s := range here {
 		if here[s] {
--- a/internal/broker/observe.go
+++ b/internal/broker/observe.go
@@ -18,14 +18,14 @@
 
 // EachNode calls do for each listed node, in no particular order.
 func (c *Core) EachNode(do func(m ListedNode)) {
-	for _, m := range c.members {
+	for _, m := range c.listedNodes {
 		do(m)
 	}
 }
 
 // Lag returns the longest delay of a timer since the last call, and starts anew.
 func (c *Core) Lag() time.Duration {
-	lag := c.lag
-	c.lag = 0
-	return lag
+	timerLag := c.timerLag
+	c.timerLag = 0
+	return timerLag
 }
--- a/internal/broker/storm_test.go
+++ b/internal/broker/storm_test.go
@@ -38,9 +38,9 @@
 // refused retry at once, without declaring the retries.
 func TestStormsAreSeen(t *testing.T) {
 	s := play(t)
-	s.mod = &refuser{until: time.Hour + 20*time.Second}
-	s.set.Module.Classes[0].LatencyTarget = time.Second
-	s.set.Module.Cells = 0
+	s.module = &refuser{until: time.Hour + 20*time.Second}
+	s.config.Module.Classes[0].LatencyTarget = time.Second
+	s.config.Module.Cells = 0
 	ask := func(n, try int) {
 		s.Post(func() {
 			if v, _ := s.Admit(Query{WireID: fmt.Sprintf("%d.%d", n, try), Left: time.Second, Text: fmt.Append(nil, n), Parts: []QueryPart{{Shard: 0, Weight: 1}}, Responder: s}); v != Taken {
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -10,12 +10,12 @@
 // This file holds what the core reports to its observers: the trace recorder, if there is
 // one, and the detector of retry storms.
 
-// shortages maps the module's remarks on missing budgets to trace events.
-var shortages = map[decide.Shortage]tracing.EventKind{decide.NoCopyToken: tracing.NoToken,
+// shortageEvents maps the module's remarks on missing budgets to trace events.
+var shortageEvents = map[decide.Shortage]tracing.EventKind{decide.NoCopyToken: tracing.NoToken,
 	decide.RetryBudgetSpent: tracing.NoBudget, decide.ColdBudgetSpent: tracing.ColdFull}
 
-// begin starts the trace of a query.
-func (c *Core) begin(in Query, work time.Duration, sum uint64) *tracing.Query {
+// beginTrace starts the trace of a query.
+func (c *Core) beginTrace(in Query, work time.Duration, sum uint64) *tracing.Query {
 	s := tracing.Start{Front: in.Front, Class: in.Class, WireID: in.WireID, Key: in.Key, Repeat: in.Repeat, Left: in.Left, Work: work, Version: c.limits.Version}
 	if in.Context != nil {
 		s.Context = *in.Context
@@ -40,10 +40,10 @@
 	return tracing.Content(in.Class, in.Text, shards)
 }
 
-// judge evaluates the retry-storm state and logs a change.
-func (c *Core) judge() {
-	c.judged = c.now
-	if change, ok := c.watch.Evaluate(c.now); ok {
+// checkStorm evaluates the retry-storm state and logs a change.
+func (c *Core) checkStorm() {
+	c.lastStormCheck = c.now
+	if change, ok := c.stormDetector.Evaluate(c.now); ok {
 		c.log.Storm(change.To.String(), change.String())
 	}
 }
@@ -53,20 +53,20 @@
 func (c *Core) traceAttempt(a *Attempt, m ListedNode, why decide.SendReason) {
 	reason := tracing.First
 	for _, other := range a.p.attempts {
-		if other == a || other.neverRan && other.over && other.trace < 0 {
+		if other == a || other.neverRan && other.ended && other.trace < 0 {
 			continue // attempts that were never sent don't count
 		}
-		if reason = tracing.Further; !other.over {
+		if reason = tracing.Further; !other.ended {
 			reason = tracing.Copy
 			break
 		}
 	}
-	a.trace = a.p.q.trace.AddAttempt(tracing.Attempt{Part: a.p.trace, N: uint8(min(a.n, 255)), Reason: reason, Why: uint8(why),
+	a.trace = a.p.q.trace.AddAttempt(tracing.Attempt{Part: a.p.trace, N: uint8(min(a.index, 255)), Reason: reason, Why: uint8(why),
 		Zone: int16(m.Zone), Cell: int32(m.Cell), Node: m.ID, Address: m.Addr, Begin: c.now})
 }
 
-// guard records in the log and in the query's trace that the core overruled the module.
-func (c *Core) guard(q *query, rule, about string) {
+// reportGuard records in the log and in the query's trace that the core overruled the module.
+func (c *Core) reportGuard(q *query, rule, about string) {
 	q.trace.Event(c.now, -1, tracing.GuardEvent, rule+": "+about)
 	c.log.Guard(rule, q.WireID, q.trace.ID(), about+"; so far: "+c.recent.Of(q.WireID))
 }
--- a/internal/broker/windows_test.go
+++ b/internal/broker/windows_test.go
@@ -34,7 +34,7 @@
 		for i, class := range classes {
 			t.Run(tt.name+", "+class.Name, func(t *testing.T) {
 				s := play(t, []decide.Action{send("q1.0")}, nil)
-				s.set.Module.Classes = classes
+				s.config.Module.Classes = classes
 				s.ask(t, i)
 				s.script.steps = [][]decide.Action{{send("q1.0")}}
 				s.Post(func() {
@@ -77,7 +77,7 @@
 		for _, left := range []bool{false, true} {
 			t.Run(tt.name, func(t *testing.T) {
 				s := play(t, []decide.Action{send("q1.0")})
-				s.set.Module.DrainGrace = 500 * time.Millisecond
+				s.config.Module.DrainGrace = 500 * time.Millisecond
 				s.ask(t, 0)
 				s.at(tick)
 				l := List{Version: 2, Members: []ListedNode{{Server: decide.Server{ID: "n0", State: decide.Stopping}}}}
