--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -13,9 +13,9 @@
 	"kiteloft/internal/settings"
 )
 
-// TestCoreKnowsNoWire checks that the core depends on no wire protocol or socket, directly
+// TestCoreImportsNoWireProtocol checks that the core depends on no wire protocol or socket, directly
 // or through its imports.
-func TestCoreKnowsNoWire(t *testing.T) {
+func TestCoreImportsNoWireProtocol(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -32,14 +32,14 @@
 	}
 }
 
-// script is a decision module that returns prepared actions, step by step, and keeps the
+// scriptedModule is a decision module that returns prepared actions, step by step, and keeps the
 // events that it is given.
-type script struct {
+type scriptedModule struct {
 	steps  [][]decide.Action
 	events []decide.Event
 }
 
-func (s *script) Step(_ time.Duration, events []decide.Event) []decide.Action {
+func (s *scriptedModule) Step(_ time.Duration, events []decide.Event) []decide.Action {
 	s.events = append(s.events, events...)
 	if len(s.steps) == 0 {
 		return nil
@@ -49,8 +49,8 @@
 	return next
 }
 
-// done returns the outcomes of attempts that the module was told of.
-func (s *script) done() (list []decide.Outcome) {
+// outcomes returns the outcomes of attempts that the module was told of.
+func (s *scriptedModule) outcomes() (list []decide.Outcome) {
 	for _, e := range s.events {
 		if d, ok := e.(decide.AttemptDone); ok {
 			list = append(list, d.Outcome)
@@ -59,30 +59,30 @@
 	return list
 }
 
-// stage is a core with test doubles of everything that it uses.
-type stage struct {
+// fixture is a core with test doubles of everything that it uses.
+type fixture struct {
 	*Core
-	script
-	now     time.Duration
-	calls   [][]*Attempt
-	givenUp int
-	guards  []string
-	states  []string
-	answers []string
+	scriptedModule
+	now       time.Duration
+	calls     [][]*Attempt
+	cancelled int
+	guards    []string
+	states    []string
+	answers   []string
 }
 
-func (s *stage) Send(_ Node, call []*Attempt)     { s.calls = append(s.calls, call) }
-func (s *stage) GiveUp(*Attempt)                  { s.givenUp++ }
-func (s *stage) Probe(Node, func(decide.Outcome)) {}
-func (s *stage) CloseIdle(Node)                   {}
-func (s *stage) SetNodes([]Node)                  {}
-func (s *stage) Watch(bool)                       {}
-func (s *stage) Read()                            {}
-func (s *stage) Module(string)                    {}
-func (s *stage) Storm(state, _ string)            { s.states = append(s.states, state) }
-func (s *stage) Guard(rule, _, _, _ string)       { s.guards = append(s.guards, rule) }
-func (s *stage) Refused(time.Duration)            { s.answers = append(s.answers, "refused") }
-func (s *stage) Served(whole bool, values []Value) {
+func (s *fixture) Send(_ Node, call []*Attempt)     { s.calls = append(s.calls, call) }
+func (s *fixture) GiveUp(*Attempt)                  { s.cancelled++ }
+func (s *fixture) Probe(Node, func(decide.Outcome)) {}
+func (s *fixture) CloseIdle(Node)                   {}
+func (s *fixture) SetNodes([]Node)                  {}
+func (s *fixture) Watch(bool)                       {}
+func (s *fixture) Read()                            {}
+func (s *fixture) Module(string)                    {}
+func (s *fixture) Storm(state, _ string)            { s.states = append(s.states, state) }
+func (s *fixture) Guard(rule, _, _, _ string)       { s.guards = append(s.guards, rule) }
+func (s *fixture) Refused(time.Duration)            { s.answers = append(s.answers, "refused") }
+func (s *fixture) Served(whole bool, values []Value) {
 	text := "served"
 	if whole {
 		text = "whole"
@@ -92,7 +92,7 @@
 	}
 	s.answers = append(s.answers, text)
 }
-func (s *stage) Failed(expired bool) {
+func (s *fixture) Failed(expired bool) {
 	if expired {
 		s.answers = append(s.answers, "expired")
 	} else {
@@ -101,21 +101,21 @@
 }
 
 // at moves the clock and runs the event loop once.
-func (s *stage) at(d time.Duration) {
+func (s *fixture) at(d time.Duration) {
 	s.now = time.Hour + d
 	s.RunOnce()
 }
 
 const tick = 5 * time.Millisecond
 
-// play returns a core with two listed nodes, whose module returns the actions of steps.
-func play(t *testing.T, steps ...[]decide.Action) *stage {
+// newFixture returns a core with two listed nodes, whose module returns the actions of steps.
+func newFixture(t *testing.T, steps ...[]decide.Action) *fixture {
 	t.Helper()
-	s := &stage{script: script{steps: steps}}
+	s := &fixture{scriptedModule: scriptedModule{steps: steps}}
 	set := settings.Settings{Shards: 8, Module: decide.Settings{Tick: tick, Cells: 2, CellsPerShard: 1, PartsPerCall: 8, MaxOpen: 10,
 		MaxAttempts: 2, Classes: []decide.Class{{Name: "a", RequiredWeight: 1, MinWeight: 1}, {Name: "b", RequiredWeight: 1, MinWeight: 0.5, SecondStepParts: 1},
 			{Name: "c", Idempotency: decide.NonIdempotent}}}}
-	s.Core = New(set, &s.script, func() time.Duration { return s.now }, s)
+	s.Core = New(set, &s.scriptedModule, func() time.Duration { return s.now }, s)
 	s.Attach(s, s)
 	s.Post(func() {
 		s.UpdateNodeList(List{Full: true, Version: 1, Members: []ListedNode{{Server: decide.Server{ID: "n0", Cell: 0}, Addr: "x"}, {Server: decide.Server{ID: "n1", Cell: 1}, Addr: "y"}}})
@@ -123,7 +123,7 @@
 	return s
 }
 
-func (s *stage) ask(t *testing.T, class int) *QueryHandle {
+func (s *fixture) submit(t *testing.T, class int) *QueryHandle {
 	t.Helper()
 	var h *QueryHandle
 	s.Post(func() {
@@ -141,8 +141,8 @@
 func send(part string) decide.Action { return decide.Send{Part: part, Server: "n0"} }
 
 func TestSendsOfAStepShareACall(t *testing.T) {
-	s := play(t, []decide.Action{send("q1.0"), send("q1.2")}, []decide.Action{decide.Answer{Query: "q1", Whole: true}})
-	s.ask(t, 0)
+	s := newFixture(t, []decide.Action{send("q1.0"), send("q1.2")}, []decide.Action{decide.Answer{Query: "q1", Whole: true}})
+	s.submit(t, 0)
 	if len(s.calls) != 1 || len(s.calls[0]) != 2 {
 		t.Fatalf("calls %v", s.calls)
 	}
@@ -160,7 +160,7 @@
 }
 
 func TestGuards(t *testing.T) {
-	served := func(s *stage, n int) {
+	served := func(s *fixture, n int) {
 		for _, a := range s.calls[0][:n] {
 			s.Ended(a, decide.OK, 0, []byte("v"))
 		}
@@ -189,8 +189,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := play(t, tt.steps...)
-			s.ask(t, tt.class)
+			s := newFixture(t, tt.steps...)
+			s.submit(t, tt.class)
 			s.Post(func() { served(s, tt.in) })
 			for d := tick; d < tt.until; d += tick {
 				s.at(d)
@@ -206,11 +206,11 @@
 	}
 }
 
-// TestAModuleThatPanics checks that a panic in the module costs the mixer one step only.
-func TestAModuleThatPanics(t *testing.T) {
-	s := play(t, []decide.Action{send("q1.0")})
-	s.ask(t, 0)
-	s.module = panics{}
+// TestModulePanic checks that a panic in the module costs the mixer one step only.
+func TestModulePanic(t *testing.T) {
+	s := newFixture(t, []decide.Action{send("q1.0")})
+	s.submit(t, 0)
+	s.module = panickingModule{}
 	s.Post(func() { s.Ended(s.calls[0][0], decide.OK, 0, nil) })
 	for d := tick; d <= time.Second; d += tick {
 		s.at(d)
@@ -220,15 +220,15 @@
 	}
 }
 
-type panics struct{}
+type panickingModule struct{}
 
-func (panics) Step(time.Duration, []decide.Event) []decide.Action { panic("no reason") }
+func (panickingModule) Step(time.Duration, []decide.Event) []decide.Action { panic("no reason") }
 
 func TestEverySendGetsOneOutcome(t *testing.T) {
-	s := play(t, []decide.Action{send("q1.0"), send("q1.0"), send("q1.0"), send("q1.2"), send("q9.9")},
+	s := newFixture(t, []decide.Action{send("q1.0"), send("q1.0"), send("q1.0"), send("q1.2"), send("q9.9")},
 		[]decide.Action{decide.Cancel{Part: "q1.0", Attempt: 0}, decide.Cancel{Part: "q1.0", Attempt: 0}}, []decide.Action{decide.SetTimer{After: tick, Token: "w"}},
 		[]decide.Action{decide.Fail{Query: "q1"}, send("q1.2")})
-	s.ask(t, 0)
+	s.submit(t, 0)
 	late := s.calls[0][0]
 	for d := tick; d < 6*tick; d += tick {
 		s.at(d)
@@ -237,8 +237,8 @@
 	// One send beyond the part's limit, one of an unknown part, one cancelled; then the end
 	// of the query cancels the two that are left, and one send comes after it.
 	want := []decide.Outcome{decide.NotSent, decide.NotSent, decide.Cancelled, decide.Cancelled, decide.Cancelled, decide.NotSent}
-	if diff := cmp.Diff(want, s.done()); diff != "" || s.givenUp != 3 {
-		t.Errorf("%s; %d given up", diff, s.givenUp)
+	if diff := cmp.Diff(want, s.outcomes()); diff != "" || s.cancelled != 3 {
+		t.Errorf("%s; %d given up", diff, s.cancelled)
 	}
 	if diff := cmp.Diff([]string{"failed"}, s.answers); diff != "" || s.OpenCount() != 0 || len(s.parts) != 0 {
 		t.Errorf("%s; %d held, %d parts kept", diff, s.OpenCount(), len(s.parts))
@@ -246,18 +246,18 @@
 }
 
 func TestAttemptsTimeOut(t *testing.T) {
-	s := play(t, []decide.Action{decide.Send{Part: "q1.0", Server: "n0", StopAt: time.Hour + 100*time.Millisecond}})
-	s.ask(t, 0)
+	s := newFixture(t, []decide.Action{decide.Send{Part: "q1.0", Server: "n0", StopAt: time.Hour + 100*time.Millisecond}})
+	s.submit(t, 0)
 	s.at(100 * time.Millisecond)
-	if diff := cmp.Diff([]decide.Outcome{decide.TimedOut}, s.done()); diff != "" || s.givenUp != 1 {
-		t.Errorf("%s; %d given up", diff, s.givenUp)
+	if diff := cmp.Diff([]decide.Outcome{decide.TimedOut}, s.outcomes()); diff != "" || s.cancelled != 1 {
+		t.Errorf("%s; %d given up", diff, s.cancelled)
 	}
 }
 
-func TestTheSecondStepAndItsHonesty(t *testing.T) {
-	s := play(t, []decide.Action{send("q1.0"), send("q1.2")}, []decide.Action{decide.Answer{Query: "q1", Whole: false}},
+func TestSecondStep(t *testing.T) {
+	s := newFixture(t, []decide.Action{send("q1.0"), send("q1.2")}, []decide.Action{decide.Answer{Query: "q1", Whole: false}},
 		[]decide.Action{send("q1.2b")}, []decide.Action{decide.Answer{Query: "q1", Whole: true}})
-	s.ask(t, 1)
+	s.submit(t, 1)
 	s.Post(func() {
 		s.Ended(s.calls[0][0], decide.OK, 5, []byte("low"))
 		s.Ended(s.calls[0][1], decide.OK, 7, []byte("high"))
@@ -275,9 +275,9 @@
 	}
 }
 
-func TestTakeTurnsAway(t *testing.T) {
-	s := play(t)
-	s.ask(t, 0)
+func TestAdmitRejects(t *testing.T) {
+	s := newFixture(t)
+	s.submit(t, 0)
 	one := []QueryPart{{Shard: 0, Weight: 1}}
 	many := make([]QueryPart, 7)
 	for i := range many {
@@ -301,43 +301,43 @@
 	}
 }
 
-func TestAClientThatLeavesGetsNoAnswer(t *testing.T) {
-	s := play(t, []decide.Action{send("q1.0"), send("q1.2")})
-	h := s.ask(t, 0)
+func TestClientGone(t *testing.T) {
+	s := newFixture(t, []decide.Action{send("q1.0"), send("q1.2")})
+	h := s.submit(t, 0)
 	s.Post(h.ClientGone)
 	s.Post(h.ClientGone)
 	for d := tick; d <= time.Second; d += tick {
 		s.at(d)
 	}
-	if len(s.answers) != 0 || s.givenUp != 2 || s.OpenCount() != 0 {
-		t.Errorf("answers %v, %d given up, %d held", s.answers, s.givenUp, s.OpenCount())
+	if len(s.answers) != 0 || s.cancelled != 2 || s.OpenCount() != 0 {
+		t.Errorf("answers %v, %d given up, %d held", s.answers, s.cancelled, s.OpenCount())
 	}
 }
 
-// TestTimeLeftCountsFromTheStep checks that the module is given the time that a query has
+// TestTimeLeftAtStep checks that the module is given the time that a query has
 // left when the step runs, after the query has waited for it.
-func TestTimeLeftCountsFromTheStep(t *testing.T) {
-	s := play(t)
+func TestTimeLeftAtStep(t *testing.T) {
+	s := newFixture(t)
 	s.at(0)
 	s.Post(func() { s.Core.events = append(s.Core.events, decide.TimerFired{}) })
 	s.at(tick) // a step: the next one is a tick away
-	s.ask(t, 0)
+	s.submit(t, 0)
 	s.at(2*tick - time.Millisecond)
 	s.at(2 * tick)
-	for _, e := range s.script.events {
+	for _, e := range s.scriptedModule.events {
 		if q, ok := e.(decide.QueryArrived); ok && s.Core.now+q.Left != s.queries[q.ID].deadline {
 			t.Errorf("told of %v left, it is %v", q.Left, s.queries[q.ID].deadline-s.Core.now)
 		}
 	}
 }
 
-// TestNothingNewToANodeThatDrains checks that nothing is sent to a draining node after its
+// TestNoSendAfterDrainGrace checks that nothing is sent to a draining node after its
 // grace: neither a new attempt of the module nor one that has waited for a connection. It
 // also checks how long notices of drains are remembered.
-func TestNothingNewToANodeThatDrains(t *testing.T) {
-	s := play(t, []decide.Action{send("q1.0")}, nil, []decide.Action{send("q1.2")})
+func TestNoSendAfterDrainGrace(t *testing.T) {
+	s := newFixture(t, []decide.Action{send("q1.0")}, nil, []decide.Action{send("q1.2")})
 	s.config.Module.DrainGrace = 500 * time.Millisecond // twice the drain margin
-	s.ask(t, 0)
+	s.submit(t, 0)
 	s.at(tick)
 	leaving := ListedNode{Server: decide.Server{ID: "n0", State: decide.Stopping}}
 	s.Post(func() { s.UpdateNodeList(List{Version: 2, Members: []ListedNode{leaving}}) })
--- a/internal/broker/storm_test.go
+++ b/internal/broker/storm_test.go
@@ -10,11 +10,11 @@
 	"kiteloft/decide"
 )
 
-// refuser is a decision module that refuses every query until a given time, and serves
+// refusingModule is a decision module that refuses every query until a given time, and serves
 // every query afterwards.
-type refuser struct{ until time.Duration }
+type refusingModule struct{ until time.Duration }
 
-func (r *refuser) Step(now time.Duration, events []decide.Event) (out []decide.Action) {
+func (r *refusingModule) Step(now time.Duration, events []decide.Event) (out []decide.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case decide.QueryArrived:
@@ -34,11 +34,11 @@
 	return out
 }
 
-// TestStormsAreSeen checks the sequence of storm states while clients whose queries are all
+// TestStormStates checks the sequence of storm states while clients whose queries are all
 // refused retry at once, without declaring the retries.
-func TestStormsAreSeen(t *testing.T) {
-	s := play(t)
-	s.module = &refuser{until: time.Hour + 20*time.Second}
+func TestStormStates(t *testing.T) {
+	s := newFixture(t)
+	s.module = &refusingModule{until: time.Hour + 20*time.Second}
 	s.config.Module.Classes[0].LatencyTarget = time.Second
 	s.config.Module.Cells = 0
 	ask := func(n, try int) {
--- a/internal/broker/windows_test.go
+++ b/internal/broker/windows_test.go
@@ -7,10 +7,10 @@
 	"kiteloft/decide"
 )
 
-// TestWhatMayRunAgain checks until when a second attempt of a part may be written while it
+// TestRepeatWindow checks until when a second attempt of a part may be written while it
 // waits for a connection. That depends on how the first attempt ended, if at all, and on the
 // query's class.
-func TestWhatMayRunAgain(t *testing.T) {
+func TestRepeatWindow(t *testing.T) {
 	const span = 200 * time.Millisecond
 	const never = -1
 	always := 700 * time.Millisecond // no limit but the query's deadline
@@ -33,10 +33,10 @@
 	for _, tt := range tests {
 		for i, class := range classes {
 			t.Run(tt.name+", "+class.Name, func(t *testing.T) {
-				s := play(t, []decide.Action{send("q1.0")}, nil)
+				s := newFixture(t, []decide.Action{send("q1.0")}, nil)
 				s.config.Module.Classes = classes
-				s.ask(t, i)
-				s.script.steps = [][]decide.Action{{send("q1.0")}}
+				s.submit(t, i)
+				s.scriptedModule.steps = [][]decide.Action{{send("q1.0")}}
 				s.Post(func() {
 					if s.Core.events = append(s.Core.events, decide.TimerFired{}); !tt.out {
 						s.Ended(s.calls[0][0], tt.first, 0, nil)
@@ -65,10 +65,10 @@
 	}
 }
 
-// TestAWindowBeginsWhenItWasTold checks that the drain grace counts from the time of the
+// TestDrainGraceCountsFromNotice checks that the drain grace counts from the time of the
 // notice, which may be long before the list update arrives: the module is given that time,
 // and an attempt that waits is not written after the grace.
-func TestAWindowBeginsWhenItWasTold(t *testing.T) {
+func TestDrainGraceCountsFromNotice(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		ago  time.Duration
@@ -76,9 +76,9 @@
 	}{{"now", 0, true}, {"a while ago", 200 * time.Millisecond, true}, {"longer ago than the window", 600 * time.Millisecond, false}} {
 		for _, left := range []bool{false, true} {
 			t.Run(tt.name, func(t *testing.T) {
-				s := play(t, []decide.Action{send("q1.0")})
+				s := newFixture(t, []decide.Action{send("q1.0")})
 				s.config.Module.DrainGrace = 500 * time.Millisecond
-				s.ask(t, 0)
+				s.submit(t, 0)
 				s.at(tick)
 				l := List{Version: 2, Members: []ListedNode{{Server: decide.Server{ID: "n0", State: decide.Stopping}}}}
 				if left { // a full list without the node
@@ -92,7 +92,7 @@
 				if got := s.MaySend(s.calls[0][0]); got != tt.may {
 					t.Errorf("it may be written: %v, want %v", got, tt.may)
 				}
-				for _, e := range s.script.events {
+				for _, e := range s.scriptedModule.events {
 					if l, ok := e.(decide.ServerListUpdate); ok && l.Version == 2 && l.Told != s.Core.now-tt.ago {
 						t.Errorf("the module hears that it was told at %v, want %v", l.Told, s.Core.now-tt.ago)
 					}
