--- a/cmd/kiteloft/main.go
+++ b/cmd/kiteloft/main.go
@@ -236,7 +236,7 @@
 	}
 	net := transport.NewNet(core, transport.Limits{Conns: cfg.Sockets - ownFiles, Backlog: cfg.MemoryMB << 20 / backlogShare}, ended)
 	links := node.New(core, net, node.Limits{ConnectTimeout: set.ConnectTimeout, ConnIdle: set.ConnIdle,
-		StreamsPerConn: set.StreamsPerConn}, map[string]node.Protocol{"": node.Frames, nodeflight.Scheme: nodeflight.Protocol}, log)
+		StreamsPerConn: set.StreamsPerConn}, map[string]node.Protocol{"": node.NewFrameSession, nodeflight.Scheme: nodeflight.Protocol}, log)
 	dir := discovery.New(core, net.Direct(), cfg.Discovery, set.Zones, log)
 	dir.MixerCount, dir.PushedToAgent = set.Module.Aggregators, !set.Module.WatchDiscovery
 	core.Attach(links, dir)
--- a/internal/node/flight/flight.go
+++ b/internal/node/flight/flight.go
@@ -92,8 +92,8 @@
 			text, err = proto.Marshal(&flight.Ticket{Ticket: text})
 		}
 		if err != nil { // nothing was sent
-			s.l.Complain(err.Error())
-			s.l.Done(t, decide.NotSent, 0, nil)
+			s.l.LogProtocolError(err.Error())
+			s.l.Finish(t, decide.NotSent, 0, nil)
 			continue
 		}
 		p.s = s.h2.Open(fields, h2.AppendMessage(nil, text))
@@ -131,7 +131,7 @@
 func (s *session) Probe() {
 	b, err := proto.Marshal(&flight.FlightDescriptor{Type: flight.FlightDescriptor_CMD, Cmd: []byte("{}")})
 	if err != nil || s.h2.Room() == 0 {
-		s.l.Probed(decide.NotSent)
+		s.l.FinishProbe(decide.NotSent)
 		return
 	}
 	p := &part{msgs: h2.MessageParser{MaxBytes: maxMessage}}
@@ -205,10 +205,10 @@
 		if o == decide.Failed {
 			o = decide.OK // an error is an answer too: the node runs
 		}
-		s.l.Probed(o)
+		s.l.FinishProbe(o)
 		return
 	}
-	s.l.Done(p.t, o, 0, nil)
+	s.l.Finish(p.t, o, 0, nil)
 }
 
 // served ends a part with the value from its stream, which has ended with status OK.
@@ -219,7 +219,7 @@
 	}
 	values, meta, err := columns.Decode(p.list)
 	if err != nil {
-		s.l.Complain(err.Error())
+		s.l.LogProtocolError(err.Error())
 		s.failed(p, decide.Failed)
 		return
 	}
@@ -232,11 +232,11 @@
 	for _, v := range values {
 		if v.Shard == p.t.Shard {
 			p.ended = true
-			s.l.Done(p.t, decide.OK, int64(max(math.MinInt64/2, min(math.MaxInt64/2, m.Score))), v.Body)
+			s.l.Finish(p.t, decide.OK, int64(max(math.MinInt64/2, min(math.MaxInt64/2, m.Score))), v.Body)
 			return
 		}
 	}
-	s.l.Complain("no row for slice " + strconv.Itoa(p.t.Shard))
+	s.l.LogProtocolError("no row for slice " + strconv.Itoa(p.t.Shard))
 	s.failed(p, decide.Failed)
 }
 
--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -11,9 +11,9 @@
 	"kiteloft/internal/frames"
 )
 
-// Frames returns a session of the frame protocol. It is the Protocol of stock nodes whose
+// NewFrameSession returns a session of the frame protocol. It is the Protocol of stock nodes whose
 // address has no scheme.
-func Frames(l *Link) Session { return &frameSession{l: l} }
+func NewFrameSession(l *Link) Session { return &frameSession{l: l} }
 
 // frameSession implements Session for the frame protocol.
 type frameSession struct {
@@ -98,16 +98,16 @@
 				return err
 			}
 			if t != nil {
-				s.l.Done(t, outcome(r.Status), r.Score, r.Value)
+				s.l.Finish(t, outcome(r.Status), r.Score, r.Value)
 			}
 		case frames.Probe:
 			o := decide.Failed
 			if string(f.Payload) == "S" {
 				o = decide.OK
 			}
-			s.l.Probed(o)
+			s.l.FinishProbe(o)
 		case frames.Refusal:
-			s.l.Complain(string(f.Payload))
+			s.l.LogProtocolError(string(f.Payload))
 		default:
 			return fmt.Errorf("a frame of letter %q", f.Type)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,7 +48,7 @@
 	ReadClock() time.Duration
 	// MaySend reports whether an attempt may be written now.
 	MaySend(a *broker.Attempt) bool
-	// CheckWritten checks an attempt that was written; told is the time left that its node was sent.
+	// CheckWritten checks an attempt that was written. Told is the time left that its node was sent.
 	CheckWritten(a *broker.Attempt, told time.Duration)
 }
 
@@ -60,7 +60,7 @@
 	GiveUp(t *Ticket)
 	// Data takes bytes received from the node. An error closes the connection.
 	Data(b []byte) error
-	// Probe checks the node. The session reports the result by Link.Probed.
+	// Probe checks the node. The session reports the result by Link.FinishProbe.
 	Probe()
 	// Partial reports whether a message has been received in part.
 	Partial() bool
@@ -74,8 +74,8 @@
 // Protocol returns a session for a link whose connection has been opened.
 type Protocol func(l *Link) Session
 
-// Links is the pool of connections to all nodes. It implements broker.Nodes.
-type Links struct {
+// Pool holds the connections to all nodes. It implements broker.Nodes.
+type Pool struct {
 	core      Core
 	net       transport.Dialer
 	lim       Limits
@@ -94,7 +94,7 @@
 
 // Link is a connection to a node, or one that is being opened.
 type Link struct {
-	ls      *Links
+	ls      *Pool
 	peer    *peer
 	addr    string
 	conn    *transport.Conn          // nil while it is being opened
@@ -141,18 +141,18 @@
 	told time.Duration // time left that the node was sent; 0: none
 }
 
-// New returns Links without connections. Protocols holds the protocol for each scheme of
+// New returns a Pool without connections. Protocols holds the protocol for each scheme of
 // a node's address; the scheme is "" if the address has none.
-func New(core Core, net transport.Dialer, lim Limits, protocols map[string]Protocol, log zerolog.Logger) *Links {
-	return &Links{core: core, net: net, lim: lim, log: log, protocols: protocols, peers: map[string]*peer{}}
+func New(core Core, net transport.Dialer, lim Limits, protocols map[string]Protocol, log zerolog.Logger) *Pool {
+	return &Pool{core: core, net: net, lim: lim, log: log, protocols: protocols, peers: map[string]*peer{}}
 }
 
 // Start starts the periodic sweep of idle connections.
-func (ls *Links) Start() { ls.core.After(sweepPace, ls.sweep) }
+func (ls *Pool) Start() { ls.core.After(sweepPace, ls.sweep) }
 
 // sweep closes idle connections before the node's machine does. What is written to a
 // connection that the machine has just closed would end as a reset.
-func (ls *Links) sweep() {
+func (ls *Pool) sweep() {
 	now := ls.core.Now()
 	open := 0
 	for id, p := range ls.peers {
@@ -209,7 +209,7 @@
 }
 
 // SetNodes implements broker.Nodes.
-func (ls *Links) SetNodes(list []broker.Node) {
+func (ls *Pool) SetNodes(list []broker.Node) {
 	for _, p := range ls.peers {
 		p.listed = false
 	}
@@ -221,7 +221,7 @@
 }
 
 // peer returns the peer of a node. It creates it if needed and updates its address.
-func (ls *Links) peer(n broker.Node) *peer {
+func (ls *Pool) peer(n broker.Node) *peer {
 	p := ls.peers[n.ID]
 	if p == nil {
 		p = &peer{id: n.ID, listed: true}
@@ -241,7 +241,7 @@
 }
 
 // Send implements broker.Nodes.
-func (ls *Links) Send(n broker.Node, call []*broker.Attempt) {
+func (ls *Pool) Send(n broker.Node, call []*broker.Attempt) {
 	call = slices.DeleteFunc(call, (*broker.Attempt).HasEnded) // the same step may have ended some
 	p := ls.peer(n)
 	for len(call) > 0 {
@@ -268,7 +268,7 @@
 
 // find returns a connection that takes the whole call, or else one that takes its first
 // part, or else a new one. It returns nil if none takes it and no new one may be opened.
-func (ls *Links) find(p *peer, call []*broker.Attempt) *Link {
+func (ls *Pool) find(p *peer, call []*broker.Attempt) *Link {
 	mute := 0
 	for _, want := range [][]*broker.Attempt{call, call[:1]} {
 		mute = 0
@@ -325,7 +325,7 @@
 }
 
 // open starts to open a new connection to a node.
-func (ls *Links) open(p *peer) *Link {
+func (ls *Pool) open(p *peer) *Link {
 	l := &Link{ls: ls, peer: p, addr: p.addr, out: map[string]*Ticket{}, gone: map[string]time.Duration{},
 		done: map[string]time.Duration{}, used: ls.core.Now()}
 	p.links = append(p.links, l)
@@ -376,7 +376,7 @@
 		if drop && !t.HasEnded() {
 			// NotSent, as the node is not at fault. Not at once, as the core must not be called
 			// back within a step.
-			l.ls.core.After(0, func() { l.Done(t, decide.NotSent, 0, nil) })
+			l.ls.core.After(0, func() { l.Finish(t, decide.NotSent, 0, nil) })
 		}
 		return drop
 	})
@@ -401,7 +401,7 @@
 }
 
 // GiveUp implements broker.Nodes.
-func (ls *Links) GiveUp(a *broker.Attempt) {
+func (ls *Pool) GiveUp(a *broker.Attempt) {
 	t, ok := a.TransportState.(*Ticket)
 	if !ok || t.link.out[t.ID] != t {
 		return
@@ -427,7 +427,7 @@
 }
 
 // CloseIdle implements broker.Nodes.
-func (ls *Links) CloseIdle(n broker.Node) {
+func (ls *Pool) CloseIdle(n broker.Node) {
 	if p := ls.peers[n.ID]; p != nil {
 		for _, l := range slices.Clone(p.links) {
 			if l.conn != nil && l.quiet() {
@@ -439,7 +439,7 @@
 }
 
 // Probe implements broker.Nodes.
-func (ls *Links) Probe(n broker.Node, done func(decide.Outcome)) {
+func (ls *Pool) Probe(n broker.Node, done func(decide.Outcome)) {
 	p := ls.peer(n)
 	var l *Link
 	mute := 0
@@ -517,8 +517,8 @@
 	return nil, fmt.Errorf("an answer for %.80q, which was not asked", id)
 }
 
-// Done ends a ticket with the node's answer. It does nothing if the ticket has ended.
-func (l *Link) Done(t *Ticket, o decide.Outcome, score int64, value []byte) {
+// Finish ends a ticket with the node's answer. It does nothing if the ticket has ended.
+func (l *Link) Finish(t *Ticket, o decide.Outcome, score int64, value []byte) {
 	if l.out[t.ID] == t {
 		delete(l.out, t.ID)
 		l.done[t.ID] = l.ls.core.Now()
@@ -527,8 +527,8 @@
 	}
 }
 
-// Probed ends the oldest probe.
-func (l *Link) Probed(o decide.Outcome) {
+// FinishProbe ends the oldest probe.
+func (l *Link) FinishProbe(o decide.Outcome) {
 	if len(l.probes) > 0 {
 		p := l.probes[0]
 		l.probes = l.probes[1:]
@@ -537,8 +537,8 @@
 	}
 }
 
-// Complain logs a protocol error, found by the node or in what it sent.
-func (l *Link) Complain(words string) {
+// LogProtocolError logs a protocol error, found by the node or in what it sent.
+func (l *Link) LogProtocolError(words string) {
 	l.ls.log.Warn().Str("node", l.peer.id).Str("words", words[:min(len(words), 200)]).Msg("node could not use a frame")
 }
 
