--- a/internal/node/flight/flight.go
+++ b/internal/node/flight/flight.go
@@ -36,26 +36,26 @@
 )
 
 // Protocol returns a session for a link. It is a node.Protocol.
-func Protocol(l *node.Link) node.Session {
-	s := &session{l: l}
-	s.h2 = h2.New(false, streams{s}, l.Write)
+func Protocol(link *node.Link) node.Session {
+	s := &session{link: link}
+	s.h2 = h2.New(false, streamHandler{s}, link.Write)
 	return s
 }
 
 // session implements node.Session on one HTTP/2 connection.
 type session struct {
-	l  *node.Link
-	h2 *h2.Conn
+	link *node.Link
+	h2   *h2.Conn
 }
 
 // part is a DoGet call for a part of a query, or the call of a probe.
 type part struct {
-	t     *node.Ticket // nil: a probe
-	s     *h2.Stream
-	msgs  h2.MessageParser
-	list  [][]byte // messages received
-	bytes int      // their size
-	ended bool     // its outcome is known
+	t        *node.Ticket // nil: a probe
+	s        *h2.Stream
+	parser   h2.MessageParser
+	messages [][]byte // messages received
+	bytes    int      // their size
+	ended    bool     // its outcome is known
 }
 
 // ticket is the JSON content of a Flight ticket.
@@ -75,9 +75,9 @@
 		if t.SecondStep {
 			tk.FirstStepShards, tk.Whole = t.FirstStepShards, &t.Whole
 		}
-		p := &part{t: t, msgs: h2.MessageParser{MaxBytes: maxMessage}}
+		p := &part{t: t, parser: h2.MessageParser{MaxBytes: maxMessage}}
 		t.User = p
-		fields := head("DoGet", h2.FormatTimeout(s.l.TimeLeft(t)))
+		fields := requestHeaders("DoGet", h2.FormatTimeout(s.link.TimeLeft(t)))
 		if t.Key != "" {
 			fields = append(fields, hpack.HeaderField{Name: "idempotency-key", Value: t.Key})
 		}
@@ -92,8 +92,8 @@
 			text, err = proto.Marshal(&flight.Ticket{Ticket: text})
 		}
 		if err != nil { // nothing was sent
-			s.l.LogProtocolError(err.Error())
-			s.l.Finish(t, decide.NotSent, 0, nil)
+			s.link.LogProtocolError(err.Error())
+			s.link.Finish(t, decide.NotSent, 0, nil)
 			continue
 		}
 		p.s = s.h2.Open(fields, h2.AppendMessage(nil, text))
@@ -101,8 +101,8 @@
 	}
 }
 
-// head returns the request headers of a Flight method.
-func head(method, timeout string) []hpack.HeaderField {
+// requestHeaders returns the request headers of a Flight method.
+func requestHeaders(method, timeout string) []hpack.HeaderField {
 	return []hpack.HeaderField{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"},
 		{Name: ":path", Value: "/arrow.flight.protocol.FlightService/" + method}, {Name: ":authority", Value: "stock-node"},
 		{Name: "content-type", Value: "application/grpc"}, {Name: "te", Value: "trailers"},
@@ -131,11 +131,11 @@
 func (s *session) Probe() {
 	b, err := proto.Marshal(&flight.FlightDescriptor{Type: flight.FlightDescriptor_CMD, Cmd: []byte("{}")})
 	if err != nil || s.h2.Room() == 0 {
-		s.l.FinishProbe(decide.NotSent)
+		s.link.FinishProbe(decide.NotSent)
 		return
 	}
-	p := &part{msgs: h2.MessageParser{MaxBytes: maxMessage}}
-	p.s = s.h2.Open(head("GetFlightInfo", "250m"), h2.AppendMessage(nil, b))
+	p := &part{parser: h2.MessageParser{MaxBytes: maxMessage}}
+	p.s = s.h2.Open(requestHeaders("GetFlightInfo", "250m"), h2.AppendMessage(nil, b))
 	p.s.User = p
 }
 
@@ -148,35 +148,35 @@
 // Data implements node.Session.
 func (s *session) Data(b []byte) error { return s.h2.Receive(b) }
 
-// streams implements h2.Handler for a session.
-type streams struct{ *session }
+// streamHandler implements h2.Handler for a session.
+type streamHandler struct{ *session }
 
 // Headers implements h2.Handler.
-func (s streams) Headers(st *h2.Stream, fields []hpack.HeaderField, end bool) {
+func (s streamHandler) Headers(st *h2.Stream, fields []hpack.HeaderField, end bool) {
 	p, ok := st.User.(*part)
 	if !ok || p.ended {
 		return
 	}
-	s.heard(p)
+	s.recordFirstByte(p)
 	status, given := h2.ParseStatus(fields)
 	switch {
 	case !end && h2.FieldValue(fields, ":status") != "" && h2.FieldValue(fields, ":status") != "200":
-		s.failed(p, decide.Failed)
+		s.finishFailed(p, decide.Failed)
 		st.Reset(http2.ErrCodeCancel)
 	case !end:
 	case !given:
-		s.failed(p, decide.Failed)
+		s.finishFailed(p, decide.Failed)
 	case status.Code != codes.OK:
-		s.failed(p, Outcome(status))
+		s.finishFailed(p, Outcome(status))
 	default:
-		s.served(p)
+		s.finishServed(p)
 	}
 }
 
-// heard records in the trace that a part's answer has begun.
-func (s *session) heard(p *part) {
+// recordFirstByte records in the trace that a part's answer has begun.
+func (s *session) recordFirstByte(p *part) {
 	if p.t != nil {
-		p.t.Heard(s.l.Now())
+		p.t.Heard(s.link.Now())
 	}
 }
 
@@ -195,32 +195,32 @@
 	return decide.Failed
 }
 
-// failed ends a part without an answer, or a probe.
-func (s *session) failed(p *part, o decide.Outcome) {
+// finishFailed ends a part without an answer, or a probe.
+func (s *session) finishFailed(p *part, o decide.Outcome) {
 	if p.ended {
 		return
 	}
-	p.ended, p.list = true, nil
+	p.ended, p.messages = true, nil
 	if p.t == nil {
 		if o == decide.Failed {
 			o = decide.OK // an error is an answer too: the node runs
 		}
-		s.l.FinishProbe(o)
+		s.link.FinishProbe(o)
 		return
 	}
-	s.l.Finish(p.t, o, 0, nil)
+	s.link.Finish(p.t, o, 0, nil)
 }
 
-// served ends a part with the value from its stream, which has ended with status OK.
-func (s *session) served(p *part) {
-	if p.t == nil || p.msgs.Partial() {
-		s.failed(p, decide.Failed)
+// finishServed ends a part with the value from its stream, which has ended with status OK.
+func (s *session) finishServed(p *part) {
+	if p.t == nil || p.parser.Partial() {
+		s.finishFailed(p, decide.Failed)
 		return
 	}
-	values, meta, err := columns.Decode(p.list)
+	values, meta, err := columns.Decode(p.messages)
 	if err != nil {
-		s.l.LogProtocolError(err.Error())
-		s.failed(p, decide.Failed)
+		s.link.LogProtocolError(err.Error())
+		s.finishFailed(p, decide.Failed)
 		return
 	}
 	var m struct {
@@ -232,44 +232,44 @@
 	for _, v := range values {
 		if v.Shard == p.t.Shard {
 			p.ended = true
-			s.l.Finish(p.t, decide.OK, int64(max(math.MinInt64/2, min(math.MaxInt64/2, m.Score))), v.Body)
+			s.link.Finish(p.t, decide.OK, int64(max(math.MinInt64/2, min(math.MaxInt64/2, m.Score))), v.Body)
 			return
 		}
 	}
-	s.l.LogProtocolError("no row for slice " + strconv.Itoa(p.t.Shard))
-	s.failed(p, decide.Failed)
+	s.link.LogProtocolError("no row for slice " + strconv.Itoa(p.t.Shard))
+	s.finishFailed(p, decide.Failed)
 }
 
 // Data implements h2.Handler.
-func (s streams) Data(st *h2.Stream, b []byte, end bool) {
+func (s streamHandler) Data(st *h2.Stream, b []byte, end bool) {
 	p, ok := st.User.(*part)
 	if !ok || p.ended {
 		return
 	}
-	s.heard(p)
-	list, err := p.msgs.Add(b)
-	for _, m := range list {
+	s.recordFirstByte(p)
+	messages, err := p.parser.Add(b)
+	for _, m := range messages {
 		p.bytes += len(m)
 	}
 	// Bounds memory if a node's answer does not end.
 	if err != nil || p.bytes > maxAnswer {
-		s.failed(p, decide.Failed)
+		s.finishFailed(p, decide.Failed)
 		st.Reset(http2.ErrCodeCancel)
 		return
 	}
-	p.list = append(p.list, list...)
+	p.messages = append(p.messages, messages...)
 	if end { // without trailers there is no status: the stream was cut off
-		s.failed(p, decide.Failed)
+		s.finishFailed(p, decide.Failed)
 	}
 }
 
 // Closed implements h2.Handler.
-func (s streams) Closed(st *h2.Stream, _ http2.ErrCode, neverRan bool) {
+func (s streamHandler) Closed(st *h2.Stream, _ http2.ErrCode, neverRan bool) {
 	if p, ok := st.User.(*part); ok {
 		if neverRan {
-			s.failed(p, decide.Full)
+			s.finishFailed(p, decide.Full)
 		} else {
-			s.failed(p, decide.Failed)
+			s.finishFailed(p, decide.Failed)
 		}
 	}
 }
--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -13,17 +13,17 @@
 
 // NewFrameSession returns a session of the frame protocol. It is the Protocol of stock nodes whose
 // address has no scheme.
-func NewFrameSession(l *Link) Session { return &frameSession{l: l} }
+func NewFrameSession(link *Link) Session { return &frameSession{link: link} }
 
 // frameSession implements Session for the frame protocol.
 type frameSession struct {
-	l      *Link
+	link   *Link
 	parser frames.Parser
 }
 
-// list returns the parameter list of a part: the time left, and what its class and step
+// parameterList returns the parameter parameterList of a part: the time left, and what its class and step
 // require besides.
-func list(t *Ticket, left time.Duration) string {
+func parameterList(t *Ticket, left time.Duration) string {
 	b := append([]byte("d="), strconv.FormatInt(max(1, left.Milliseconds()), 10)...)
 	if t.Key != "" {
 		b = append(append(b, ",k="...), t.Key...)
@@ -50,9 +50,9 @@
 func (s *frameSession) Send(call []*Ticket) {
 	parts := make([]frames.Part, 0, len(call))
 	for _, t := range call {
-		parts = append(parts, frames.Part{ID: t.ID, Shard: t.Shard, Parameters: list(t, s.l.TimeLeft(t)), Text: t.Text})
+		parts = append(parts, frames.Part{ID: t.ID, Shard: t.Shard, Parameters: parameterList(t, s.link.TimeLeft(t)), Text: t.Text})
 	}
-	end := s.l.Write(frames.AppendCall(nil, parts))
+	end := s.link.Write(frames.AppendCall(nil, parts))
 	for _, t := range call {
 		t.User = end
 	}
@@ -65,10 +65,12 @@
 }
 
 // GiveUp implements Session.
-func (s *frameSession) GiveUp(t *Ticket) { s.l.Write(frames.Append(nil, frames.GiveUp, []byte(t.ID))) }
+func (s *frameSession) GiveUp(t *Ticket) {
+	s.link.Write(frames.Append(nil, frames.GiveUp, []byte(t.ID)))
+}
 
 // Probe implements Session.
-func (s *frameSession) Probe() { s.l.Write(frames.Append(nil, frames.Probe, nil)) }
+func (s *frameSession) Probe() { s.link.Write(frames.Append(nil, frames.Probe, nil)) }
 
 // Partial implements Session.
 func (s *frameSession) Partial() bool { return s.parser.Partial() }
@@ -93,21 +95,21 @@
 			if err != nil {
 				return err
 			}
-			t, err := s.l.Ticket(r.ID)
+			t, err := s.link.Ticket(r.ID)
 			if err != nil {
 				return err
 			}
 			if t != nil {
-				s.l.Finish(t, outcome(r.Status), r.Score, r.Value)
+				s.link.Finish(t, outcome(r.Status), r.Score, r.Value)
 			}
 		case frames.Probe:
 			o := decide.Failed
 			if string(f.Payload) == "S" {
 				o = decide.OK
 			}
-			s.l.FinishProbe(o)
+			s.link.FinishProbe(o)
 		case frames.Refusal:
-			s.l.LogProtocolError(string(f.Payload))
+			s.link.LogProtocolError(string(f.Payload))
 		default:
 			return fmt.Errorf("a frame of letter %q", f.Type)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,14 +29,14 @@
 }
 
 const (
-	idleMargin   = 0.1                    // part of ConnIdle, before its end, in which we close the connection ourselves
-	sweepPace    = 250 * time.Millisecond // interval between sweeps
-	goneMemory   = 10 * time.Second       // how long the answer to a cancelled part, or a second answer, may still come
-	silentTime   = 200 * time.Millisecond // without a byte for so long while something waits, a connection may be dead
-	mostUnheard  = 3                      // cancelled parts in a row, without a byte from the node, that count as silence
-	mostSilent   = 3                      // silent connections to one node above which no new one is opened in their place
-	stallTime    = 100 * time.Millisecond // how long the rest of a message may fail to come
-	probeTimeout = 500 * time.Millisecond
+	idleCloseMargin      = 0.1                    // part of ConnIdle, before its end, in which we close the connection ourselves
+	sweepInterval        = 250 * time.Millisecond // interval between sweeps
+	lateAnswerRetention  = 10 * time.Second       // how long the answer to a cancelled part, or a second answer, may still come
+	silenceTimeout       = 200 * time.Millisecond // without a byte for so long while something waits, a connection may be dead
+	maxUnansweredCancels = 3                      // cancelled parts in a row, without a byte from the node, that count as silence
+	maxSilentLinks       = 3                      // silent connections to one node above which no new one is opened in their place
+	messageStallTimeout  = 100 * time.Millisecond // how long the rest of a message may fail to come
+	probeTimeout         = 500 * time.Millisecond
 )
 
 // Core is the part of broker.Core that this package uses.
@@ -78,7 +78,7 @@
 type Pool struct {
 	core      Core
 	net       transport.Dialer
-	lim       Limits
+	limits    Limits
 	log       zerolog.Logger
 	Counts    *counts.Set         // nil: nothing is counted
 	protocols map[string]Protocol // by the scheme of the node's address
@@ -94,38 +94,38 @@
 
 // Link is a connection to a node, or one that is being opened.
 type Link struct {
-	ls      *Pool
-	peer    *peer
-	addr    string
-	conn    *transport.Conn          // nil while it is being opened
-	session Session                  // nil while conn is nil
-	ended   bool                     // it is closed, or about to be: it takes no more parts
-	waiting [][]*Ticket              // calls that wait for the connection
-	out     map[string]*Ticket       // parts that wait for their answer, by id on the wire
-	gone    map[string]time.Duration // ids of cancelled parts, and when: their answer may still come
-	done    map[string]time.Duration // ids of answered parts, and when
-	unread  unread                   // cancelled parts whose cancellation the node may not have read
-	retired bool                     // the node sent an answer twice: no more parts are sent here
-	partial bool                     // a check of an incomplete message is scheduled
-	heard   time.Duration            // when bytes last came
-	began   time.Duration            // when the first byte of the current message came
-	waits   time.Duration            // since when the node has owed an answer without sending a byte; 0: it owes none
-	probes  []*probe                 // in the order in which their answers come
-	used    time.Duration            // when bytes were last sent or received
+	pool              *Pool
+	peer              *peer
+	addr              string
+	conn              *transport.Conn          // nil while it is being opened
+	session           Session                  // nil while conn is nil
+	ended             bool                     // it is closed, or about to be: it takes no more parts
+	queuedCalls       [][]*Ticket              // calls that wait for the connection
+	outstanding       map[string]*Ticket       // parts that wait for their answer, by id on the wire
+	cancelled         map[string]time.Duration // ids of cancelled parts, and when: their answer may still come
+	answered          map[string]time.Duration // ids of answered parts, and when
+	unreadCancels     unreadCancels            // cancelled parts whose cancellation the node may not have read
+	retired           bool                     // the node sent an answer twice: no more parts are sent here
+	stallCheckPending bool                     // a check of an incomplete message is scheduled
+	lastReceived      time.Duration            // when bytes last came
+	messageStart      time.Duration            // when the first byte of the current message came
+	answerDueSince    time.Duration            // since when the node has owed an answer without sending a byte; 0: it owes none
+	probes            []*probe                 // in the order in which their answers come
+	lastUsed          time.Duration            // when bytes were last sent or received
 }
 
 // probe is a probe that was sent or waits for the connection.
 type probe struct {
-	done func(decide.Outcome)
-	told bool          // done was called
-	at   time.Duration // when it was asked for
-	seq  int64         // its number in Link.unread
+	done      func(decide.Outcome)
+	ended     bool          // done was called
+	startedAt time.Duration // when it was asked for
+	seq       int64         // its number in Link.unreadCancels
 }
 
 // end calls done, unless it was called before.
 func (p *probe) end(o decide.Outcome) {
-	if !p.told {
-		p.told = true
+	if !p.ended {
+		p.ended = true
 		p.done(o)
 	}
 }
@@ -133,99 +133,101 @@
 // Ticket is an attempt that was assigned to a link.
 type Ticket struct {
 	*broker.Attempt
-	ID   string // on the wire
-	User any    // state of the Session
-	link *Link
-	sent bool          // it was handed to the session
-	seq  int64         // its number in Link.unread
-	told time.Duration // time left that the node was sent; 0: none
+	ID           string // on the wire
+	User         any    // state of the Session
+	link         *Link
+	sent         bool          // it was handed to the session
+	seq          int64         // its number in Link.unreadCancels
+	sentTimeLeft time.Duration // time left that the node was sent; 0: none
 }
 
 // New returns a Pool without connections. Protocols holds the protocol for each scheme of
 // a node's address; the scheme is "" if the address has none.
-func New(core Core, net transport.Dialer, lim Limits, protocols map[string]Protocol, log zerolog.Logger) *Pool {
-	return &Pool{core: core, net: net, lim: lim, log: log, protocols: protocols, peers: map[string]*peer{}}
+func New(core Core, net transport.Dialer, limits Limits, protocols map[string]Protocol, log zerolog.Logger) *Pool {
+	return &Pool{core: core, net: net, limits: limits, log: log, protocols: protocols, peers: map[string]*peer{}}
 }
 
 // Start starts the periodic sweep of idle connections.
-func (ls *Pool) Start() { ls.core.After(sweepPace, ls.sweep) }
+func (pool *Pool) Start() { pool.core.After(sweepInterval, pool.sweep) }
 
 // sweep closes idle connections before the node's machine does. What is written to a
 // connection that the machine has just closed would end as a reset.
-func (ls *Pool) sweep() {
-	now := ls.core.Now()
+func (pool *Pool) sweep() {
+	now := pool.core.Now()
 	open := 0
-	for id, p := range ls.peers {
+	for id, p := range pool.peers {
 		open += len(p.links)
 		for _, l := range slices.Clone(p.links) {
-			for id, at := range l.gone {
-				if now-at > goneMemory {
-					delete(l.gone, id)
+			for id, at := range l.cancelled {
+				if now-at > lateAnswerRetention {
+					delete(l.cancelled, id)
 				}
 			}
-			for id, at := range l.done {
-				if now-at > goneMemory {
-					delete(l.done, id)
+			for id, at := range l.answered {
+				if now-at > lateAnswerRetention {
+					delete(l.answered, id)
 				}
 			}
-			if l.conn != nil && l.quiet() && (!p.listed || l.retired || l.silent() || l.addr != p.addr || !l.fresh()) {
+			if l.conn != nil && l.isIdle() && (!p.listed || l.retired || l.isSilent() || l.addr != p.addr || !l.farFromIdleLimit()) {
 				l.conn.Close(transport.LocalIdle)
 			}
 		}
 		if !p.listed && len(p.links) == 0 {
-			delete(ls.peers, id)
+			delete(pool.peers, id)
 		}
 	}
-	ls.Counts.Add(counts.OpenLinks, int64(open))
-	ls.core.After(sweepPace, ls.sweep)
+	pool.Counts.Add(counts.OpenLinks, int64(open))
+	pool.core.After(sweepInterval, pool.sweep)
 }
 
-// quiet reports whether no part and no probe waits for an answer on the connection.
-func (l *Link) quiet() bool {
-	return len(l.out) == 0 && !l.probing()
+// isIdle reports whether no part and no probe waits for an answer on the connection.
+func (l *Link) isIdle() bool {
+	return len(l.outstanding) == 0 && !l.hasOpenProbe()
 }
 
-// probing reports whether a probe waits for its answer on the connection.
-func (l *Link) probing() bool {
-	return slices.ContainsFunc(l.probes, func(p *probe) bool { return !p.told })
+// hasOpenProbe reports whether a probe waits for its answer on the connection.
+func (l *Link) hasOpenProbe() bool {
+	return slices.ContainsFunc(l.probes, func(p *probe) bool { return !p.ended })
 }
 
-// silent reports whether the node has owed an answer without sending a byte for so long
+// isSilent reports whether the node has owed an answer without sending a byte for so long
 // that the connection may be dead, though TCP reports no error. Such a connection is passed
 // over until a byte comes, as the node's other connections may be alive.
-func (l *Link) silent() bool { return l.waits > 0 && l.ls.core.Now()-l.waits > silentTime }
+func (l *Link) isSilent() bool {
+	return l.answerDueSince > 0 && l.pool.core.Now()-l.answerDueSince > silenceTimeout
+}
 
-// asks records that the node owes an answer.
-func (l *Link) asks() {
-	if l.waits == 0 {
-		l.waits = l.ls.core.Now()
+// expectAnswer records that the node owes an answer.
+func (l *Link) expectAnswer() {
+	if l.answerDueSince == 0 {
+		l.answerDueSince = l.pool.core.Now()
 	}
 }
 
-// fresh reports whether the connection is not close to the end of its idle time.
-func (l *Link) fresh() bool {
-	idle := l.ls.lim.ConnIdle
-	return idle <= 0 || l.ls.core.Now()-l.used < idle-time.Duration(idleMargin*float64(idle))-sweepPace
+// farFromIdleLimit reports whether the connection is not close to the end of its idle time.
+func (l *Link) farFromIdleLimit() bool {
+	idle := l.pool.limits.ConnIdle
+	return idle <= 0 || l.pool.core.Now()-l.lastUsed < idle-time.Duration(idleCloseMargin*float64(idle))-sweepInterval
 }
 
 // SetNodes implements broker.Nodes.
-func (ls *Pool) SetNodes(list []broker.Node) {
-	for _, p := range ls.peers {
+func (pool *Pool) SetNodes(list []broker.Node) {
+	for _, p := range pool.peers {
 		p.listed = false
 	}
 	for _, n := range list {
-		if p := ls.peers[n.ID]; p != nil {
+		if p := pool.peers[n.ID]; p != nil {
 			p.listed, p.addr = true, n.Addr
 		}
 	}
 }
 
 // peer returns the peer of a node. It creates it if needed and updates its address.
-func (ls *Pool) peer(n broker.Node) *peer {
-	p := ls.peers[n.ID]
+func (pool *Pool) peer(n broker.Node) *peer {
+	p := pool.peers[n.ID]
 	if p == nil {
 		p = &peer{id: n.ID, listed: true}
-		ls.peers[n.ID] = p
+		pool.peers[n.ID] = p
 	}
 	p.addr = n.Addr // connections to an old address are closed when they are idle
 	return p
@@ -241,97 +243,97 @@
 }
 
 // Send implements broker.Nodes.
-func (ls *Pool) Send(n broker.Node, call []*broker.Attempt) {
+func (pool *Pool) Send(n broker.Node, call []*broker.Attempt) {
 	call = slices.DeleteFunc(call, (*broker.Attempt).HasEnded) // the same step may have ended some
-	p := ls.peer(n)
+	p := pool.peer(n)
 	for len(call) > 0 {
-		l := ls.find(p, call)
+		l := pool.findLink(p, call)
 		if l == nil {
 			a := call[0]
-			ls.core.After(0, func() { ls.core.Ended(a, decide.ConnectFailed, 0, nil) })
+			pool.core.After(0, func() { pool.core.Ended(a, decide.ConnectFailed, 0, nil) })
 			call = call[1:]
 			continue
 		}
 		var batch []*Ticket
-		for len(call) > 0 && (len(batch) == 0 || l.takes(call[:1])) {
+		for len(call) > 0 && (len(batch) == 0 || l.hasRoomFor(call[:1])) {
 			t := &Ticket{Attempt: call[0], ID: WireID(call[0]), link: l}
-			l.out[t.ID], t.TransportState = t, t
+			l.outstanding[t.ID], t.TransportState = t, t
 			batch, call = append(batch, t), call[1:]
 		}
 		if l.session == nil {
-			l.waiting = append(l.waiting, batch)
+			l.queuedCalls = append(l.queuedCalls, batch)
 		} else {
-			l.send(batch)
+			l.sendCall(batch)
 		}
 	}
 }
 
-// find returns a connection that takes the whole call, or else one that takes its first
+// findLink returns a connection that takes the whole call, or else one that takes its first
 // part, or else a new one. It returns nil if none takes it and no new one may be opened.
-func (ls *Pool) find(p *peer, call []*broker.Attempt) *Link {
+func (pool *Pool) findLink(p *peer, call []*broker.Attempt) *Link {
 	mute := 0
 	for _, want := range [][]*broker.Attempt{call, call[:1]} {
 		mute = 0
 		for _, l := range p.links {
 			switch {
-			case l.silent(), l.stalled():
+			case l.isSilent(), l.writeBlocked():
 				mute++
-			case l.addr == p.addr && (l.conn == nil || l.fresh() || !l.quiet()) && l.takes(want):
+			case l.addr == p.addr && (l.conn == nil || l.farFromIdleLimit() || !l.isIdle()) && l.hasRoomFor(want):
 				return l
 			}
 		}
 	}
 	// Bounds file descriptors, and spares a node that hangs, by not opening a connection each
 	// time that the others fall silent.
-	if mute > mostSilent {
+	if mute > maxSilentLinks {
 		for _, l := range slices.Backward(p.links) {
-			if l.addr == p.addr && l.takes(call[:1]) {
+			if l.addr == p.addr && l.hasRoomFor(call[:1]) {
 				return l
 			}
 		}
 		return nil
 	}
-	return ls.open(p)
+	return pool.openLink(p)
 }
 
-// stalled reports whether bytes that were written have not been sent, as the node does not
+// writeBlocked reports whether bytes that were written have not been sent, as the node does not
 // read. What is written behind them may reach the node too late: after the drain grace or the
 // repeat window, or after its query was answered.
-func (l *Link) stalled() bool { return l.conn != nil && !l.conn.Flushed() }
+func (l *Link) writeBlocked() bool { return l.conn != nil && !l.conn.Flushed() }
 
-// takes reports whether the connection has room for a call. It does not take a part whose
+// hasRoomFor reports whether the connection has room for a call. It does not take a part whose
 // id is out there, or was cancelled a moment ago: answers to the two could not be told apart.
-func (l *Link) takes(call []*broker.Attempt) bool {
+func (l *Link) hasRoomFor(call []*broker.Attempt) bool {
 	room := math.MaxInt
-	if l.ls.lim.StreamsPerConn > 0 {
+	if l.pool.limits.StreamsPerConn > 0 {
 		// A cancelled part holds its place until the node has read the cancellation. A node
 		// leaves parts beyond its limit unread, and would read them once it goes on: after
 		// their query's final answer.
-		room = l.ls.lim.StreamsPerConn - len(l.out) - l.unread.len()
+		room = l.pool.limits.StreamsPerConn - len(l.outstanding) - l.unreadCancels.len()
 	}
 	if l.session != nil {
 		room = min(room, l.session.Room())
 	}
-	if l.ended || l.retired || len(call) > room || l.conn != nil && l.conn.Broken() || l.stalled() {
+	if l.ended || l.retired || len(call) > room || l.conn != nil && l.conn.Broken() || l.writeBlocked() {
 		return false
 	}
 	for _, a := range call {
 		id := WireID(a)
-		if _, given := l.gone[id]; given || l.out[id] != nil {
+		if _, given := l.cancelled[id]; given || l.outstanding[id] != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// open starts to open a new connection to a node.
-func (ls *Pool) open(p *peer) *Link {
-	l := &Link{ls: ls, peer: p, addr: p.addr, out: map[string]*Ticket{}, gone: map[string]time.Duration{},
-		done: map[string]time.Duration{}, used: ls.core.Now()}
+// openLink starts to openLink a new connection to a node.
+func (pool *Pool) openLink(p *peer) *Link {
+	l := &Link{pool: pool, peer: p, addr: p.addr, outstanding: map[string]*Ticket{}, cancelled: map[string]time.Duration{},
+		answered: map[string]time.Duration{}, lastUsed: pool.core.Now()}
 	p.links = append(p.links, l)
-	ls.Counts.Add(counts.Dialed, 1)
+	pool.Counts.Add(counts.Dialed, 1)
 	_, hostPort := l.scheme()
-	ls.net.Dial(hostPort, ls.lim.ConnectTimeout, l, l.dialed)
+	pool.net.Dial(hostPort, pool.limits.ConnectTimeout, l, l.onDialed)
 	return l
 }
 
@@ -343,14 +345,14 @@
 	return "", l.addr
 }
 
-// dialed takes the connection that was opened, or nil and the reason. It sends the calls and
+// onDialed takes the connection that was opened, or nil and the reason. It sends the calls and
 // probes that have waited for it.
-func (l *Link) dialed(c *transport.Conn, e transport.End) {
+func (l *Link) onDialed(c *transport.Conn, e transport.End) {
 	scheme, _ := l.scheme()
-	protocol := l.ls.protocols[scheme]
+	protocol := l.pool.protocols[scheme]
 	if c == nil || protocol == nil {
 		if c != nil { // no protocol for the scheme of the node's address
-			l.ls.log.Warn().Str("node", l.peer.id).Str("address", l.addr).Msg("node has an address of an unknown kind")
+			l.pool.log.Warn().Str("node", l.peer.id).Str("address", l.addr).Msg("node has an address of an unknown kind")
 			l.conn = c
 			c.Close(transport.BadInput)
 			return
@@ -358,25 +360,25 @@
 		l.Ended(e)
 		return
 	}
-	l.conn, l.used = c, l.ls.core.Now()
+	l.conn, l.lastUsed = c, l.pool.core.Now()
 	l.session = protocol(l)
-	for _, batch := range l.waiting {
-		l.send(batch)
+	for _, batch := range l.queuedCalls {
+		l.sendCall(batch)
 	}
-	l.waiting = nil
+	l.queuedCalls = nil
 	for _, p := range l.probes {
-		l.ask(p)
+		l.sendProbe(p)
 	}
 }
 
-// send writes the attempts of a call that may still be written now. The others end as NotSent.
-func (l *Link) send(batch []*Ticket) {
+// sendCall writes the attempts of a call that may still be written now. The others end as NotSent.
+func (l *Link) sendCall(batch []*Ticket) {
 	batch = slices.DeleteFunc(batch, func(t *Ticket) bool {
-		drop := !l.ls.core.MaySend(t.Attempt)
+		drop := !l.pool.core.MaySend(t.Attempt)
 		if drop && !t.HasEnded() {
 			// NotSent, as the node is not at fault. Not at once, as the core must not be called
 			// back within a step.
-			l.ls.core.After(0, func() { l.Finish(t, decide.NotSent, 0, nil) })
+			l.pool.core.After(0, func() { l.Finish(t, decide.NotSent, 0, nil) })
 		}
 		return drop
 	})
@@ -384,53 +386,53 @@
 		return
 	}
 	for _, t := range batch {
-		t.sent, t.seq = true, l.unread.next()
+		t.sent, t.seq = true, l.unreadCancels.nextSeq()
 	}
-	l.used = l.ls.core.Now()
-	l.asks()
+	l.lastUsed = l.pool.core.Now()
+	l.expectAnswer()
 	l.session.Send(batch)
 	for _, t := range batch {
-		l.ls.core.CheckWritten(t.Attempt, t.told)
+		l.pool.core.CheckWritten(t.Attempt, t.sentTimeLeft)
 		if t.Traced() {
-			t.Connected(l.used)
+			t.Connected(l.lastUsed)
 			if at, all := l.session.Sent(t); all && l.conn.Written(at) {
-				t.Written(l.used)
+				t.Written(l.lastUsed)
 			}
 		}
 	}
 }
 
 // GiveUp implements broker.Nodes.
-func (ls *Pool) GiveUp(a *broker.Attempt) {
+func (pool *Pool) GiveUp(a *broker.Attempt) {
 	t, ok := a.TransportState.(*Ticket)
-	if !ok || t.link.out[t.ID] != t {
+	if !ok || t.link.outstanding[t.ID] != t {
 		return
 	}
-	delete(t.link.out, t.ID)
+	delete(t.link.outstanding, t.ID)
 	if t.sent {
-		t.link.gone[t.ID] = ls.core.Now()
-		t.link.unread.gaveUp(t.ID)
+		t.link.cancelled[t.ID] = pool.core.Now()
+		t.link.unreadCancels.recordCancel(t.ID)
 		t.link.session.GiveUp(t)
 	}
 	// A node sends no answer to a part that was cancelled, so one cancellation does not make
 	// the connection silent. Several cancelled parts in a row without a byte do: a copy
 	// elsewhere answered each of them, and the connection may have been dead all along.
 	l := t.link
-	if l.quiet() && !l.silent() && l.unread.len() < mostUnheard {
-		l.waits = 0
+	if l.isIdle() && !l.isSilent() && l.unreadCancels.len() < maxUnansweredCancels {
+		l.answerDueSince = 0
 	}
 	// Cancelled parts may take up all streams of the connection. As no part can be sent then,
 	// no answer would ever show that the node has read the cancellations; a probe does.
-	if most := ls.lim.StreamsPerConn; t.sent && most > 0 && len(l.out)+l.unread.len() >= most && !l.probing() {
+	if most := pool.limits.StreamsPerConn; t.sent && most > 0 && len(l.outstanding)+l.unreadCancels.len() >= most && !l.hasOpenProbe() {
 		l.probe(func(decide.Outcome) {})
 	}
 }
 
 // CloseIdle implements broker.Nodes.
-func (ls *Pool) CloseIdle(n broker.Node) {
-	if p := ls.peers[n.ID]; p != nil {
+func (pool *Pool) CloseIdle(n broker.Node) {
+	if p := pool.peers[n.ID]; p != nil {
 		for _, l := range slices.Clone(p.links) {
-			if l.conn != nil && l.quiet() {
+			if l.conn != nil && l.isIdle() {
 				l.ended = true // no send of this step may use it
 				l.conn.Close(transport.LocalIdle)
 			}
@@ -439,61 +441,61 @@
 }
 
 // Probe implements broker.Nodes.
-func (ls *Pool) Probe(n broker.Node, done func(decide.Outcome)) {
-	p := ls.peer(n)
+func (pool *Pool) Probe(n broker.Node, done func(decide.Outcome)) {
+	p := pool.peer(n)
 	var l *Link
 	mute := 0
 	for _, have := range p.links {
-		if have.silent() {
+		if have.isSilent() {
 			mute++
 		}
-		if !have.ended && !have.retired && have.addr == p.addr && (l == nil || l.silent() || !have.silent()) {
+		if !have.ended && !have.retired && have.addr == p.addr && (l == nil || l.isSilent() || !have.isSilent()) {
 			l = have
 		}
 	}
-	if l == nil || l.silent() && mute <= mostSilent {
-		l = ls.open(p) // the connections may be dead, but not the node
+	if l == nil || l.isSilent() && mute <= maxSilentLinks {
+		l = pool.openLink(p) // the connections may be dead, but not the node
 	}
 	l.probe(done)
 }
 
 // probe checks the node on this connection, once it is open.
 func (l *Link) probe(done func(decide.Outcome)) {
-	pr := &probe{done: done, at: l.ls.core.Now()}
+	pr := &probe{done: done, startedAt: l.pool.core.Now()}
 	l.probes = append(l.probes, pr)
-	l.ls.core.After(probeTimeout, func() {
+	l.pool.core.After(probeTimeout, func() {
 		pr.end(decide.TimedOut)
 		// The node's machine may have vanished and come back. This connection would never
 		// show that, so the next probe needs a new one.
-		if l.conn != nil && l.quiet() && l.heard < pr.at {
+		if l.conn != nil && l.isIdle() && l.lastReceived < pr.startedAt {
 			l.ended = true
 			l.conn.Close(transport.LocalDone)
 		}
 	})
 	if l.session != nil {
-		l.ask(pr)
+		l.sendProbe(pr)
 	}
 }
 
-// ask sends a probe on the open connection.
-func (l *Link) ask(p *probe) {
-	p.seq = l.unread.next()
-	l.asks()
+// sendProbe sends a probe on the open connection.
+func (l *Link) sendProbe(p *probe) {
+	p.seq = l.unreadCancels.nextSeq()
+	l.expectAnswer()
 	l.session.Probe()
 }
 
 // ---- for sessions ----
 
 // Now returns the core's clock.
-func (l *Link) Now() time.Duration { return l.ls.core.Now() }
+func (l *Link) Now() time.Duration { return l.pool.core.Now() }
 
 // Write sends bytes. It returns the offset of the last one in the connection's output.
 func (l *Link) Write(b []byte) int64 { return l.conn.Write(b) }
 
 // TimeLeft returns how long a ticket will still be waited for, and records it as sent to the node.
 func (l *Link) TimeLeft(t *Ticket) time.Duration {
-	t.told = t.Attempt.TimeLeft(l.ls.core.ReadClock())
-	return t.told
+	t.sentTimeLeft = t.Attempt.TimeLeft(l.pool.core.ReadClock())
+	return t.sentTimeLeft
 }
 
 // Ticket returns the ticket that waits for an answer, by its id on the wire. It returns nil
@@ -501,16 +503,16 @@
 // answer. The first copy was good, but no more parts are sent on a connection that has
 // brought two. Any other id is an error: some attempt will never get its own answer.
 func (l *Link) Ticket(id string) (*Ticket, error) {
-	if t := l.out[id]; t != nil {
-		t.Heard(l.began)
+	if t := l.outstanding[id]; t != nil {
+		t.Heard(l.messageStart)
 		return t, nil
 	}
-	if _, ok := l.gone[id]; ok {
-		delete(l.gone, id)
-		l.unread.answered(id)
+	if _, ok := l.cancelled[id]; ok {
+		delete(l.cancelled, id)
+		l.unreadCancels.recordAnswer(id)
 		return nil, nil
 	}
-	if _, ok := l.done[id]; ok {
+	if _, ok := l.answered[id]; ok {
 		l.retired = true
 		return nil, nil
 	}
@@ -519,11 +521,11 @@
 
 // Finish ends a ticket with the node's answer. It does nothing if the ticket has ended.
 func (l *Link) Finish(t *Ticket, o decide.Outcome, score int64, value []byte) {
-	if l.out[t.ID] == t {
-		delete(l.out, t.ID)
-		l.done[t.ID] = l.ls.core.Now()
-		l.unread.read(t.seq)
-		l.ls.core.Ended(t.Attempt, o, score, value)
+	if l.outstanding[t.ID] == t {
+		delete(l.outstanding, t.ID)
+		l.answered[t.ID] = l.pool.core.Now()
+		l.unreadCancels.recordRead(t.seq)
+		l.pool.core.Ended(t.Attempt, o, score, value)
 	}
 }
 
@@ -532,65 +534,65 @@
 	if len(l.probes) > 0 {
 		p := l.probes[0]
 		l.probes = l.probes[1:]
-		l.unread.read(p.seq)
+		l.unreadCancels.recordRead(p.seq)
 		p.end(o)
 	}
 }
 
 // LogProtocolError logs a protocol error, found by the node or in what it sent.
 func (l *Link) LogProtocolError(words string) {
-	l.ls.log.Warn().Str("node", l.peer.id).Str("words", words[:min(len(words), 200)]).Msg("node could not use a frame")
+	l.pool.log.Warn().Str("node", l.peer.id).Str("words", words[:min(len(words), 200)]).Msg("node could not use a frame")
 }
 
 // ---- for the transport ----
 
 // Data implements transport.Handler.
 func (l *Link) Data(b []byte) {
-	l.used = l.ls.core.Now()
-	l.heard, l.waits = l.used, 0
+	l.lastUsed = l.pool.core.Now()
+	l.lastReceived, l.answerDueSince = l.lastUsed, 0
 	if !l.session.Partial() {
-		l.began = l.used
+		l.messageStart = l.lastUsed
 	}
 	if err := l.session.Data(b); err != nil {
-		l.spoilt(err)
+		l.closeCorrupt(err)
 		return
 	}
-	if !l.quiet() {
-		l.asks()
+	if !l.isIdle() {
+		l.expectAnswer()
 	}
 	if l.session.Partial() {
-		if l.quiet() && len(l.gone) == 0 {
-			l.spoilt(errors.New("bytes that nothing asked for"))
-		} else if !l.partial {
-			l.partial = true
-			l.ls.core.After(stallTime, l.halted)
+		if l.isIdle() && len(l.cancelled) == 0 {
+			l.closeCorrupt(errors.New("bytes that nothing asked for"))
+		} else if !l.stallCheckPending {
+			l.stallCheckPending = true
+			l.pool.core.After(messageStallTimeout, l.checkMessageStall)
 		}
-	} else if l.retired && l.quiet() {
+	} else if l.retired && l.isIdle() {
 		l.conn.Close(transport.BadInput)
 	}
 }
 
-// spoilt closes a connection on which the node sent invalid data.
-func (l *Link) spoilt(err error) {
+// closeCorrupt closes a connection on which the node sent invalid data.
+func (l *Link) closeCorrupt(err error) {
 	l.ended = true // no send of this step may use it
-	l.ls.log.Warn().Str("node", l.peer.id).Err(err).Msg("node sent what can't be used")
+	l.pool.log.Warn().Str("node", l.peer.id).Err(err).Msg("node sent what can't be used")
 	l.conn.Close(transport.BadInput)
 }
 
-// halted closes the connection if no more bytes of an incomplete message have come within
-// stallTime. The length of the message may be wrong: its rest would never come, and later
+// checkMessageStall closes the connection if no more bytes of an incomplete message have come within
+// messageStallTimeout. The length of the message may be wrong: its rest would never come, and later
 // answers would be taken for it.
-func (l *Link) halted() {
-	l.partial = false
+func (l *Link) checkMessageStall() {
+	l.stallCheckPending = false
 	if l.ended || !l.session.Partial() {
 		return
 	}
-	if left := l.heard + stallTime - l.ls.core.Now(); left > 0 {
-		l.partial = true
-		l.ls.core.After(left, l.halted)
+	if left := l.lastReceived + messageStallTimeout - l.pool.core.Now(); left > 0 {
+		l.stallCheckPending = true
+		l.pool.core.After(left, l.checkMessageStall)
 		return
 	}
-	l.spoilt(errors.New("a message that does not go on"))
+	l.closeCorrupt(errors.New("a message that does not go on"))
 }
 
 // HalfClosed implements transport.Handler; connections we dialed end at once.
@@ -600,28 +602,28 @@
 // depends on whether the last byte of its call was written: only then it may have run.
 func (l *Link) Ended(e transport.End) {
 	l.ended = true
-	l.ls.Counts.Add(counts.Closed, 1)
+	l.pool.Counts.Add(counts.Closed, 1)
 	if l.conn == nil {
-		l.ls.Counts.Add(counts.DialFailed, 1)
+		l.pool.Counts.Add(counts.DialFailed, 1)
 	}
 	l.peer.links = slices.DeleteFunc(l.peer.links, func(o *Link) bool { return o == l })
-	if len(l.out) > 0 {
-		l.ls.log.Info().Str("node", l.peer.id).Stringer("end", e).Int("attempts", len(l.out)).
+	if len(l.outstanding) > 0 {
+		l.pool.log.Info().Str("node", l.peer.id).Stringer("end", e).Int("attempts", len(l.outstanding)).
 			Msg("node connection ended with attempts out")
 	}
-	tickets := make([]*Ticket, 0, len(l.out))
-	for _, t := range l.out {
+	tickets := make([]*Ticket, 0, len(l.outstanding))
+	for _, t := range l.outstanding {
 		tickets = append(tickets, t)
 	}
 	slices.SortFunc(tickets, func(a, b *Ticket) int { return strings.Compare(a.ID, b.ID) })
-	clear(l.out)
+	clear(l.outstanding)
 	for _, t := range tickets {
 		written := false
 		if t.sent {
 			at, all := l.session.Sent(t)
 			written = all && l.conn.Written(at)
 		}
-		l.ls.core.Ended(t.Attempt, transport.Outcome(e, written), 0, nil)
+		l.pool.core.Ended(t.Attempt, transport.Outcome(e, written), 0, nil)
 	}
 	for _, p := range l.probes {
 		p.end(transport.Outcome(e, l.conn != nil))
