--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -26,7 +26,7 @@
 	WireID    string        // id that nodes see; unique among the open queries
 	Class     int           // index into the classes of the settings
 	Tenant    int           // index into the tenants of the settings
-	Key       string        // idempotency key; set in keyed classes
+	Key       string        // idempotency key; set in classes of kind decide.Deduplicated
 	Left      time.Duration // until the client's deadline
 	Repeat    bool          // the client says that this is a retry
 	Text      []byte        // request text that every part carries
@@ -130,8 +130,8 @@
 	Storm(state, about string)
 }
 
-// finalGuardMargin is how long before a query's deadline the core itself fails the query, if the
-// decision module has not ended it. Where a tick is shorter, it is one tick. The module
+// finalGuardMargin is how long before a query's deadline the core itself fails the query, if
+// the decision module has not ended it. Where a tick is shorter, it is one tick. The module
 // ends queries two ticks before their deadline.
 const finalGuardMargin = 3 * time.Millisecond
 
@@ -193,13 +193,13 @@
 	id              string
 	number          int64
 	class           *decide.Class
-	deadline        time.Duration // its deadline
-	parts           []*part       // of the current step
-	secondStep      bool          // the second step has begun
-	firstStepShards []int         // shards that were answered in the first step
-	whole           bool          // the first step's answer was whole
-	ended           bool          // it has its final answer, or its client has left
-	ownOpenCount    int           // its share of Core.openCount
+	deadline        time.Duration
+	parts           []*part // of the current step
+	secondStep      bool    // the second step has begun
+	firstStepShards []int   // shards that were answered in the first step
+	whole           bool    // the first step's answer was whole
+	ended           bool    // it has its final answer, or its client has left
+	ownOpenCount    int     // its share of Core.openCount
 	trace           *tracing.Query
 }
 
@@ -234,8 +234,8 @@
 	p         *part
 	index     int           // index among the part's attempts
 	sent      time.Duration // when the module asked for it
-	timeoutAt time.Duration // when it times out
-	ended     bool          // it has ended
+	timeoutAt time.Duration
+	ended     bool
 
 	allowed bool // the gate has allowed it once
 
@@ -285,8 +285,8 @@
 // SetProber sets the prober in place of the Nodes given to Attach.
 func (c *Core) SetProber(p Prober) { c.prober = p }
 
-// AggregatorsChanged tells the decision module how many mixers of the fleet are alive, and this
-// mixer's share, from 0 to 1, of the budgets that they have in common.
+// AggregatorsChanged tells the decision module how many mixers of the fleet are alive, and
+// this mixer's share, from 0 to 1, of the budgets that they have in common.
 func (c *Core) AggregatorsChanged(live int, share float64) {
 	c.events = append(c.events, decide.AggregatorsChanged{Live: live, Share: share})
 }
@@ -391,7 +391,7 @@
 	}
 }
 
-// OnIdle has idle called once, as soon as no query is open.
+// OnIdle has onIdle called once, as soon as no query is open.
 func (c *Core) OnIdle(onIdle func()) { c.awaitingIdle, c.onIdle = true, onIdle }
 
 // ReadClock reads the module's clock. Unlike Now, it counts what the current turn of the
@@ -595,8 +595,8 @@
 	c.finishAttempt(a, o, won)
 }
 
-// finishAttempt ends an attempt and reports its outcome to the module. Won says that the attempt
-// gave the answer of its part.
+// finishAttempt ends an attempt and reports its outcome to the module. Won says that the
+// attempt gave the answer of its part.
 func (c *Core) finishAttempt(a *Attempt, o decide.Outcome, won bool) {
 	a.p.q.trace.AttemptOver(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
 	a.ended, a.neverRan = true, o.NeverRan()
@@ -632,7 +632,7 @@
 }
 
 // CheckWritten checks an attempt that has just been written against the rules, and counts and
-// logs a violation. Told is the time left that the node was sent.
+// logs a violation. SentTimeLeft is the time left that the node was sent.
 func (c *Core) CheckWritten(a *Attempt, sentTimeLeft time.Duration) {
 	verdict := c.gateLimits().Written(gate.Written{Attempt: c.gateAttempt(a, c.ReadClock()), SentTimeLeft: sentTimeLeft})
 	if verdict != gate.Allowed {
--- a/internal/broker/count.go
+++ b/internal/broker/count.go
@@ -6,14 +6,14 @@
 	"kiteloft/internal/tracing"
 )
 
-// outcomeKinds, choiceKinds and refusalKinds map values of the decision module to counters.
+// outcomeKinds, sendReasonKinds and endReasonKinds map values of the decision module to counters.
 var (
 	outcomeKinds = [...]counts.Kind{decide.Failed: counts.Error, decide.OK: counts.OK, decide.Full: counts.Full,
 		decide.TimedOut: counts.TimedOut, decide.ConnectFailed: counts.ConnectFailed, decide.Reset: counts.Reset,
 		decide.Cancelled: counts.Cancelled, decide.NotSent: counts.NotSent}
-	choiceKinds = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.OffsetAvoided: counts.OffsetAvoided,
+	sendReasonKinds = [...]counts.Kind{decide.ByOffset: counts.ByOffset, decide.OffsetAvoided: counts.OffsetAvoided,
 		decide.NextBestHolder: counts.NextBestHolder, decide.LateCopy: counts.LateCopy, decide.ForcedCopy: counts.ForcedCopy}
-	refusalKinds = [...]counts.Kind{decide.NoEndReason: counts.RefusedNoHope, decide.TargetUnreachable: counts.RefusedNoHope,
+	endReasonKinds = [...]counts.Kind{decide.NoEndReason: counts.RefusedNoHope, decide.TargetUnreachable: counts.RefusedNoHope,
 		decide.TimeExpired: counts.RefusedTimeUp, decide.PartUnavailable: counts.RefusedPartLost, decide.NoServerReached: counts.RefusedUnseen,
 		decide.InvalidQuery: counts.RefusedNoHope}
 )
@@ -32,7 +32,7 @@
 	case tracing.Short:
 		return counts.Short
 	case tracing.Refused:
-		return refusalKinds[why]
+		return endReasonKinds[why]
 	case tracing.Expired:
 		return counts.Expired
 	case tracing.Deserted:
--- a/internal/broker/limit.go
+++ b/internal/broker/limit.go
@@ -23,8 +23,8 @@
 	// Shares holds, by zone, the share that its nodes get of the parts that they would get
 	// without it; empty: all of them.
 	Shares []float64
-	// Left are the zones to which nothing new is sent, except to nodes that hold shards
-	// that no running node of another zone holds.
+	// Left are the zones to which nothing new is sent, except to nodes that hold a shard
+	// that no running node outside those zones holds.
 	Left map[int]bool
 }
 
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// stepModule calls the module. If the module panics, the mixer goes on: the panic is logged, and
-// failUnanswered fails the open queries that the module does not end.
+// stepModule calls the module. If the module panics, the mixer goes on: the panic is logged,
+// and failUnanswered fails the open queries that the module does not end.
 func (c *Core) stepModule(events []decide.Event) (actions []decide.Action) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -112,8 +112,8 @@
 	*l = append(*l, []*Attempt{a})
 }
 
-// startAttempt creates the startAttempt of a Send action. It returns nil, and reports the startAttempt as
-// never sent, if its part is unknown or the gate forbids it: the query has ended, the node
+// startAttempt creates the attempt of a Send action. It returns nil, and reports the attempt
+// as never sent, if its part is unknown or the gate forbids it: the query has ended, the node
 // is not listed or does not hold the shard, no time is left, and so on.
 func (c *Core) startAttempt(s decide.Send) *Attempt {
 	p := c.parts[s.Part]
@@ -143,7 +143,7 @@
 		a.FirstStepShards, a.Whole = q.firstStepShards, q.whole
 	}
 	a.Node.Addr, a.allowed = m.Addr, true
-	c.countEvent(choiceKinds[s.Reason], q.WireID, m.ID)
+	c.countEvent(sendReasonKinds[s.Reason], q.WireID, m.ID)
 	if m.Started > 0 && c.now < m.Started+c.config.Module.WarmupTime {
 		c.counts.Add(counts.ToCold, 1)
 	}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// holdsShard reports whether the cell of a node holdsShard a shard.
+// holdsShard reports whether the cell of a node holds a shard.
 func (c *Core) holdsShard(m ListedNode, shard int) bool {
 	n := c.config.Module.Cells
 	return n <= 0 || ((m.Cell-shard)%n+n)%n < c.config.Module.CellsPerShard
@@ -208,8 +208,8 @@
 		}
 		need = 1
 	}
-	// An answer must hold at least the floor of its class, and may be called whole only if
-	// it is, even if the module's state says otherwise.
+	// An answer must have at least the MinWeight of its class, and may be called whole only
+	// if it is, even if the module's state says otherwise.
 	if weight < floor-weightSlack {
 		c.reportGuard(q, "honest", "answer from too few parts")
 		c.failQuery(q, decide.NoEndReason)
@@ -238,8 +238,8 @@
 	q.Responder.Served(whole, values)
 }
 
-// startSecondStep opens the second step: a part for each of the FollowParts shards with the highest
-// scores among those that were answered. Shards of equal score are taken in order.
+// startSecondStep opens the second step: a part for each of the SecondStepParts shards with
+// the highest scores among those that were answered. Shards of equal score are taken in order.
 func (c *Core) startSecondStep(q *query, whole bool) {
 	var answered []*part
 	for _, p := range q.parts {
@@ -292,8 +292,7 @@
 }
 
 // probeNode checks a node for the module. A node that is not listed counts as unreachable.
-func (c *Core) probeNode(
-	id string) {
+func (c *Core) probeNode(id string) {
 	m, ok := c.listedNodes[id]
 	at := c.now
 	c.counts.Add(counts.Probes, 1)
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -10,7 +10,7 @@
 // This file holds what the core reports to its observers: the trace recorder, if there is
 // one, and the detector of retry storms.
 
-// shortageEvents maps the module's remarks on missing budgets to trace events.
+// shortageEvents maps the module's reports of missing budgets to trace events.
 var shortageEvents = map[decide.Shortage]tracing.EventKind{decide.NoCopyToken: tracing.NoToken,
 	decide.RetryBudgetSpent: tracing.NoBudget, decide.ColdBudgetSpent: tracing.ColdFull}
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -27,7 +27,7 @@
 // Verdict is the result of a check: Allowed, or the reason why not.
 type Verdict uint8
 
-// The verdictCount.
+// The verdicts.
 const (
 	Allowed         Verdict = iota
 	RequestOver             // the request has its final answer, or its client has left
