--- a/internal/node/frames.go
+++ b/internal/node/frames.go
@@ -90,7 +90,7 @@
 		case frames.Result:
 			r, err := frames.ParseReply(f.Payload)
 			if err == nil && !utf8.Valid(r.Value) {
-				err = errors.New("a value that is no text") // it could not be passed on to a client unchanged
+				err = errors.New("value is not valid UTF-8") // it could not be passed on to a client unchanged
 			}
 			if err != nil {
 				return err
@@ -111,7 +111,7 @@
 		case frames.Refusal:
 			s.link.LogProtocolError(string(f.Payload))
 		default:
-			return fmt.Errorf("a frame of letter %q", f.Type)
+			return fmt.Errorf("unexpected frame type %q", f.Type)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -326,7 +326,7 @@
 	return true
 }
 
-// openLink starts to openLink a new connection to a node.
+// openLink starts to open a new connection to a node.
 func (pool *Pool) openLink(p *peer) *Link {
 	l := &Link{pool: pool, peer: p, addr: p.addr, outstanding: map[string]*Ticket{}, cancelled: map[string]time.Duration{},
 		answered: map[string]time.Duration{}, lastUsed: pool.core.Now()}
@@ -352,7 +352,7 @@
 	protocol := l.pool.protocols[scheme]
 	if c == nil || protocol == nil {
 		if c != nil { // no protocol for the scheme of the node's address
-			l.pool.log.Warn().Str("node", l.peer.id).Str("address", l.addr).Msg("node has an address of an unknown kind")
+			l.pool.log.Warn().Str("node", l.peer.id).Str("address", l.addr).Msg("no protocol for the scheme of the node's address")
 			l.conn = c
 			c.Close(transport.BadInput)
 			return
@@ -516,7 +516,7 @@
 		l.retired = true
 		return nil, nil
 	}
-	return nil, fmt.Errorf("an answer for %.80q, which was not asked", id)
+	return nil, fmt.Errorf("answer for part %.80q, which is not outstanding", id)
 }
 
 // Finish ends a ticket with the node's answer. It does nothing if the ticket has ended.
@@ -541,7 +541,7 @@
 
 // LogProtocolError logs a protocol error, found by the node or in what it sent.
 func (l *Link) LogProtocolError(words string) {
-	l.pool.log.Warn().Str("node", l.peer.id).Str("words", words[:min(len(words), 200)]).Msg("node could not use a frame")
+	l.pool.log.Warn().Str("node", l.peer.id).Str("words", words[:min(len(words), 200)]).Msg("protocol error on a node connection")
 }
 
 // ---- for the transport ----
@@ -562,7 +562,7 @@
 	}
 	if l.session.Partial() {
 		if l.isIdle() && len(l.cancelled) == 0 {
-			l.closeCorrupt(errors.New("bytes that nothing asked for"))
+			l.closeCorrupt(errors.New("unsolicited bytes"))
 		} else if !l.stallCheckPending {
 			l.stallCheckPending = true
 			l.pool.core.After(messageStallTimeout, l.checkMessageStall)
@@ -575,7 +575,7 @@
 // closeCorrupt closes a connection on which the node sent invalid data.
 func (l *Link) closeCorrupt(err error) {
 	l.ended = true // no send of this step may use it
-	l.pool.log.Warn().Str("node", l.peer.id).Err(err).Msg("node sent what can't be used")
+	l.pool.log.Warn().Str("node", l.peer.id).Err(err).Msg("invalid data from node, closing the connection")
 	l.conn.Close(transport.BadInput)
 }
 
@@ -592,7 +592,7 @@
 		l.pool.core.After(left, l.checkMessageStall)
 		return
 	}
-	l.closeCorrupt(errors.New("a message that does not go on"))
+	l.closeCorrupt(errors.New("incomplete message: the rest did not come in time"))
 }
 
 // HalfClosed implements transport.Handler; connections we dialed end at once.
@@ -609,7 +609,7 @@
 	l.peer.links = slices.DeleteFunc(l.peer.links, func(o *Link) bool { return o == l })
 	if len(l.outstanding) > 0 {
 		l.pool.log.Info().Str("node", l.peer.id).Stringer("end", e).Int("attempts", len(l.outstanding)).
-			Msg("node connection ended with attempts out")
+			Msg("node connection closed with attempts outstanding")
 	}
 	tickets := make([]*Ticket, 0, len(l.outstanding))
 	for _, t := range l.outstanding {
