--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -195,8 +195,8 @@
 // space has room for all connections.
 type space struct{}
 
-func (space) Crowded() bool { return false }
-func (space) Busy() bool    { return false }
+func (space) NearLimit() bool { return false }
+func (space) HalfUsed() bool  { return false }
 
 // BenchmarkFront is a query's way from the bytes of its request to those of its
 // response.
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -103,7 +103,7 @@
 	f.core.Post(func() {
 		c.idleSince = f.core.Now()
 		f.clients[c] = struct{}{}
-		if f.limit.Crowded() {
+		if f.limit.NearLimit() {
 			f.closeIdlest()
 		}
 	})
@@ -339,7 +339,7 @@
 	// Guards descriptors, and the connections that clients may hold, against clients
 	// that ask once and keep what they don't use.
 	// What has been read behind this request is owed an answer, too.
-	closes = closes || (c.f.closing || c.f.limit.Busy()) && c.mayClose()
+	closes = closes || (c.f.closing || c.f.limit.HalfUsed()) && c.mayClose()
 	c.conn.Write(append(responseHead(status, kind, length, after, closes), body...))
 	c.f.audit.Answered++
 	c.idleSince = c.f.core.Now()
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -59,8 +59,8 @@
 // fakeLimit is room for all, or hardly any.
 type fakeLimit struct{ crowded bool }
 
-func (s fakeLimit) Crowded() bool { return s.crowded }
-func (s fakeLimit) Busy() bool    { return s.crowded }
+func (s fakeLimit) NearLimit() bool { return s.crowded }
+func (s fakeLimit) HalfUsed() bool  { return s.crowded }
 
 func queryRequest(owner string) []byte {
 	body := `{"slices":[{"slice":1,"mass":1}],"filter":"x"}`
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -56,14 +56,14 @@
 
 // ConnectionLimit tells of the connections that may be open.
 type ConnectionLimit interface {
-	Crowded() bool // there is hardly room for more
-	Busy() bool    // half of them are
+	NearLimit() bool // there is hardly room for more
+	HalfUsed() bool  // half of them are
 }
 
 // IdleTimeout is how long a connection may rest between requests: less while descriptors
 // get fewer.
 func IdleTimeout(r ConnectionLimit) time.Duration {
-	if r.Busy() {
+	if r.HalfUsed() {
 		return reducedIdleTimeout
 	}
 	return normalIdleTimeout
--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -171,11 +171,11 @@
 	return &Net{post: p, onEnd: onEnd, max: int64(lim.Conns), dials: newDialQueue(dialers, maxQueuedDials), limit: lim.Backlog}
 }
 
-// Crowded reports whether the limit is so near that accepted connections will soon be closed.
-func (n *Net) Crowded() bool { return n.open.Load() > n.max-2*n.max/dialReserveDivisor }
+// NearLimit reports whether the limit is so near that accepted connections will soon be closed.
+func (n *Net) NearLimit() bool { return n.open.Load() > n.max-2*n.max/dialReserveDivisor }
 
-// Busy reports whether more than half of the allowed connections are open.
-func (n *Net) Busy() bool { return n.open.Load() > n.max/2 }
+// HalfUsed reports whether more than half of the allowed connections are open.
+func (n *Net) HalfUsed() bool { return n.open.Load() > n.max/2 }
 
 // admit reports whether one more accepted connection may stay open. At the limit it closes the
 // oldest connection on which nothing has arrived, so that peers that connect and send nothing
