--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -1,11 +1,11 @@
-// Package flight is the Arrow Flight front: queries as tickets, answers as
-// record batches. It goes through the same core as the platform's front. All of
-// it runs on the core's goroutine.
+// Package flight serves clients over Arrow Flight: queries are tickets, answers are record
+// batches. It uses the same core as package platform. Everything except Accept runs on the
+// core's goroutine.
 //
 // A ticket, and the command of a descriptor, is JSON: {"class":"stock-report",
-// "query":{"slices":[...],"filter":"..."}}, the query as on the platform's front.
-// grpc-timeout is the client's deadline, idempotency-key its key. The batch's
-// application metadata says {"entire":true} or false.
+// "query":{"slices":[...],"filter":"..."}}, with the query in the same form as in package
+// platform. The header grpc-timeout gives the client's deadline, and idempotency-key its
+// idempotency key. The batch's application metadata is {"entire":true} or {"entire":false}.
 package flight
 
 import (
@@ -37,17 +37,18 @@
 
 const (
 	servicePath       = "/arrow.flight.protocol.FlightService/"
-	maxMessageBytes   = 128 << 10       // bytes of a client's message: a query of 64 KiB, and its wrapping
-	answerReadTimeout = 5 * time.Second // an answer must be taken within it
+	maxMessageBytes   = 128 << 10       // bytes of a client's message: a query of 64 KiB and its envelope
+	answerReadTimeout = 5 * time.Second // for the client to read a finished answer
 )
 
-// Front serves Flight clients.
+// Front serves Flight clients. Its methods, except Accept, may only be called on the core's
+// goroutine.
 type Front struct {
 	core          front.Core
 	classes       map[string]int
 	classSettings []decide.Class
 	log           zerolog.Logger
-	malformedLog  zerolog.Logger // lines on malformed calls
+	malformedLog  zerolog.Logger // sampled, for malformed calls
 	limit         front.ConnectionLimit
 	rng           *rand.Rand
 	schema        []byte
@@ -55,7 +56,8 @@
 	closing       bool
 }
 
-// New returns a Front for the classes. Seed is for the ids that it gives.
+// New returns a Front for the classes. The seed is for the random ids that it generates for
+// queries. It fails only if the Arrow schema can't be encoded.
 func New(core front.Core, classes []decide.Class, limit front.ConnectionLimit, seed uint64, log zerolog.Logger) (*Front, error) {
 	schema, err := columns.SchemaBytes()
 	if err != nil {
@@ -65,25 +67,25 @@
 		rng: rand.New(rand.NewPCG(seed, 1)), clients: map[*client]struct{}{}}, nil
 }
 
-// Clients is the number of connections.
+// Clients returns the number of open client connections.
 func (f *Front) Clients() int { return len(f.clients) }
 
-// Start begins to look after connections.
+// Start begins the periodic check of connections and calls for timeouts.
 func (f *Front) Start() { f.core.After(front.SweepInterval, f.sweep) }
 
-// client is one connection.
+// client is one connection and its calls.
 type client struct {
 	f             *Front
 	conn          front.Conn
 	h2            *h2.Conn
 	calls         map[*call]struct{}
-	halfClosed    bool          // the client sends nothing more
-	hasCalled     bool          // a call has begun
-	closeDeadline time.Duration // our last words are said: when the connection is closed; 0: they are not
-	lastDataAt    time.Duration // when bytes last came
+	halfClosed    bool          // the client has shut down its sending side
+	hasCalled     bool          // at least one call has begun
+	closeDeadline time.Duration // when a connection that is finishing is closed; 0: it is not finishing
+	lastDataAt    time.Duration // when bytes were last received
 }
 
-// call is one stream, and its query's way back. It implements broker.Responder.
+// call is one gRPC call on an HTTP/2 stream. It implements broker.Responder for its query.
 type call struct {
 	c              *client
 	s              *h2.Stream
@@ -96,11 +98,11 @@
 	parser         h2.MessageParser
 	message        []byte
 	handle         *broker.QueryHandle
-	done           bool // its status is on its way
+	done           bool // the status has been written, or the call was dropped
 	doneAt         time.Duration
 }
 
-// Accept takes a new connection. Unlike all else here, it may be called on any
+// Accept registers a new connection and returns its handler. It may be called on any
 // goroutine.
 func (f *Front) Accept(conn front.Conn) transport.Handler {
 	c := &client{f: f, conn: conn, calls: map[*call]struct{}{}}
@@ -121,7 +123,8 @@
 	}
 }
 
-// startClosing closes the connection once what was written has had its time to arrive.
+// startClosing drops the open calls and shuts down the connection, which is closed after
+// front.LingerTimeout so that the client can read what has been written.
 func (c *client) startClosing() {
 	if c.closeDeadline == 0 {
 		c.closeDeadline = c.f.core.Now() + front.LingerTimeout
@@ -132,12 +135,12 @@
 	}
 }
 
-// streamHandler is the client as h2.Handler.
+// streamHandler implements h2.Handler for a client.
 type streamHandler struct{ *client }
 
 // Headers implements h2.Handler.
 func (c streamHandler) Headers(s *h2.Stream, fields []hpack.HeaderField, end bool) {
-	if k, ok := s.User.(*call); ok { // trailers of a request mean nothing
+	if k, ok := s.User.(*call); ok { // trailers of a request are ignored
 		if end {
 			k.serve()
 		}
@@ -192,12 +195,13 @@
 	}
 }
 
+// rejectMalformed logs err and ends the call with InvalidArgument and err's text.
 func (k *call) rejectMalformed(err error) {
 	k.c.f.malformedLog.Info().Str("method", k.method).Err(err).Msg("Flight call refused as malformed")
 	k.endWithStatus(h2.Status{Code: codes.InvalidArgument, Message: err.Error()})
 }
 
-// serve serves a call whose message is there.
+// serve handles a call whose request has been received completely.
 func (k *call) serve() {
 	switch {
 	case k.done || k.handle != nil:
@@ -220,12 +224,13 @@
 	}
 }
 
-// ticket is a query and its class.
+// ticket is the JSON form of a Flight ticket and of a descriptor's command.
 type ticket struct {
 	Class string              `json:"class"`
 	Query jsoniter.RawMessage `json:"query"`
 }
 
+// parseTicket parses a ticket or command. The texts of its errors are sent to the client.
 func (f *Front) parseTicket(text []byte) (q broker.Query, err error) {
 	var t ticket
 	if err := json.Unmarshal(text, &t); err != nil {
@@ -239,7 +244,8 @@
 	return q, front.ParseBody(t.Query, &q)
 }
 
-// getFlightInfo answers GetFlightInfo: one endpoint, here, whose ticket is the command.
+// getFlightInfo answers GetFlightInfo with one endpoint. It has no location, which means this
+// server, and its ticket is the descriptor's command.
 func (k *call) getFlightInfo(d *flight.FlightDescriptor) {
 	if _, err := k.c.f.parseTicket(d.Cmd); err != nil {
 		k.rejectMalformed(err)
@@ -254,7 +260,7 @@
 	k.sendAnswer([][]byte{b})
 }
 
-// doGet hands a DoGet to the core.
+// doGet submits the query of a DoGet call to the core.
 func (k *call) doGet(text []byte) {
 	f := k.c.f
 	q, err := f.parseTicket(text)
@@ -269,7 +275,7 @@
 		k.rejectMalformed(err)
 		return
 	}
-	// The deadline counts from the client's call, not from its last byte.
+	// The deadline counts from the start of the call, not from its last byte.
 	if q.Left -= f.core.Now() - k.startedAt; q.Left <= 0 {
 		k.endWithStatus(h2.Status{Code: codes.DeadlineExceeded, Message: "out of time"})
 		return
@@ -284,7 +290,7 @@
 		k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "too much is open", Pushback: front.OverloadRetryAfter})
 	case broker.ShuttingDown:
 		k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "the mixer ends", Pushback: front.OverloadRetryAfter})
-	case broker.Duplicate: // an id drawn twice
+	case broker.Duplicate: // the generated id is already in use
 		k.endWithStatus(h2.Status{Code: codes.Unavailable, Message: "try again", Pushback: front.OverloadRetryAfter})
 	default:
 		k.rejectMalformed(errors.New("parts that can't be"))
@@ -318,6 +324,7 @@
 
 var responseHeaders = []hpack.HeaderField{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/grpc"}}
 
+// sendAnswer ends the call with the messages and status OK.
 func (k *call) sendAnswer(list [][]byte) {
 	if k.done {
 		return
@@ -330,26 +337,29 @@
 	k.s.Trailers(h2.Status{}.Trailer())
 }
 
-// endWithStatus ends a call without an answer.
+// endWithStatus ends the call with a status and no messages.
 func (k *call) endWithStatus(s h2.Status) {
 	if k.done {
 		return
 	}
 	k.markDone()
 	k.s.Headers(append(append([]hpack.HeaderField{}, responseHeaders...), s.Trailer()...), true)
-	// A client that is still sending need not go on.
+	// Tells a client that is still sending that the rest of its request is not needed.
 	k.s.Reset(http2.ErrCodeNo)
 }
 
+// markDone records the end of the call and frees its buffered input.
 func (k *call) markDone() { k.done, k.doneAt, k.parser = true, k.c.f.core.Now(), h2.MessageParser{} }
 
-// Closed implements h2.Handler: the client has cancelled the call.
+// Closed implements h2.Handler. It is called when the client has reset the stream.
 func (c streamHandler) Closed(s *h2.Stream, _ http2.ErrCode, _ bool) {
 	if k, ok := s.User.(*call); ok {
 		c.dropCall(k)
 	}
 }
 
+// dropCall removes a call and, if it has not been answered, reports to the core that its client
+// has gone.
 func (c *client) dropCall(k *call) {
 	delete(c.calls, k)
 	if !k.done {
@@ -360,9 +370,9 @@
 	}
 }
 
-// HalfClosed implements transport.Handler: the client sends no more. What is
-// open is still owed an answer if the client has only shut down its side; a ping
-// makes one that has closed reset.
+// HalfClosed implements transport.Handler: the client has shut down its sending side. Open
+// calls still get their answers, because the client may be reading. A client that has closed
+// the whole connection answers the ping with a reset.
 func (c *client) HalfClosed() {
 	if c.halfClosed = true; c.h2.Streams() == 0 {
 		c.conn.Close(transport.LocalDone)
@@ -380,7 +390,7 @@
 	}
 }
 
-// sweep looks after calls and connections that no event comes for.
+// sweep enforces the timeouts of calls and connections and runs every front.SweepInterval.
 func (f *Front) sweep() {
 	now, keep := f.core.Now(), front.IdleTimeout(f.limit)
 	for c := range f.clients {
@@ -390,11 +400,11 @@
 			case k.done && !k.s.Open():
 				delete(c.calls, k)
 			case k.done && now-k.doneAt > answerReadTimeout:
-				// Guards memory against a client that does not take its answer.
+				// Frees memory held for a client that does not read its answer.
 				k.s.Reset(http2.ErrCodeCancel)
 				delete(c.calls, k)
 			case !k.done && k.handle == nil && now-k.startedAt > front.RequestReadTimeout:
-				// Guards streams against calls that begin and never end.
+				// Frees streams held by calls whose request is never completed.
 				k.endWithStatus(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
 			}
 		}
@@ -405,7 +415,7 @@
 		case c.closeDeadline > 0 && now > c.closeDeadline:
 			c.conn.Close(transport.BadInput)
 		case rests && !c.hasCalled && now-c.lastDataAt > front.RequestReadTimeout, rests && now-c.lastDataAt > keep:
-			// Guards descriptors against clients that keep what they don't use.
+			// Frees file descriptors held by clients that keep unused connections open.
 			c.h2.GoAway()
 			c.conn.Close(transport.LocalIdle)
 		}
@@ -413,7 +423,8 @@
 	f.core.After(front.SweepInterval, f.sweep)
 }
 
-// Stop lets clients open no new calls and closes each connection once it rests.
+// Stop sends GOAWAY on each connection, so that clients open no new calls, and has each
+// connection closed once it is idle.
 func (f *Front) Stop() {
 	f.closing = true
 	for c := range f.clients {
--- a/internal/front/platform/evidence.go
+++ b/internal/front/platform/diagnostics.go
@@ -8,13 +8,13 @@
 	"kiteloft/internal/transport"
 )
 
-// What follows is logged always, so that a query that somebody says was lost can be
-// followed by its id though nobody had traces on. Each line is rare in good times.
+// The log lines of this file are always written, so that a query that is reported as lost can
+// be found by its id even if tracing was off. Each is rare in normal operation.
 
 var requestIDField = []byte("req-id:")
 
-// LateData implements transport.LateDataHandler: it notes that a request came on a connection that
-// was being closed, so that its client has to ask again.
+// LateData implements transport.LateDataHandler. It logs that a request arrived on a connection
+// that was being closed, so that its client has to send it again.
 func (c *client) LateData(b []byte) {
 	i := bytes.Index(bytes.ToLower(b), requestIDField)
 	if i < 0 {
@@ -26,7 +26,8 @@
 		Dur("closing_ms", now-(c.closeDeadline-front.LingerTimeout)).Msg("request came on a connection that is closing")
 }
 
-// logInterrupted notes that a connection ended with a query open on it, or just under an answer.
+// logInterrupted logs that a connection ended with a query open on it, or so soon after an
+// answer that the client may not have received it.
 func (c *client) logInterrupted(e transport.End) {
 	now := c.f.core.Now()
 	switch {
@@ -37,12 +38,13 @@
 	}
 }
 
-// logIfLate notes that an answer leaves after its time.
+// logIfLate logs an answer that is sent after the client's deadline.
 func (r *request) logIfLate(status int) {
 	if now := r.c.f.core.Now(); now > r.deadline {
 		r.c.f.sampledLog.Warn().Str("id", r.id).Int("status", status).Dur("late_ms", now-r.deadline).Msg("answer leaves after its time")
 	}
 }
 
-// lostAnswerWindow is how soon after an answer the end of its connection may have taken it along.
+// lostAnswerWindow is the time after an answer in which the end of its connection may have kept
+// the client from receiving it.
 const lostAnswerWindow = 100 * time.Millisecond
--- a/internal/front/platform/pipeline.go
+++ b/internal/front/platform/pipeline.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	maxPipelined     = 64  // requests that are read behind the one that is being answered
-	assumedHeadBytes = 512 // bytes that a request without its body counts for
-	// maxAnswerDelay is how long after its time a request may be answered: half a second later it
-	// counts as lost (the operators' terms), and we may be held up.
+	maxPipelined     = 64  // requests that are parsed ahead while one is being answered
+	assumedHeadBytes = 512 // bytes counted for a request besides its body
+	// maxAnswerDelay is how long after its deadline a request may be answered. By the operators'
+	// acceptance terms a request counts as lost half a second after it; the process may be
+	// stalled for gate.MaxProcessPause, and 50 ms are kept as a margin.
 	maxAnswerDelay = 500*time.Millisecond - gate.MaxProcessPause - 50*time.Millisecond
 )
 
-// pipeline holds requests that were read behind the one that is being answered.
+// pipeline holds the requests that were parsed while an earlier one is being answered.
 type pipeline []pipelinedRequest
 
-// pipelinedRequest is a request that was whole at a time.
+// pipelinedRequest is a request and when its last byte arrived.
 type pipelinedRequest struct {
 	message    *http1.Message
 	receivedAt time.Duration
 }
 
-// size is how many bytes the requests count for.
+// size returns how many bytes the requests count as.
 func (p pipeline) size() int {
 	n := 0
 	for _, w := range p {
@@ -33,7 +34,8 @@
 	return n
 }
 
-// nextRequest returns the next request and when it was whole; nil: there is none yet.
+// nextRequest returns the next complete request and when its last byte arrived, or nil if there
+// is none yet.
 func (c *client) nextRequest() (*http1.Message, time.Duration, error) {
 	if len(c.pipelined) > 0 {
 		first := c.pipelined[0]
@@ -48,8 +50,8 @@
 	return message, c.arrivalTimes.lastByteAt(c.parser.Buffered(), c.f.core.Now()), nil
 }
 
-// readAhead reads requests behind the one that is being answered. A fault among them shows when
-// it is their turn.
+// readAhead parses requests behind the one that is being answered. A malformed one is rejected
+// when it is its turn.
 func (c *client) readAhead() {
 	for c.current != nil && len(c.pipelined) < maxPipelined {
 		m, err := c.parser.Next()
@@ -64,20 +66,20 @@
 	c.limitCurrent()
 }
 
-// limitCurrent has the request that is being answered end before one behind it counts as lost: answers
-// go out in the order of the requests.
+// limitCurrent has the request that is being answered fail before a pipelined one counts as
+// lost, because answers are sent in the order of the requests.
 func (c *client) limitCurrent() {
 	if c.current == nil {
 		return
 	}
 	for _, w := range c.pipelined {
-		if left, ok := parseDeadline(w.message); ok { // else it is refused as malformed
+		if left, ok := parseDeadline(w.message); ok { // otherwise it is going to be rejected as malformed
 			c.current.failBy(w.receivedAt + left + maxAnswerDelay)
 		}
 	}
 }
 
-// failBy has the request fail by then; the earliest moment counts.
+// failBy has the request fail at a time at the latest. The earliest of several times counts.
 func (r *request) failBy(at time.Duration) {
 	if r.failDeadline == 0 || at < r.failDeadline {
 		r.failDeadline = at
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the front for the platform's protocol: queries as HTTP/1.1
-// requests with JSON bodies. All of it runs on the core's goroutine.
+// Package platform serves clients over the platform's protocol: queries are HTTP/1.1 requests
+// with JSON bodies. Everything except Accept runs on the core's goroutine.
 package platform
 
 import (
@@ -22,20 +22,21 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	maxBufferedBytes = http1.MaxHeadBytes + 2*http1.MaxBodyBytes // bytes of requests that wait for an answer before them
-	drainIdleTimeout = 100 * time.Millisecond                    // how long a connection rests before it is closed at the end
+	maxBufferedBytes = http1.MaxHeadBytes + 2*http1.MaxBodyBytes // bytes of requests on a connection that wait for earlier answers
+	drainIdleTimeout = 100 * time.Millisecond                    // idle time after which a connection is closed during shutdown
 	httpVersion      = "HTTP/1.1 "
-	// maxDeadlineMS is the longest deadline that is taken for one: a day.
+	// maxDeadlineMS is the longest deadline that is accepted: one day.
 	maxDeadlineMS = 24 * 3600 * 1000
 )
 
-// Front serves clients.
+// Front serves clients of the platform's protocol. Its methods, except Accept, may only be
+// called on the core's goroutine.
 type Front struct {
 	core          front.Core
 	classes       map[string]int
 	tenants       map[string]int
 	classSettings []decide.Class
-	sampledLog    zerolog.Logger // lines on malformed requests
+	sampledLog    zerolog.Logger // for lines that clients can cause, sampled
 	clients       map[*client]struct{}
 	limit         front.ConnectionLimit
 	closing       bool
@@ -43,60 +44,60 @@
 	audit         Audit
 }
 
-// Audit counts over the life of the mixer: each request that was read whole is answered,
-// unless its client has gone.
+// Audit counts requests over the life of the mixer. Each request that was received completely
+// is answered, unless its client has gone, which makes it abandoned.
 type Audit struct{ Received, Answered, Abandoned int64 }
 
-// Audit tells what was asked, and what became of it.
+// Audit returns the counts so far.
 func (f *Front) Audit() Audit { return f.audit }
 
-// Clients is the number of connections.
+// Clients returns the number of open client connections.
 func (f *Front) Clients() int { return len(f.clients) }
 
-// Drain tells those who check our health to send nobody here any more.
+// Drain makes readiness checks fail, so that no new clients are sent here.
 func (f *Front) Drain() { f.ready = false }
 
-// New returns a Front for the classes and tenants. It answers that it is ready once
-// Ready is called.
+// New returns a Front for the classes and tenants. Readiness checks fail until Ready is called.
 func New(core front.Core, classes []decide.Class, tenants []decide.Tenant, limit front.ConnectionLimit, log zerolog.Logger) *Front {
 	return &Front{core: core, limit: limit, classes: front.ClassIndexes(classes), tenants: front.TenantIndexes(tenants), classSettings: classes, sampledLog: front.Sampled(log), clients: map[*client]struct{}{}}
 }
 
-// Ready lets health checks pass and starts to look after connections.
+// Ready makes readiness checks succeed and starts the periodic check of connections for
+// timeouts.
 func (f *Front) Ready() {
 	f.ready = true
 	f.core.After(front.SweepInterval, f.sweep)
 }
 
-// client is one connection and its requests, answered one after another.
+// client is one connection and its requests, which are answered in order.
 type client struct {
 	f                *Front
 	conn             front.Conn
 	parser           *http1.Parser
 	pipelined        pipeline
-	current          *request // the one that is being answered
+	current          *request // the request that is being answered
 	closing          bool
-	idleSince        time.Duration // since when nothing is open
-	hasRequested     bool          // a whole request has come
-	closeDeadline    time.Duration // closing: when the connection is closed at the latest
-	requestStartedAt time.Duration // when the request that is coming in began; 0: none is
+	idleSince        time.Duration // since when no request has been open
+	hasRequested     bool          // at least one request has been received completely
+	closeDeadline    time.Duration // if closing: when the connection is closed at the latest
+	requestStartedAt time.Duration // when the request that is being received began; 0: none is
 	arrivalTimes     arrivals
-	overflowed       bool   // more came than is held: what follows is passed over
-	lastAnsweredID   string // the id of the query answered last
+	overflowed       bool   // the client sent more than is buffered; the rest is ignored
+	lastAnsweredID   string // id of the query that was answered last
 }
 
-// request is a query's way back to its client. It implements broker.Responder.
+// request is an admitted query. It implements broker.Responder.
 type request struct {
 	c            *client
 	handle       *broker.QueryHandle
 	close        bool
 	id           string
 	admittedAt   time.Duration
-	deadline     time.Duration // when its time is up
-	failDeadline time.Duration // by when it fails for the sake of those behind it; 0: nobody hurries it
+	deadline     time.Duration // when the client's deadline passes
+	failDeadline time.Duration // when it fails so that pipelined requests are answered in time; 0: no limit
 }
 
-// Accept takes a new connection. Unlike all else here, it may be called on any
+// Accept registers a new connection and returns its handler. It may be called on any
 // goroutine.
 func (f *Front) Accept(conn front.Conn) transport.Handler {
 	c := &client{f: f, conn: conn, parser: http1.NewRequestParser()}
@@ -110,10 +111,10 @@
 	return c
 }
 
-// closeIdlest closes a connection that has had our last words, or else the one that
-// has rested longest. It guards descriptors against clients that open connections
-// without end: one between requests may be closed, one that is turned away at the
-// door may hold a request.
+// closeIdlest closes a connection that is closing and has been sent its last answer, or else
+// the one that has been idle for longest. It keeps file descriptors free when clients open too
+// many connections. Closing one that is between requests is safe, whereas a new connection
+// that is rejected at the limit may already hold a request.
 func (f *Front) closeIdlest() {
 	var oldest *client
 	for c := range f.clients {
@@ -139,14 +140,15 @@
 	c.arrivalTimes.add(len(b), c.f.core.ReadClock()-c.conn.InputDelay())
 	c.serveNext()
 	c.readAhead()
-	// Guards memory against a client that pipelines without end. What was read whole is owed
-	// an answer.
+	// Bounds the memory for a client that pipelines without limit. Requests that have been
+	// received completely are still answered.
 	if c.current != nil && c.parser.Buffered()+c.pipelined.size() > maxBufferedBytes {
 		c.overflowed = true
 	}
 }
 
-// Truncated implements transport.Truncated.
+// Truncated implements transport.Truncated. Bytes of the client were dropped, so nothing after
+// them can be parsed.
 func (c *client) Truncated() {
 	if !c.closing {
 		c.overflowed = true
@@ -154,7 +156,7 @@
 	}
 }
 
-// serveNext serves the requests that are whole, until one has to wait for its answer.
+// serveNext handles complete requests until one has to wait for its answer.
 func (c *client) serveNext() {
 	for c.current == nil && !c.closing {
 		m, at, err := c.nextRequest()
@@ -185,17 +187,19 @@
 	c.limitCurrent()
 }
 
+// rejectMalformed answers with the status of an http1.Error, or 400, and closes the connection.
 func (c *client) rejectMalformed(err error) {
 	status, why := 400, err.Error()
 	if e, ok := err.(*http1.Error); ok {
 		status, why = e.Status, e.Reason
 	}
 	c.f.sampledLog.Info().Int("status", status).Str("why", why).Msg("request refused as malformed")
-	c.f.audit.Received++ // it has an answer, too
+	c.f.audit.Received++ // the rejection counts as an answer
 	c.reply(status, "text/plain", []byte(why+"\n"), 0, true)
 }
 
-// serve answers a request that was whole at a time.
+// serve answers a request, or submits its query to the core. The argument at is when the
+// request was received completely.
 func (c *client) serve(m *http1.Message, at time.Duration) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	text := func(status int, body string) { c.reply(status, "text/plain", []byte(body+"\n"), 0, m.Close) }
@@ -222,8 +226,8 @@
 		text(status, why)
 		return
 	}
-	// Its time began when it was whole: it may have waited for our turn, and a pipelined one
-	// for the answers before it.
+	// The deadline counts from when the request was complete. Since then it may have waited for
+	// the event loop and, if pipelined, for earlier answers.
 	now := c.f.core.Now()
 	if q.Left -= now - at; q.Left <= 0 {
 		text(504, "out of time")
@@ -247,13 +251,15 @@
 	}
 }
 
-// parseDeadline is how long a request's client waits; false: it does not say so as it has to.
+// parseDeadline returns how long the request's client waits, and whether the header is present
+// and valid.
 func parseDeadline(m *http1.Message) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(m.Header.Get("req-deadline-ms"), 10, 64)
 	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0 && ms <= maxDeadlineMS
 }
 
-// parseQuery reads a query; a status other than 0 says why it is none.
+// parseQuery parses a query. A status other than 0 is the HTTP status of the rejection, and why
+// its text for the client.
 func (f *Front) parseQuery(m *http1.Message, path string) (q broker.Query, status int, why string) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	class, ok := f.classes[name]
@@ -296,7 +302,7 @@
 		b = append(b, `,"body":`...)
 		s, err := json.Marshal(string(v.Body))
 		if err != nil {
-			s = []byte(`""`) // a string always has a form
+			s = []byte(`""`) // not reached: a string can always be encoded
 		}
 		b = append(append(b, s...), '}')
 	}
@@ -317,6 +323,7 @@
 	r.finish(500, "text/plain", []byte("failed\n"), 0)
 }
 
+// finish sends the answer and has the next pipelined request served.
 func (r *request) finish(status int, kind string, body []byte, after time.Duration) {
 	c := r.c
 	if c.current != r {
@@ -325,20 +332,22 @@
 	r.logIfLate(status)
 	c.current, c.lastAnsweredID = nil, r.id
 	c.reply(status, kind, body, after, r.close)
-	// The next pipelined request is taken in a turn of its own: this one may be
-	// within a step.
+	// The next pipelined request is served in a turn of its own, because this call may come
+	// from within a step of the core.
 	c.f.core.After(0, c.serveNext)
 }
 
+// reply sends a response with a body.
 func (c *client) reply(status int, kind string, body []byte, after time.Duration, closes bool) {
 	c.respond(status, kind, len(body), body, after, closes)
 }
 
-// respond sends a response; the answer to HEAD has a length and no body.
+// respond sends a response. The response to HEAD has a length and no body. A positive after is
+// sent as Retry-After. If closes is set, the connection is closed behind the response.
 func (c *client) respond(status int, kind string, length int, body []byte, after time.Duration, closes bool) {
-	// Guards descriptors, and the connections that clients may hold, against clients
-	// that ask once and keep what they don't use.
-	// What has been read behind this request is owed an answer, too.
+	// Frees file descriptors, and the connections that clients may hold, from clients that
+	// send one request and keep the connection. Requests that have been received behind this
+	// one still get an answer, so mayClose allows no close then.
 	closes = closes || (c.f.closing || c.f.limit.HalfUsed()) && c.mayClose()
 	c.conn.Write(append(responseHead(status, kind, length, after, closes), body...))
 	c.f.audit.Answered++
@@ -353,6 +362,7 @@
 	501: "Not Implemented", 503: "Service Unavailable",
 	504: "Gateway Timeout"}
 
+// responseHead returns the status line and header fields.
 func responseHead(status int, kind string, length int, after time.Duration, closes bool) []byte {
 	b := append([]byte(httpVersion), strconv.Itoa(status)...)
 	b = append(append(b, ' '), reasons[status]...)
@@ -369,26 +379,28 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// startClosing closes the connection once all that was written has had its time to arrive.
+// startClosing stops reading and writing. The connection is closed after front.LingerTimeout,
+// so that the client can read what has been written.
 func (c *client) startClosing() {
 	if c.closing {
 		return
 	}
 	c.closing, c.closeDeadline = true, c.f.core.Now()+front.LingerTimeout
-	c.parser, c.arrivalTimes, c.pipelined = http1.NewRequestParser(), arrivals{}, nil // what came in holds no memory any more
+	c.parser, c.arrivalTimes, c.pipelined = http1.NewRequestParser(), arrivals{}, nil // frees the buffered input
 	c.conn.Finish(transport.LocalDone)
 }
 
-// HalfClosed implements transport.Handler. A client of this protocol that sends no more
-// has closed its connection and is gone: TCP shows a close and the end of one direction as
-// the same FIN. Nothing begins for it from here on, so its query ends in this turn, before
-// the module's next step; what it had sent behind that is not looked at.
+// HalfClosed implements transport.Handler. In this protocol a client that stops sending has
+// closed its connection: TCP signals a close and the shutdown of one direction by the same FIN.
+// No attempt may start for it from here on, so its query ends in this turn, before the next step
+// of the module. Pipelined requests that it had sent are discarded.
 func (c *client) HalfClosed() {
 	c.abandonOpen(transport.PeerClosed)
 	c.conn.Close(transport.PeerClosed)
 }
 
-// ReadEOF implements transport.ReadEOFHandler.
+// ReadEOF implements transport.ReadEOFHandler: the client has closed its connection, as in
+// HalfClosed.
 func (c *client) ReadEOF() { c.HalfClosed() }
 
 // Ended implements transport.Handler.
@@ -397,7 +409,7 @@
 	c.abandonOpen(e)
 }
 
-// abandonOpen ends what is open for a client that is not there any more.
+// abandonOpen ends the open query of a client that has gone.
 func (c *client) abandonOpen(e transport.End) {
 	c.logInterrupted(e)
 	c.closing = true
@@ -408,21 +420,22 @@
 	}
 }
 
-// idle tells whether nothing is open for the client, and nothing has begun to come in.
+// idle reports whether no request is open and none has been received in part.
 func (c *client) idle() bool { return !c.closing && c.current == nil && !c.hasPendingInput() }
 
-// hasPendingInput tells whether something has come of a request that is not answered yet.
+// hasPendingInput reports whether a request that is not being answered yet has been received,
+// completely or in part.
 func (c *client) hasPendingInput() bool { return c.parser.Started() || len(c.pipelined) > 0 }
 
-// mayClose tells whether the connection may be ended without a further answer.
+// mayClose reports whether the connection may be closed without a further answer.
 func (c *client) mayClose() bool {
 	state := gate.Connection{Open: c.current != nil, PartialRequest: c.hasPendingInput()}
-	// The system is asked last.
+	// InputDrained makes a system call, so it is checked last.
 	state.UnreadBytes = !state.Open && !state.PartialRequest && !c.conn.InputDrained()
 	return !c.closing && gate.Close(state) == gate.Allowed
 }
 
-// sweep looks after connections that no event comes for.
+// sweep enforces the timeouts of connections and runs every front.SweepInterval.
 func (f *Front) sweep() {
 	now, keep := f.core.Now(), front.IdleTimeout(f.limit)
 	for c := range f.clients {
@@ -434,11 +447,11 @@
 			}
 		case c.current != nil:
 		case !c.hasRequested && idle && now-c.idleSince > front.RequestReadTimeout && c.mayClose():
-			// Guards descriptors against clients that connect and say nothing.
+			// Frees file descriptors held by clients that connect and send nothing.
 			c.startClosing()
 		case !idle && c.requestStartedAt > 0 && now-c.requestStartedAt > front.RequestReadTimeout:
-			// And against those that begin a request and never end it. One that came behind
-			// another has not been looked at yet: it has no beginning.
+			// The same for clients that never complete a request. A request behind one that
+			// is being answered has not been parsed yet, so it has no start time.
 			c.rejectMalformed(&http1.Error{Status: 408, Reason: "the request was not whole in time"})
 		case idle && (f.closing && now-c.idleSince > drainIdleTimeout || now-c.idleSince > keep) && c.mayClose():
 			c.startClosing()
@@ -447,7 +460,7 @@
 	f.core.After(front.SweepInterval, f.sweep)
 }
 
-// Stop answers what is open and closes each connection once it rests.
+// Stop has each connection closed once its requests are answered and it is idle.
 func (f *Front) Stop() {
 	f.closing = true
 }
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -15,7 +15,8 @@
 	"kiteloft/internal/transport"
 )
 
-// fakeCore is a core that notes what it is asked, and holds its timers until time passes.
+// fakeCore implements front.Core. It records admitted queries and runs its timers when the test
+// advances the time.
 type fakeCore struct {
 	now      time.Duration
 	timers   []func()
@@ -31,7 +32,7 @@
 	return broker.Taken, nil
 }
 
-// advance lets time go by and runs what was waiting for that.
+// advance moves the clock and runs all timers that were set.
 func (d *fakeCore) advance(t time.Duration) {
 	d.now += t
 	list := d.timers
@@ -41,7 +42,7 @@
 	}
 }
 
-// fakeConn is a connection; loud says that something on it has not been looked at.
+// fakeConn implements front.Conn. If unread is set, bytes from the client have not been handled.
 type fakeConn struct {
 	written string
 	unread  bool
@@ -56,7 +57,7 @@
 func (l *fakeConn) Flushed() bool             { return true }
 func (l *fakeConn) Finish(e transport.End)    { l.closes = append(l.closes, e) }
 
-// fakeLimit is room for all, or hardly any.
+// fakeLimit implements front.ConnectionLimit.
 type fakeLimit struct{ crowded bool }
 
 func (s fakeLimit) NearLimit() bool { return s.crowded }
@@ -74,12 +75,12 @@
 		tenants      []decide.Tenant
 		want         int
 	}{
-		{"the first", "Req-Owner: retail\r\n", tenants, 0},
-		{"the second", "req-owner:export\r\n", tenants, 1},
-		{"one that the settings don't know", "Req-Owner: Export\r\n", tenants, front.NoTenant},
-		{"nobody", "", tenants, front.NoTenant},
-		{"two at once", "Req-Owner: retail\r\nReq-Owner: export\r\n", tenants, front.NoTenant},
-		{"where there are none", "Req-Owner: retail\r\n", nil, front.NoTenant},
+		{"first tenant", "Req-Owner: retail\r\n", tenants, 0},
+		{"second tenant", "req-owner:export\r\n", tenants, 1},
+		{"unknown tenant", "Req-Owner: Export\r\n", tenants, front.NoTenant},
+		{"no header", "", tenants, front.NoTenant},
+		{"two headers", "Req-Owner: retail\r\nReq-Owner: export\r\n", tenants, front.NoTenant},
+		{"no tenants in the settings", "Req-Owner: retail\r\n", nil, front.NoTenant},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -87,24 +88,25 @@
 			f := New(d, []decide.Class{{Name: "read"}}, tt.tenants, fakeLimit{}, zerolog.Nop())
 			f.Accept(&fakeConn{}).Data(queryRequest(tt.header))
 			if len(d.admitted) != 1 || d.admitted[0].Tenant != tt.want {
-				t.Errorf("asked %+v, want tenant %d", d.admitted, tt.want)
+				t.Errorf("admitted %+v, want tenant %d", d.admitted, tt.want)
 			}
 		})
 	}
 }
 
-// TestConnectionWithUnreadInputStaysOpen that has been read and not looked at, whatever it is to
-// be shut for.
+// TestConnectionWithUnreadInputStaysOpen guards against requests that are lost because the
+// connection is closed while bytes of the client have arrived and have not been parsed, for
+// each reason to close.
 func TestConnectionWithUnreadInputStaysOpen(t *testing.T) {
 	for _, unread := range []bool{false, true} {
 		tests := []struct {
 			name string
 			do   func(d *fakeCore, f *Front, c *client)
 		}{
-			{"it rests for too long", func(d *fakeCore, _ *Front, c *client) { c.hasRequested = true; d.advance(time.Hour) }},
-			{"it has said nothing", func(d *fakeCore, _ *Front, _ *client) { d.advance(front.RequestReadTimeout + time.Second) }},
-			{"the mixer ends", func(d *fakeCore, f *Front, c *client) { c.hasRequested = true; f.Stop(); d.advance(time.Second) }},
-			{"room is made for another", func(_ *fakeCore, f *Front, _ *client) { f.closeIdlest() }},
+			{"idle timeout", func(d *fakeCore, _ *Front, c *client) { c.hasRequested = true; d.advance(time.Hour) }},
+			{"no request after connect", func(d *fakeCore, _ *Front, _ *client) { d.advance(front.RequestReadTimeout + time.Second) }},
+			{"shutdown", func(d *fakeCore, f *Front, c *client) { c.hasRequested = true; f.Stop(); d.advance(time.Second) }},
+			{"connection limit near", func(_ *fakeCore, f *Front, _ *client) { f.closeIdlest() }},
 		}
 		for _, tt := range tests {
 			t.Run(fmt.Sprintf("%s, %v", tt.name, unread), func(t *testing.T) {
@@ -114,14 +116,16 @@
 				f.Ready()
 				tt.do(d, f, c)
 				if shut := len(l.closes) > 0; shut == unread {
-					t.Errorf("it was shut: %v", shut)
+					t.Errorf("connection closed: %v, want the opposite", shut)
 				}
 			})
 		}
 	}
 }
 
-// TestAnswerClosesOnlyConnectionsWithoutUnreadInput: few descriptors, or the mixer's end.
+// TestAnswerClosesOnlyConnectionsWithoutUnreadInput checks that an answer ends its connection,
+// when connections are scarce or the mixer is shutting down, only if no further input of the
+// client is waiting.
 func TestAnswerClosesOnlyConnectionsWithoutUnreadInput(t *testing.T) {
 	for _, unread := range []bool{false, true} {
 		for _, why := range []string{"descriptors", "end"} {
@@ -132,7 +136,7 @@
 			d.admitted[0].Responder.Failed(false)
 			got := []bool{strings.Contains(l.written, "Connection: close"), len(l.closes) > 0}
 			if diff := cmp.Diff([]bool{!unread, !unread}, got); diff != "" {
-				t.Errorf("%s, something waits %v: %s", why, unread, diff)
+				t.Errorf("%s, unread input %v: %s", why, unread, diff)
 			}
 		}
 	}
--- a/internal/front/query.go
+++ b/internal/front/query.go
@@ -1,5 +1,5 @@
-// Package front holds what the fronts share: the form of a query's body and the
-// rules for what clients name.
+// Package front holds what the client-facing protocols share: the interfaces to the core and
+// to client connections, timeouts, the JSON form of a query and the rules for identifiers.
 package front
 
 import (
@@ -19,49 +19,61 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	weightTolerance    = 0.01 // by how much written shares may miss 1 for rounding
+	weightTolerance    = 0.01 // largest difference from 1 of the sum of a query's weights, for rounding
 	maxParts           = 4096
 	maxIdentifierBytes = 128
-	// GeneratedIDPrefix begins the ids of queries that come without one. A client's id may
-	// not begin so: ids of different fronts can't collide.
+	// GeneratedIDPrefix starts the ids that a front generates for queries that arrive without
+	// one. Ids from clients must not start with it, so that ids of different fronts can't
+	// collide.
 	GeneratedIDPrefix = "fl-"
 )
 
-// OverloadRetryAfter is how long a client is told to stay away when too much is open.
+// OverloadRetryAfter is the delay before a retry that a client is told when too many queries
+// are open or the process is shutting down.
 const OverloadRetryAfter = 250 * time.Millisecond
 
-// Core is what a front needs of the core.
+// Core is the part of broker.Core that a front uses. Except for Post, its methods may only be
+// called on the core's goroutine.
 type Core interface {
+	// Now returns the time at which the current turn of the event loop began.
 	Now() time.Duration
-	// ReadClock is the clock at this very moment, where Now is that of the present turn.
+	// ReadClock reads the clock, without waiting for the next turn.
 	ReadClock() time.Duration
+	// After calls fn on the core's goroutine once d has passed.
 	After(d time.Duration, fn func())
+	// Admit submits a query. Unless it returns broker.Taken, the front answers the client.
 	Admit(q broker.Query) (broker.Admission, *broker.QueryHandle)
+	// Post has fn called on the core's goroutine. It may be called on any goroutine.
 	Post(fn func())
 }
 
-// Conn is a connection to a client.
+// Conn is a connection to a client, as transport.Conn implements it.
 type Conn interface {
+	// Write queues b for sending.
 	Write(b []byte) int64
+	// Close closes the connection and records e as the reason.
 	Close(e transport.End)
+	// CloseIfReset closes the connection if the client has reset it.
 	CloseIfReset()
+	// Flushed reports whether all written bytes have been sent.
 	Flushed() bool
-	// InputDelay is how long the bytes of the present Data have waited for us.
+	// InputDelay returns, within Data, how long its bytes have waited since they arrived.
 	InputDelay() time.Duration
-	// InputDrained reports whether nothing that the client has sent waits for us.
+	// InputDrained reports whether no bytes from the client are waiting to be handled.
 	InputDrained() bool
-	// Finish says our last words; Close has to follow if the peer does not leave.
+	// Finish ends reading and writing: what has been written is still sent. The caller has
+	// to call Close if the peer does not close the connection.
 	Finish(e transport.End)
 }
 
-// ConnectionLimit tells of the connections that may be open.
+// ConnectionLimit reports how near the number of open connections is to its limit.
 type ConnectionLimit interface {
-	NearLimit() bool // there is hardly room for more
-	HalfUsed() bool  // half of them are
+	NearLimit() bool // accepted connections will soon be closed
+	HalfUsed() bool  // more than half of the allowed connections are open
 }
 
-// IdleTimeout is how long a connection may rest between requests: less while descriptors
-// get fewer.
+// IdleTimeout returns how long a connection may stay open between requests. It is shorter
+// while more than half of the allowed connections are open, to free file descriptors.
 func IdleTimeout(r ConnectionLimit) time.Duration {
 	if r.HalfUsed() {
 		return reducedIdleTimeout
@@ -72,17 +84,21 @@
 const (
 	normalIdleTimeout  = 30 * time.Second
 	reducedIdleTimeout = 2 * time.Second
-	// SweepInterval is how often a front looks after connections that no event comes for.
+	// SweepInterval is how often a front checks its connections for timeouts, which no event
+	// from the connection reports.
 	SweepInterval = 250 * time.Millisecond
-	// RequestReadTimeout is by when a client has to have said what it wants: after it
-	// connected, and after it began.
+	// RequestReadTimeout limits the time from a client's connect to its first request, and
+	// from a request's first byte to its last.
 	RequestReadTimeout = 2 * time.Second
-	// LingerTimeout is how long a client gets to take our last words and leave.
+	// LingerTimeout is how long a client has to read the last answer and close its side
+	// before the connection is closed.
 	LingerTimeout = 5 * time.Second
-	// ResetWait is by when a client that has closed answers what is sent with a reset.
+	// ResetWait is how long after sending to check for a reset, with which a client that has
+	// closed its connection answers.
 	ResetWait = 20 * time.Millisecond
 )
 
+// queryBody is the JSON form of a query.
 type queryBody struct {
 	Slices []struct {
 		Slice  *int     `json:"slice"`
@@ -92,11 +108,12 @@
 	Filter string `json:"filter"`
 }
 
-// ParseBody reads a query's parts and text into q.
+// ParseBody reads the JSON form of a query and sets the parts and text of q. The texts of its
+// errors are sent to the client.
 func ParseBody(text []byte, q *broker.Query) error {
 	var b queryBody
 	if err := json.Unmarshal(text, &b); err != nil {
-		return errors.New("the body is not a query") // the library's words repeat the client's
+		return errors.New("the body is not a query") // the library's error quotes the client's input
 	}
 	if len(b.Slices) == 0 || len(b.Slices) > maxParts {
 		return errors.New("slices: none, or too many")
@@ -120,8 +137,10 @@
 	return nil
 }
 
-// ApplyIdempotencyKey checks an idempotency key; it stands in a frame's list. Only keyed
-// classes keep it.
+// ApplyIdempotencyKey checks an idempotency key and sets it in q if the class c deduplicates
+// by key; such a class requires one. The separators ',', '=' and '+' are not allowed in a key,
+// because it is sent to nodes as an element of a list. The texts of the errors are sent to the
+// client.
 func ApplyIdempotencyKey(key string, c *decide.Class, q *broker.Query) error {
 	switch {
 	case key != "" && (!ValidIdentifier(key) || strings.ContainsAny(key, ",=+")):
@@ -135,12 +154,14 @@
 	return nil
 }
 
-// Sampled thins lines that clients can cause at will.
+// Sampled returns a logger that drops lines above 10 per second, for log lines that clients
+// can cause as often as they like.
 func Sampled(log zerolog.Logger) zerolog.Logger {
 	return log.Sample(&zerolog.BurstSampler{Burst: 10, Period: time.Second})
 }
 
-// ValidIdentifier tells whether s can stand in a frame's line.
+// ValidIdentifier reports whether s can be sent in a line of a frame: 1 to 128 printable ASCII
+// characters without spaces.
 func ValidIdentifier(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -150,11 +171,11 @@
 	return s != "" && len(s) <= maxIdentifierBytes
 }
 
-// NoTenant is the tenant of a query that names none, or one that the settings don't know:
-// it uses up nobody's share.
+// NoTenant is the tenant of a query that names none, or one that is not in the settings. Such
+// a query does not count against any tenant's allowance.
 const NoTenant = -1
 
-// TenantIndexes finds tenants by name.
+// TenantIndexes returns each tenant's index in list by its name.
 func TenantIndexes(list []decide.Tenant) map[string]int {
 	m := map[string]int{}
 	for i, t := range list {
@@ -163,7 +184,7 @@
 	return m
 }
 
-// ClassIndexes finds classes by name.
+// ClassIndexes returns each class's index in list by its name.
 func ClassIndexes(list []decide.Class) map[string]int {
 	m := map[string]int{}
 	for i, c := range list {
