--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where the mixer's configuration is read,
-// checked and given defaults. Its errors name the faulty key.
+// Package config reads the mixer's configuration, checks it and applies defaults. The mixer
+// reads it nowhere else. Errors name the faulty key.
 package config
 
 import (
@@ -23,36 +23,36 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Config is all that the mixer is told.
+// Config is the mixer's configuration.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int64
-	Sockets    int
+	Name       string  // of this mixer
+	Listen     string  // address and port of the platform's front
+	Discovery  string  // address and port of the discovery service
+	Seed       uint64  // of random numbers
+	Cores      float64 // CPU cores that the process may use
+	MemoryMB   int64   // memory that the process may use
+	Sockets    int     // sockets that the process may open
 	KnownNodes discovery.List
 	Settings   settings.Settings
 
-	FlightListen   string // "": no Arrow Flight front
-	IPFIXCollector string // "": no export of flows
+	FlightListen   string // "": do not serve Arrow Flight
+	IPFIXCollector string // "": do not export flows
 	Tracing        Tracing
-	Fleet          *link.Config   // nil: this mixer knows of no others
-	Accord         *accord.Config // nil: they agree on no settings
-	LeaveZones     bool           // they leave zones that fail, and return, by what all see
-	ShareLists     bool           // they tell each other what discovery told them
+	Fleet          *link.Config   // nil: this mixer does not communicate with others
+	Accord         *accord.Config // nil: the fleet has no agreed settings
+	LeaveZones     bool           // the fleet leaves failing zones, and returns, by what all members observe
+	ShareLists     bool           // members share the node lists that they got from discovery
 }
 
-// Tracing says what becomes of traces. Without a collector and a directory, none are
+// Tracing configures the recording of traces. Without a collector and a directory, none are
 // recorded.
 type Tracing struct {
-	Collector   string // URL of a collector that takes OTLP over HTTP; "": none
-	Directory   string // of segment files; "": none
-	MemoryKB    int    // that traces held may take, about
-	Spans       float64
-	SegmentMB   int // size of a segment file
-	MaxSegments int // segment files that are left in the directory
+	Collector   string  // URL of a collector that accepts OTLP over HTTP; "": none
+	Directory   string  // for segment files; "": none
+	MemoryKB    int     // approximate memory for traces that are held
+	Spans       float64 // recorded per second
+	SegmentMB   int     // size of a segment file
+	MaxSegments int     // segment files that are kept in the directory
 }
 
 // On reports whether traces are recorded.
@@ -67,14 +67,13 @@
 
 	defaultTraceMemoryKB  = 4096
 	minTraceMemoryKB      = 64
-	traceMemoryDivisor    = 4 // one in so many bytes of the memory may hold traces
+	traceMemoryDivisor    = 4 // at most this fraction of the memory may hold traces
 	defaultSpansPerSecond = 200
 	defaultSegmentMB      = 8
 	defaultMaxSegments    = 32
 )
 
-// RestartOnlyChanges names the keys in which the new configuration differs though they hold
-// from one start to the next.
+// RestartOnlyChanges returns the keys that differ in next and take effect only at a restart.
 func (c Config) RestartOnlyChanges(next Config) (keys []string) {
 	for _, k := range []struct {
 		name string
@@ -93,7 +92,7 @@
 	return keys
 }
 
-// mainFile is LB_CONFIG's.
+// mainFile is the JSON file that LB_CONFIG names.
 type mainFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -108,7 +107,7 @@
 	Settings   jsoniter.RawMessage `json:"settings"`
 }
 
-// brokerFile is deploy/brokerFile.toml's.
+// brokerFile is the project's own file, deploy/broker.toml.
 type brokerFile struct {
 	Flight struct {
 		Listen string `toml:"listen"`
@@ -127,14 +126,14 @@
 	Fleet fleetTable `toml:"fleet"`
 }
 
-// Load reads the environment, the file that LB_CONFIG names, and the project's
-// own file at tomlPath, which may be missing.
+// Load reads the environment, the file that LB_CONFIG names and the project's own file at
+// tomlPath, which may be missing. The environment overrides the file.
 func Load(getenv func(string) string, tomlPath string) (Config, error) {
 	return load(getenv, tomlPath, false)
 }
 
-// Reload reads the same again while the program runs. The file is newer than the
-// environment, so it wins where it names a key.
+// Reload reads the configuration again while the program runs. The file overrides the
+// environment, because it may be newer.
 func Reload(getenv func(string) string, tomlPath string) (Config, error) {
 	return load(getenv, tomlPath, true)
 }
@@ -146,7 +145,7 @@
 	}
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFileBytes {
-		err = errors.New("larger than any configuration")
+		err = errors.New("file exceeds the size limit")
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("LB_CONFIG: %w", err)
@@ -162,6 +161,7 @@
 	return c, c.readTOML(tomlPath)
 }
 
+// parseMainFile parses the file that LB_CONFIG names and applies the environment and defaults.
 func parseMainFile(text []byte, getenv func(string) string, again bool) (c Config, err error) {
 	var f mainFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -169,8 +169,8 @@
 	}
 	c = Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Cores: f.Limits.Cores,
 		MemoryMB: int64(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets)}
-	// At the start the environment says the same as the file; where they differ, it
-	// wins.
+	// At the start the environment is expected to agree with the file and overrides it. At a
+	// reload it only fills in keys that the file lacks.
 	for key, v := range map[string]*string{"LB_NAME": &c.Name, "LB_LISTEN": &c.Listen, "LB_DISCOVERY": &c.Discovery} {
 		if s := getenv(key); s != "" && !(again && *v != "") {
 			*v = s
@@ -216,10 +216,11 @@
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.KnownNodes.Complete = true // all that this mixer knows
+	c.KnownNodes.Complete = true // the list holds all nodes that this mixer knows
 	return c, nil
 }
 
+// readTOML reads the project's own file, in which unknown keys are errors.
 func (c *Config) readTOML(path string) error {
 	var b brokerFile
 	meta, err := toml.DecodeFile(path, &b)
@@ -249,6 +250,8 @@
 	return c.readFleet(path, &b.Fleet, meta.IsDefined("fleet"))
 }
 
+// readTracing checks the tracing table and applies defaults. The default memory is reduced on
+// a mixer with little memory; a value that is too large is an error.
 func (c *Config) readTracing(path string, b *brokerFile) error {
 	t := &b.Tracing
 	c.Tracing = Tracing{Collector: t.Collector, Directory: t.Directory, MemoryKB: cmp.Or(t.MemoryKB, defaultTraceMemoryKB),
@@ -259,7 +262,7 @@
 			err = errors.New("want http://address:port/path")
 		}
 		if err == nil {
-			_, err = netip.ParseAddrPort(u.Host) // there is no DNS
+			_, err = netip.ParseAddrPort(u.Host) // no DNS is available
 		}
 		if err != nil {
 			return fmt.Errorf("%s: tracing.collector: %w", path, err)
@@ -274,13 +277,14 @@
 	}
 	for key, x := range map[string]float64{"spans_per_second": t.Spans, "segment_mb": float64(t.SegmentMB), "segments": float64(t.Segments)} {
 		if !(x >= 0 && x <= 1e9) {
-			return fmt.Errorf("%s: tracing.%s: %g can't be", path, key, x)
+			return fmt.Errorf("%s: tracing.%s: %g is not between 0 and 1e9", path, key, x)
 		}
 	}
 	return nil
 }
 
-// checkAddress checks for an IP checkAddress and a port: there is no DNS.
+// checkAddress checks that s is an IP address and a port. Names are not accepted, because no DNS
+// is available.
 func checkAddress(key, s string) error {
 	if s == "" {
 		return fmt.Errorf("%s: missing", key)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,6 +12,7 @@
 "known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:9","phase":"active"}]},
 "settings":{"classes":[{"name":"a","semantics":"once"}]}}`
 
+// loadFiles calls Load with text as the main file and toml, unless empty, as the project's own.
 func loadFiles(t *testing.T, text, toml string, env map[string]string) (Config, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -83,7 +84,7 @@
 		}
 	}
 	if _, err := Load(func(string) string { return "" }, ""); err == nil || !strings.Contains(err.Error(), "LB_CONFIG") {
-		t.Errorf("no file: error %v", err)
+		t.Errorf("LB_CONFIG not set: error %v", err)
 	}
 }
 
@@ -97,7 +98,7 @@
 	if err != nil || c.Tracing != want || !c.Tracing.On() {
 		t.Errorf("%+v, %v; want %+v", c.Tracing, err, want)
 	}
-	// A small mixer gives traces a quarter of its memory at most.
+	// At most a quarter of the memory may hold traces.
 	if c, err = loadFiles(t, strings.Replace(validConfig, "192", "32", 1), "", nil); err != nil || c.Tracing.MemoryKB > 8192 {
 		t.Errorf("%+v, %v", c.Tracing, err)
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -15,9 +15,10 @@
 	"kiteloft/internal/storm"
 )
 
-const maxNodes = 512 // that a document may name
+const maxNodes = 512 // named in a document
 
-// equalAccord leaves out what can't be compared: it follows from the settings.
+// equalAccord compares configurations except for ParseRules, a function that follows from the
+// settings.
 func equalAccord(a, b *accord.Config) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -25,7 +26,8 @@
 	return slices.Equal(a.Voters, b.Voters) && a.Directory == b.Directory && a.LeaseDuration == b.LeaseDuration && a.TrialDuration == b.TrialDuration
 }
 
-// BaseRules is what a mixer's own settings say of what a document may change.
+// BaseRules returns the rules of a mixer's own settings, which a document of agreed settings may
+// change.
 func BaseRules(set settings.Settings) version.Rules {
 	m := set.Module
 	r := version.Rules{Attempts: m.MaxAttempts, Copies: m.CopiesAllowed, RetryBudgetRatio: m.RetryBudgetRatio, RetryBudgetBase: m.RetryBudgetBase, ColdShare: 1,
@@ -42,8 +44,9 @@
 	return r
 }
 
-// Document reads a document of agreed settings as a mixer with these settings acts on it.
-// The empty text is no document. An error names the key.
+// Document parses a document of agreed settings and returns the rules that a mixer with these
+// settings follows under it. An empty text stands for no document, and gives the mixer's own
+// rules. Errors name the key.
 func Document(text string, set settings.Settings) (version.Rules, error) {
 	base := BaseRules(set)
 	if text == "" {
@@ -53,6 +56,7 @@
 	return d.ApplyTo(base), err
 }
 
+// parseDocument parses a document and checks it against the rules of the mixer's own settings.
 func parseDocument(text string, base version.Rules, zones []string) (d version.Document, err error) {
 	if len(text) > version.MaxDocumentBytes {
 		return d, fmt.Errorf("%d bytes, %d at most", len(text), version.MaxDocumentBytes)
@@ -76,7 +80,7 @@
 			return d, fmt.Errorf("%s: %s", key, decodeErrorText(err))
 		}
 	}
-	// Half of a budget is what a mixer uses that can't know which version holds: no version
+	// A mixer that can't know which version is in force uses half of each budget, so no version
 	// may allow less.
 	checkRange := func(key string, x *float64, least, most float64) error {
 		if x != nil && !(*x >= least && *x <= most) {
@@ -128,8 +132,8 @@
 	return d, errors.Join(problems...)
 }
 
-// decodeErrorText is a decoder's error without the place in what it was handed, which is a part
-// of the document only.
+// decodeErrorText returns the text of a decoder's error without the position, which counts from
+// the start of a key's value and not of the document.
 func decodeErrorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), ", error found in")
 	return text
--- a/internal/config/elder_off.go
+++ b/internal/config/elder_off.go
@@ -2,6 +2,6 @@
 
 package config
 
-// unsupportedKeys are keys of a document that this program does not know. Only a test's build
-// has any: it stands for a program that is older than its fleet.
+// unsupportedKeys are keys of documents that this program does not know. It is empty except in a
+// build for a test, which stands for a program that is older than the rest of its fleet.
 var unsupportedKeys []string
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,7 +11,7 @@
 	"kiteloft/internal/fleet/version"
 )
 
-// fleetTable is the table of the talk among mixers.
+// fleetTable is the table [fleet], about the communication among mixers.
 type fleetTable struct {
 	Name       string            `toml:"name"`
 	Listen     string            `toml:"listen"`
@@ -51,8 +51,8 @@
 	maxVoters      = 7
 )
 
-// readFleet checks the fleet's table. Its key file is read here, so that one that is
-// missing ends the start before anything listens.
+// readFleet checks the table [fleet] if it is present, and applies defaults. It reads the key
+// file, so that a missing one fails the start before anything listens.
 func (c *Config) readFleet(path string, f *fleetTable, there bool) (err error) {
 	if !there {
 		return nil
@@ -64,7 +64,7 @@
 		return bad("name", "want 1 to %d bytes", maxNameBytes)
 	}
 	if len(c.Name) > maxNameBytes {
-		return fmt.Errorf("LB_NAME (name): over %d bytes, which a fleet does not carry", maxNameBytes)
+		return fmt.Errorf("LB_NAME (name): longer than %d bytes, the limit for a member of a fleet", maxNameBytes)
 	}
 	if err := checkAddress(path+": fleet.listen", f.Listen); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	return c.readAccord(path, f, bad)
 }
 
-// readAccord checks the table of agreed settings.
+// readAccord checks the table [fleet.accord], about agreed settings, and applies defaults.
 func (c *Config) readAccord(path string, f *fleetTable, bad func(key, format string, args ...any) error) error {
 	t := &f.Accord
 	if len(t.Voters) == 0 {
@@ -123,11 +123,11 @@
 		return nil
 	}
 	if n := len(t.Voters); n%2 == 0 || n > maxVoters {
-		return bad("accord.voters", "%d of them; want 1, 3, 5 or 7", n)
+		return bad("accord.voters", "%d voters; want 1, 3, 5 or 7", n)
 	}
 	for i, name := range t.Voters {
 		if name == "" || len(name) > maxNameBytes || slices.Contains(t.Voters[:i], name) {
-			return bad(fmt.Sprintf("accord.voters[%d]", i), "%q is no name, or comes twice", name)
+			return bad(fmt.Sprintf("accord.voters[%d]", i), "%q is not a valid name, or is listed twice", name)
 		}
 	}
 	if t.Directory == "" && slices.Contains(t.Voters, c.Name) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings object that an instance is given at its
-// start. The simulator adapter finds it in the first message, the mixer in its
-// configuration; both read it here.
+// Package settings parses the settings object that an instance of the decision module is given
+// at its start. The simulator's adapter gets the object in its first message, the mixer in its
+// configuration.
 package settings
 
 import (
@@ -15,21 +15,22 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Settings is what an instance is told at its start.
+// Settings holds the settings of an instance and of the process around it.
 type Settings struct {
-	Module     decide.Settings
-	LoadFields []string // names of a load report's values, in order
+	Module     decide.Settings // of the decision module
+	LoadFields []string        // names of the values in a load report, in order
 
-	Zones          []string // names of zones, by index
-	Shards         int      // number of shards; 0: not told
-	ConnIdle       time.Duration
-	ConnectTimeout time.Duration
-	StreamsPerConn int
+	Zones          []string      // names of zones, by index
+	Shards         int           // number of shards; 0: unknown
+	ConnIdle       time.Duration // idle time after which a node closes a connection; 0: never
+	ConnectTimeout time.Duration // for connecting to a node
+	StreamsPerConn int           // parts in flight on a connection to a node; 0: no limit
 }
 
-// seconds is a time in seconds.
+// seconds is a duration that JSON holds as a number of seconds.
 type seconds time.Duration
 
+// UnmarshalJSON implements json.Unmarshaler.
 func (s *seconds) UnmarshalJSON(b []byte) error {
 	var x float64
 	if err := json.Unmarshal(b, &x); err != nil {
@@ -39,15 +40,15 @@
 	return nil
 }
 
-// DurationFromSeconds turns fractional seconds into a time; the simulator counts whole
-// microseconds.
+// DurationFromSeconds converts seconds to a duration, rounded to microseconds, which is the
+// resolution of the simulator. Values out of range become the longest duration of that sign.
 func DurationFromSeconds(x float64) time.Duration {
 	us := math.Round(x * 1e6)
 	const most = float64(math.MaxInt64 / int64(time.Microsecond))
 	return time.Duration(max(-most, min(most, us))) * time.Microsecond
 }
 
-// settingsObject is the settings object as the wire names it.
+// settingsObject is the JSON form of the settings.
 type settingsObject struct {
 	Balancers int     `json:"balancers"`
 	Zone      int     `json:"zone"`
@@ -108,8 +109,7 @@
 	OverAllowanceValue float64 `json:"over_share_worth"`
 }
 
-// Parse reads the settings object. An unknown key is passed over; an absent
-// optional one stays zero.
+// Parse parses the settings object. Unknown keys are ignored, and absent ones leave zero values.
 func Parse(text []byte) (Settings, error) {
 	var b settingsObject
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -153,7 +153,7 @@
 	return out, nil
 }
 
-// valueAt returns the i-th value, or zero where the list is shorter.
+// valueAt returns list[i], or the zero value if the list is too short.
 func valueAt[T any](list []T, i int) T {
 	if i < len(list) {
 		return list[i]
@@ -162,6 +162,7 @@
 	return zero
 }
 
+// parseIdempotency parses the key "semantics" of a class.
 func parseIdempotency(s string) (decide.Idempotency, error) {
 	switch s {
 	case "repeatable":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,7 +31,7 @@
 func TestParseRejectsInvalidSettings(t *testing.T) {
 	for _, text := range []string{"", "[1]", `{"tick":"soon"}`, `{"classes":[{"semantics":"sometimes"}]}`} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,6 +1,8 @@
-// Package wire reads and writes the line dialect of the gatherers' simulator
-// and translates it to the events and actions of package decide. It decides
-// nothing: a malformed line is an error, an unknown setting is passed over.
+// Package wire is the codec for the line protocol of the simulator, which drives instances of
+// the decision module. It translates lines to the events and actions of package decide. A
+// malformed line is an error; unknown settings are ignored.
+//
+// A line holds a message's name and its values, separated by tabs.
 package wire
 
 import (
@@ -19,15 +21,15 @@
 )
 
 const (
-	maxTables     = 16
-	idLength      = 16
+	maxTables     = 16 // tables of servers that can be referred to at a time
+	idLength      = 16 // hex digits
 	maxTokenBytes = 64
 )
 
-// Kind tells what an Item brings.
+// Kind is the kind of an Item.
 type Kind int
 
-// The kinds of Item.
+// The kinds of items.
 const (
 	KindEvent   Kind = iota // an event for a running instance
 	KindSpawn               // a new instance with Seed and Settings
@@ -36,32 +38,34 @@
 
 // Item is one line of a batch that concerns an instance.
 type Item struct {
-	Instance int
+	Instance int // number of the instance
 	Kind     Kind
-	Seed     uint64
-	Settings decide.Settings
-	Event    decide.Event
+	Seed     uint64          // KindSpawn: seed of the instance's random numbers
+	Settings decide.Settings // KindSpawn
+	Event    decide.Event    // KindEvent
 }
 
-// Batch is all that happened at one clock time.
+// Batch holds the items of one instant of the simulator's clock, in order.
 type Batch struct {
 	Clock time.Duration
 	Items []Item
 }
 
-// Decoder reads batches. Server lists outlive a batch, so it keeps them.
+// Decoder reads batches. It keeps the tables of servers, because later batches may refer to
+// them.
 type Decoder struct {
 	r          *bufio.Reader
 	line       int
 	tables     [maxTables][]decide.Server
-	loadFields map[int][]string // load report fields by instance
+	loadFields map[int][]string // names of the values in load reports, by instance
 }
 
-// NewDecoder returns a Decoder on r.
+// NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
 	return &Decoder{r: bufio.NewReaderSize(r, 1<<20), loadFields: map[int][]string{}}
 }
 
+// readLine returns the next line without its line feed. It returns io.EOF only between lines.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err != nil {
@@ -74,7 +78,8 @@
 	return strings.TrimSuffix(s, "\n"), nil
 }
 
-// Next reads one batch. It returns io.EOF when the input ends between batches.
+// Next reads one batch. It returns io.EOF if the input ends between batches. Errors in the input
+// name the line. After an error no further batch can be read.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
 	s, err := d.readLine()
@@ -83,7 +88,7 @@
 	}
 	f := strings.Split(s, "\t")
 	if f[0] != "CLOCK" || len(f) != 2 {
-		return b, d.malformed(s, errors.New("a batch opens with CLOCK and a time"))
+		return b, d.malformed(s, errors.New("a batch must start with CLOCK and a time"))
 	}
 	if b.Clock, err = parseTime(f[1]); err != nil {
 		return b, d.malformed(s, err)
@@ -112,6 +117,7 @@
 	}
 }
 
+// malformed returns an error with the line's number and its first 120 bytes.
 func (d *Decoder) malformed(s string, err error) error {
 	if len(s) > 120 {
 		s = s[:120] + "..."
@@ -119,14 +125,15 @@
 	return fmt.Errorf("line %d: malformed line %q: %w", d.line, s, err)
 }
 
+// readTable reads a TABLE line and the ENTRY lines that follow it.
 func (d *Decoder) readTable(s string) error {
 	f := newValueReader(s)
-	sheet, n := f.index("sheet"), f.index("members_list")
+	table, n := f.index("sheet"), f.index("members_list")
 	if err := f.finish(); err != nil {
 		return d.malformed(s, err)
 	}
-	if sheet >= maxTables {
-		return d.malformed(s, fmt.Errorf("sheet %d is not under %d", sheet, maxTables))
+	if table >= maxTables {
+		return d.malformed(s, fmt.Errorf("sheet %d is not under %d", table, maxTables))
 	}
 	var list []decide.Server
 	for range n {
@@ -140,10 +147,11 @@
 		}
 		list = append(list, srv)
 	}
-	d.tables[sheet] = list
+	d.tables[table] = list
 	return nil
 }
 
+// parseEntry parses one server of a table.
 func parseEntry(s string) (decide.Server, error) {
 	f := newValueReader(s)
 	if f.name != "ENTRY" {
@@ -167,6 +175,7 @@
 	return srv, f.finish()
 }
 
+// parseItem parses a line that concerns an instance.
 func (d *Decoder) parseItem(s string) (Item, error) {
 	f := newValueReader(s)
 	it := Item{Instance: f.index("gatherer")}
@@ -207,6 +216,7 @@
 	return it, f.finish()
 }
 
+// parseSync parses a change of the server list, or its failure.
 func (d *Decoder) parseSync(f *valueReader) decide.Event {
 	form := f.word("form")
 	if form == "lost" {
@@ -218,31 +228,34 @@
 		f.fail("form", fmt.Errorf("unknown form %q", form))
 	}
 	ev := decide.ServerListUpdate{Full: form != "incr", Version: f.integer("serial")}
-	sheet := f.index("sheet")
-	if sheet >= maxTables {
-		f.fail("sheet", fmt.Errorf("%d is not under %d", sheet, maxTables))
+	table := f.index("sheet")
+	if table >= maxTables {
+		f.fail("sheet", fmt.Errorf("%d is not under %d", table, maxTables))
 		return ev
 	}
-	// The slice is replaced, never written, when the number is reused.
-	ev.Servers = d.tables[sheet]
+	// A table whose number is reused gets a new slice, so this one may be shared.
+	ev.Servers = d.tables[table]
 	return ev
 }
 
+// parseRequest parses a query, or a part if the shard is not negative. Bit 0 of marks says that
+// the work is known, bit 1 that the query is a retry.
 func parseRequest(f *valueReader) decide.Event {
 	id, class, tenant := f.id("job"), f.index("service"), f.optIndex("client_group")
 	key, left, work := f.optWord("partition_key"), f.duration("left"), f.optDuration("effort")
-	number, shard, heft := f.integer("job_no"), f.integer("shard"), f.number("heft")
+	number, shard, weight := f.integer("job_no"), f.integer("shard"), f.number("heft")
 	marks := f.index("marks")
 	if marks&1 == 0 {
 		work = 0
 	}
 	if shard >= 0 {
-		return decide.PartArrived{ID: id, Number: number, Shard: int(shard), Weight: heft, Work: work}
+		return decide.PartArrived{ID: id, Number: number, Shard: int(shard), Weight: weight, Work: work}
 	}
 	return decide.QueryArrived{ID: id, Number: number, Class: class, Tenant: tenant, Key: key, Left: left,
 		Work: work, Repeat: marks&2 != 0}
 }
 
+// parseCompleted parses the end of an attempt.
 func (d *Decoder) parseCompleted(f *valueReader, instance int) decide.Event {
 	ev := decide.AttemptDone{Part: f.id("job"), Attempt: f.index("send_no"), Server: f.word("server"),
 		Outcome: f.outcome("result"), Latency: f.duration("lag")}
@@ -251,7 +264,9 @@
 	return ev
 }
 
-// valueReader walks the values of one line and keeps the first error.
+// valueReader reads the values of one line in order and keeps the first error, which finish
+// returns. Its methods take the value's name for the error text. Those that begin with opt return
+// zero for an absent value, which is written as "-".
 type valueReader struct {
 	name      string
 	remaining string
@@ -270,6 +285,7 @@
 	}
 }
 
+// next returns the next value as it stands.
 func (f *valueReader) next(name string) string {
 	if !f.hasMore {
 		f.fail(name, errors.New("value missing"))
@@ -280,6 +296,7 @@
 	return v
 }
 
+// rest returns all that is left of the line as one value.
 func (f *valueReader) rest(name string) string {
 	if !f.hasMore {
 		f.fail(name, errors.New("value missing"))
@@ -290,13 +307,15 @@
 	return v
 }
 
+// finish returns the first error, or an error if values are left.
 func (f *valueReader) finish() error {
 	if f.err == nil && f.hasMore {
-		f.err = errors.New("more values than the message has")
+		f.err = errors.New("too many values for this message")
 	}
 	return f.err
 }
 
+// word reads a value that is not empty and holds no space.
 func (f *valueReader) word(name string) string {
 	v := f.next(name)
 	if f.err == nil && (v == "" || strings.ContainsRune(v, ' ')) {
@@ -312,6 +331,7 @@
 	return ""
 }
 
+// token reads the token of a timer.
 func (f *valueReader) token(name string) string {
 	v := f.word(name)
 	if len(v) > maxTokenBytes {
@@ -320,6 +340,7 @@
 	return v
 }
 
+// id reads the id of a query or part: idLength hex digits.
 func (f *valueReader) id(name string) string {
 	v := f.next(name)
 	if f.err != nil {
@@ -331,11 +352,12 @@
 	return v
 }
 
+// integer reads a whole number, which may be written as 3.0.
 func (f *valueReader) integer(name string) int64 {
 	v := f.next(name)
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		// A whole number may come in the form of a fractional one.
+		// Only up to 2^53 does a float64 hold each whole number exactly.
 		x, ferr := strconv.ParseFloat(v, 64)
 		if ferr != nil || x != math.Trunc(x) || math.Abs(x) > 1<<53 {
 			f.fail(name, fmt.Errorf("%q is not a whole number", v))
@@ -346,6 +368,7 @@
 	return n
 }
 
+// unsigned reads 64 bits, which may be written as a signed number.
 func (f *valueReader) unsigned(name string) uint64 {
 	v := f.next(name)
 	if n, err := strconv.ParseUint(v, 10, 64); err == nil {
@@ -358,6 +381,7 @@
 	return uint64(n)
 }
 
+// index reads a whole number from 0 to math.MaxInt32.
 func (f *valueReader) index(name string) int {
 	n := f.integer(name)
 	if n < 0 || n > math.MaxInt32 {
@@ -373,6 +397,7 @@
 	return f.index(name)
 }
 
+// skipAbsent consumes the next value if it is absent, and reports whether it was.
 func (f *valueReader) skipAbsent() bool {
 	if f.hasMore && (f.remaining == "-" || strings.HasPrefix(f.remaining, "-\t")) {
 		_, f.remaining, f.hasMore = strings.Cut(f.remaining, "\t")
@@ -397,6 +422,7 @@
 	return f.number(name)
 }
 
+// duration reads seconds.
 func (f *valueReader) duration(name string) time.Duration {
 	v := f.next(name)
 	t, err := parseTime(v)
@@ -421,6 +447,7 @@
 	return v == "1"
 }
 
+// bytes reads base64 text; it returns nil for an absent value.
 func (f *valueReader) bytes(name string) []byte {
 	if f.skipAbsent() {
 		return nil
@@ -432,6 +459,7 @@
 	return b
 }
 
+// outcome reads the number of a decide.Outcome.
 func (f *valueReader) outcome(name string) decide.Outcome {
 	n := f.index(name)
 	if n > int(decide.NotSent) {
@@ -440,7 +468,8 @@
 	return decide.Outcome(n)
 }
 
-// loadReport reads a report whose values stand in the order of names.
+// loadReport reads a load report, whose values are in the order of names. Values with other names
+// are ignored, and a Load field without a value is -1. It returns nil for an absent report.
 func (f *valueReader) loadReport(name string, names []string) *decide.Load {
 	if f.skipAbsent() {
 		return nil
@@ -473,6 +502,7 @@
 	return l
 }
 
+// parseNumber parses a finite number.
 func parseNumber(s string) (float64, error) {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
@@ -481,7 +511,7 @@
 	return x, nil
 }
 
-// parseTime reads seconds; the simulator counts whole microseconds.
+// parseTime parses seconds and rounds them to microseconds, the resolution of the simulator.
 func parseTime(s string) (time.Duration, error) {
 	x, err := parseNumber(s)
 	if err != nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -12,17 +12,18 @@
 	"kiteloft/decide"
 )
 
-// Encoder writes replies.
+// Encoder writes replies, each of which answers a batch. The output is buffered until End.
 type Encoder struct {
 	w *bufio.Writer
 }
 
-// NewEncoder returns an Encoder on w.
+// NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder {
 	return &Encoder{w: bufio.NewWriterSize(w, 1<<18)}
 }
 
-// Write adds one action of an instance to the reply.
+// Write adds one action of an instance to the reply. It fails only for an unknown type of action;
+// errors of the writer are returned by End.
 func (e *Encoder) Write(instance int, a decide.Action) error {
 	switch a := a.(type) {
 	case decide.Send:
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// End closes the reply and flushes it.
+// End ends the reply and flushes it. It returns the first write error.
 func (e *Encoder) End() error {
 	if _, err := e.w.WriteString("EOR\n"); err != nil {
 		return fmt.Errorf("writing a reply: %w", err)
@@ -66,7 +67,8 @@
 	return nil
 }
 
-// line leaves write errors to End: a bufio.Writer keeps its first one.
+// line writes one line. It ignores write errors, because a bufio.Writer keeps the first one and
+// End returns it.
 func (e *Encoder) line(name string, instance int, values ...string) {
 	_, _ = e.w.WriteString(name + "\t" + strconv.Itoa(instance))
 	for _, v := range values {
@@ -75,6 +77,7 @@
 	_ = e.w.WriteByte('\n')
 }
 
+// formatTime returns seconds with up to six decimals.
 func formatTime(t time.Duration) string {
 	us := t.Microseconds()
 	sign := ""
@@ -85,6 +88,7 @@
 	return strings.TrimSuffix(strings.TrimRight(s, "0"), ".")
 }
 
+// optTime is formatTime with "-" for zero, which means an absent value.
 func optTime(t time.Duration) string {
 	if t == 0 {
 		return "-"
@@ -92,6 +96,7 @@
 	return formatTime(t)
 }
 
+// optBytes returns base64 text, or "-" for no bytes.
 func optBytes(b []byte) string {
 	if len(b) == 0 {
 		return "-"
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,6 +10,7 @@
 	"kiteloft/decide"
 )
 
+// decodeAll returns the batches of text, and the first error other than io.EOF.
 func decodeAll(t *testing.T, text string) ([]Batch, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
@@ -29,6 +30,8 @@
 const spawn = "SPAWN\t0\t18446744073709551615\t{\"tick\":0.005,\"unknown\":{\"a\":[1]},\"classes\":[{\"semantics\":\"once\"," +
 	"\"aim\":1.5}],\"feedback\":{\"fields\":[\"recent_ms\",\"backlog\"]},\"rules\":{\"fall\":2.0}}\n"
 
+// TestReusedTableNumberResolvesToLatestTable guards against lists of servers that change when a
+// later table of the batch has the same number.
 func TestReusedTableNumberResolvesToLatestTable(t *testing.T) {
 	b, err := decodeAll(t, "CLOCK\t8.41225\n"+spawn+"TABLE\t3\t1\nENTRY\ta:1\t0\t0\t2\tRunning\t1\t-\n"+
 		"SYNC\t0\twarm_copy\t7\t3\nTABLE\t3\t1\nENTRY\tb:1\t1\t0\t4\tStopping\t1.5\t6.1\nSYNC\t0\tincr\t8\t3\n"+
@@ -46,7 +49,7 @@
 		t.Errorf("second list %+v", second)
 	}
 	if _, ok := items[3].Event.(decide.WatchFailed); !ok {
-		t.Errorf("lost list came as %+v", items[3].Event)
+		t.Errorf("lost list decoded as %+v", items[3].Event)
 	}
 	if b[0].Clock != 8412250*time.Microsecond {
 		t.Errorf("clock %v", b[0].Clock)
