--- a/internal/columns/columns.go
+++ b/internal/columns/columns.go
@@ -1,5 +1,5 @@
-// Package columns puts values into Arrow record batches and takes them out
-// again, as the messages of a Flight stream.
+// Package columns encodes the values of parts as Arrow record batches, in the form of the
+// messages of a Flight stream, and decodes them.
 package columns
 
 import (
@@ -18,15 +18,16 @@
 	"kiteloft/internal/broker"
 )
 
-const maxBatchRows = 4096
+const maxBatchRows = 4096 // a node has no more parts
 
-// Schema is that of every batch: a part's slice, and the value that its node gave.
+// Schema is the schema of every batch. A row holds a part's slice and the value that its node
+// returned.
 var Schema = arrow.NewSchema([]arrow.Field{
 	{Name: "slice", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "body", Type: arrow.BinaryTypes.Binary},
 }, nil)
 
-// SchemaBytes is the schema as FlightInfo carries it.
+// SchemaBytes returns the schema in the encoding of the field FlightInfo.schema.
 func SchemaBytes() ([]byte, error) {
 	var b bytes.Buffer
 	if err := ipc.NewWriter(&b, ipc.WithSchema(Schema)).Close(); err != nil {
@@ -35,15 +36,20 @@
 	return b.Bytes(), nil
 }
 
-// messageCollector gathers what an ipc.Writer writes.
+// messageCollector implements ipc.PayloadWriter. It keeps each payload as an encoded FlightData
+// message.
 type messageCollector struct {
 	list [][]byte
 	meta []byte
 }
 
+// Start implements ipc.PayloadWriter.
 func (m *messageCollector) Start() error { return nil }
+
+// Close implements ipc.PayloadWriter.
 func (m *messageCollector) Close() error { return nil }
 
+// WritePayload implements ipc.PayloadWriter.
 func (m *messageCollector) WritePayload(p ipc.Payload) error {
 	meta := p.Meta()
 	defer meta.Release()
@@ -53,7 +59,7 @@
 	}
 	d := &flight.FlightData{DataHeader: bytes.Clone(meta.Bytes()), DataBody: body.Bytes()}
 	if len(m.list) > 0 {
-		d.AppMetadata = m.meta // on the batch, not on the schema before it
+		d.AppMetadata = m.meta // on the batch, not on the schema message before it
 	}
 	b, err := proto.Marshal(d)
 	if err != nil {
@@ -63,7 +69,8 @@
 	return nil
 }
 
-// Encode returns the messages of a stream with one batch, which carries meta.
+// Encode returns the encoded FlightData messages of a stream: the schema, and one batch with
+// meta as its application metadata.
 func Encode(values []broker.Value, meta []byte) ([][]byte, error) {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, Schema)
 	defer b.Release()
@@ -84,16 +91,21 @@
 	return m.list, nil
 }
 
-// messageReader hands the messages of a Flight messageReader to an ipc.Reader.
+// messageReader implements ipc.MessageReader for the encoded messages of a Flight stream. It
+// checks each header before the library reads it.
 type messageReader struct {
 	list [][]byte
 	meta []byte
 	last *ipc.Message
 }
 
-func (s *messageReader) Retain()  {}
+// Retain implements ipc.MessageReader.
+func (s *messageReader) Retain() {}
+
+// Release implements ipc.MessageReader.
 func (s *messageReader) Release() {}
 
+// Message implements ipc.MessageReader.
 func (s *messageReader) Message() (*ipc.Message, error) {
 	for len(s.list) > 0 {
 		var d flight.FlightData
@@ -104,7 +116,7 @@
 		if len(d.AppMetadata) > 0 {
 			s.meta = d.AppMetadata
 		}
-		if len(d.DataHeader) > 0 { // others carry metadata alone
+		if len(d.DataHeader) > 0 { // a message without one holds only metadata
 			if err := verifyHeader(d.DataHeader); err != nil {
 				return nil, err
 			}
@@ -115,10 +127,11 @@
 	return nil, io.EOF
 }
 
-// Decode reads all messages of a stream that has ended in order. Meta is the
-// last metadata of the application's.
+// Decode decodes all messages of a stream that ended without an error. The returned meta is the
+// last application metadata in the stream. The messages may hold any bytes: malformed ones
+// give an error.
 func Decode(list [][]byte) (values []broker.Value, meta []byte, err error) {
-	// Guards against messages whose insides the library trusts too far.
+	// The library does not check all offsets in a message and panics on some malformed ones.
 	defer func() {
 		if r := recover(); r != nil {
 			values, meta, err = nil, nil, fmt.Errorf("reading a batch: %v", r)
@@ -131,17 +144,17 @@
 	}
 	defer r.Release()
 	if !r.Schema().Equal(Schema) {
-		return nil, nil, errors.New("a stream of another schema")
+		return nil, nil, errors.New("stream has an unexpected schema")
 	}
 	for r.Next() {
 		batch := r.RecordBatch()
 		if batch.NumRows() > maxBatchRows {
-			return nil, nil, errors.New("more rows than a node has parts")
+			return nil, nil, errors.New("batch has more rows than a node can have parts")
 		}
 		slices, bodies := batch.Column(0).(*array.Int32), batch.Column(1).(*array.Binary)
 		for i := range int(batch.NumRows()) {
 			if slices.IsNull(i) || bodies.IsNull(i) {
-				return nil, nil, errors.New("a row without slice or body")
+				return nil, nil, errors.New("row without a slice or body")
 			}
 			values = append(values, broker.Value{Shard: int(slices.Value(i)), Body: bytes.Clone(bodies.Value(i))})
 		}
--- a/internal/columns/columns_test.go
+++ b/internal/columns/columns_test.go
@@ -31,12 +31,12 @@
 		"nothing": nil, "no schema": list[1:], "no message": {[]byte("hello")}, "cut batch": {list[0], list[1][:len(list[1])-20]},
 	} {
 		if got, _, err := Decode(bad); err == nil {
-			t.Errorf("%s was taken as %v", name, got)
+			t.Errorf("%s was decoded as %v", name, got)
 		}
 	}
 }
 
-// FuzzDecode checks that a node's bytes can't bring the mixer down.
+// FuzzDecode checks that no bytes from a node can end the process.
 func FuzzDecode(f *testing.F) {
 	list, err := Encode(sample, []byte("{}"))
 	if err != nil {
--- a/internal/columns/verify.go
+++ b/internal/columns/verify.go
@@ -6,8 +6,9 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-// Slots of Arrow's flatbuffers, from its format's Message.fbs and Schema.fbs, as
-// offsets into a table's index: four bytes and two for each field before.
+// Slots of Arrow's flatbuffers, from Message.fbs and Schema.fbs of the Arrow format, as offsets
+// into a table's vtable: four bytes, and two for each preceding field. The constants headerSchema and
+// headerBatch are the types of the union MessageHeader.
 const (
 	messageHeaderType = 4 + 2*1
 	messageHeader     = 4 + 2*2
@@ -26,12 +27,11 @@
 	maxSchemaFields   = 16
 )
 
-var errInvalidHeader = errors.New("a message whose header can't be what it says")
+var errInvalidHeader = errors.New("message header with invalid lengths or fields")
 
-// verifyHeader checks the lengths that a message's header claims. It guards against
-// forged ones: the library makes room for what they say, without a look at the
-// bytes that are there. Offsets out of range panic, here as in the library, and
-// Decode recovers.
+// verifyHeader checks the lengths that a message's header gives against the bytes of the message.
+// The library allocates memory by these lengths without that check, so a forged one could exhaust
+// the memory. Offsets out of range panic, here as in the library, and Decode recovers.
 func verifyHeader(meta []byte) error {
 	msg := rootTable(meta)
 	if _, err := vectorLength(msg, messageMetadata, 4); err != nil {
@@ -47,7 +47,7 @@
 		return verifySchema(meta, header)
 	case headerBatch:
 		if header.Offset(batchCompression) != 0 {
-			return errors.New("a compressed batch, which we don't take") // its length is a claim, too
+			return errors.New("compressed batches are not supported") // the length after decompression can be forged, too
 		}
 		for slot, size := range map[flatbuffers.VOffsetT]int{batchNodes: 16, batchBuffers: 16, batchVariadic: 8} {
 			if _, err := vectorLength(header, slot, size); err != nil {
@@ -56,9 +56,10 @@
 		}
 		return nil
 	}
-	return errors.New("a message that is neither schema nor batch")
+	return errors.New("message is neither a schema nor a record batch")
 }
 
+// verifySchema checks the lengths in a schema, whose fields may not be nested.
 func verifySchema(meta []byte, schema flatbuffers.Table) error {
 	for slot, size := range map[flatbuffers.VOffsetT]int{schemaMetadata: 4, schemaFeatures: 8} {
 		if _, err := vectorLength(schema, slot, size); err != nil {
@@ -73,7 +74,7 @@
 		at := schema.Vector(flatbuffers.UOffsetT(schema.Offset(schemaFields))) + flatbuffers.UOffsetT(4*i)
 		field := tableAt(meta, schema.Indirect(at))
 		if children, err := vectorLength(field, fieldChildren, 4); err != nil || children > 0 {
-			return errInvalidHeader // none of our columns has any
+			return errInvalidHeader // no column of Schema has children
 		}
 		if _, err := vectorLength(field, fieldMetadata, 4); err != nil {
 			return err
@@ -82,13 +83,16 @@
 	return nil
 }
 
+// rootTable returns the root table of a flatbuffer.
 func rootTable(b []byte) flatbuffers.Table { return tableAt(b, flatbuffers.GetUOffsetT(b)) }
 
+// tableAt returns the table at an offset.
 func tableAt(b []byte, at flatbuffers.UOffsetT) flatbuffers.Table {
 	return flatbuffers.Table{Bytes: b, Pos: at}
 }
 
-// vectorLength returns a vectorLength's length, which must have room in the message.
+// vectorLength returns the length of the vector in a slot, 0 if there is none. It fails if that
+// many elements of the given size exceed the message.
 func vectorLength(t flatbuffers.Table, slot flatbuffers.VOffsetT, size int) (int, error) {
 	o := t.Offset(slot)
 	if o == 0 {
--- a/internal/fields/fields.go
+++ b/internal/fields/fields.go
@@ -1,12 +1,12 @@
-// Package fields goes over the fields of protobuf messages and writes them, for those who
-// deal in a few of them without generated code. It is pure.
+// Package fields reads and writes the fields of protobuf messages, for packages that handle a
+// few messages without generated code. Its functions have no side effects.
 package fields
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// Each calls take with each field of a message: its number, and its value as a number or
-// as bytes; fields of other kinds are passed over. It ends early where take returns false,
-// and reports whether the message was read whole.
+// Each calls visit for each varint and length-delimited field of the message b, with the field's
+// number and its value in x or v. Fields of other wire types are skipped. It stops if visit
+// returns false or b is malformed, and reports whether the whole message was read.
 func Each(b []byte, visit func(n protowire.Number, x uint64, v []byte) bool) bool {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
@@ -33,7 +33,7 @@
 	return true
 }
 
-// AppendString adds a field of text; an empty one is left out.
+// AppendString appends a string field to b, unless s is empty.
 func AppendString(b []byte, n protowire.Number, s string) []byte {
 	if s == "" {
 		return b
@@ -41,7 +41,7 @@
 	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
 }
 
-// AppendBytes adds a field of bytes; nil is left out.
+// AppendBytes appends a bytes field to b, unless v is nil. An empty v is written.
 func AppendBytes(b []byte, n protowire.Number, v []byte) []byte {
 	if v == nil {
 		return b
@@ -49,7 +49,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-// AppendUint adds a field with a number; 0 is left out.
+// AppendUint appends a varint field to b, unless x is 0.
 func AppendUint(b []byte, n protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return b
