--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -138,7 +138,7 @@
 	return load(getenv, tomlPath, true)
 }
 
-func load(getenv func(string) string, tomlPath string, again bool) (Config, error) {
+func load(getenv func(string) string, tomlPath string, reload bool) (Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("LB_CONFIG is not set")
@@ -154,7 +154,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	c, err := parseMainFile(text, getenv, again)
+	c, err := parseMainFile(text, getenv, reload)
 	if err != nil {
 		return Config{}, err
 	}
@@ -162,7 +162,7 @@
 }
 
 // parseMainFile parses the file that LB_CONFIG names and applies the environment and defaults.
-func parseMainFile(text []byte, getenv func(string) string, again bool) (c Config, err error) {
+func parseMainFile(text []byte, getenv func(string) string, reload bool) (c Config, err error) {
 	var f mainFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return c, fmt.Errorf("LB_CONFIG: %w", err)
@@ -172,7 +172,7 @@
 	// At the start the environment is expected to agree with the file and overrides it. At a
 	// reload it only fills in keys that the file lacks.
 	for key, v := range map[string]*string{"LB_NAME": &c.Name, "LB_LISTEN": &c.Listen, "LB_DISCOVERY": &c.Discovery} {
-		if s := getenv(key); s != "" && !(again && *v != "") {
+		if s := getenv(key); s != "" && !(reload && *v != "") {
 			*v = s
 		}
 	}
@@ -268,12 +268,12 @@
 			return fmt.Errorf("%s: tracing.collector: %w", path, err)
 		}
 	}
-	most := int(c.MemoryMB * 1024 / traceMemoryDivisor)
+	maxTraceMemoryKB := int(c.MemoryMB * 1024 / traceMemoryDivisor)
 	switch {
 	case t.MemoryKB == 0:
-		c.Tracing.MemoryKB = min(c.Tracing.MemoryKB, most)
-	case t.MemoryKB < minTraceMemoryKB || t.MemoryKB > most:
-		return fmt.Errorf("%s: tracing.memory_kb: %d is not between %d and %d, a quarter of the memory", path, t.MemoryKB, minTraceMemoryKB, most)
+		c.Tracing.MemoryKB = min(c.Tracing.MemoryKB, maxTraceMemoryKB)
+	case t.MemoryKB < minTraceMemoryKB || t.MemoryKB > maxTraceMemoryKB:
+		return fmt.Errorf("%s: tracing.memory_kb: %d is not between %d and %d, a quarter of the memory", path, t.MemoryKB, minTraceMemoryKB, maxTraceMemoryKB)
 	}
 	for key, x := range map[string]float64{"spans_per_second": t.Spans, "segment_mb": float64(t.SegmentMB), "segments": float64(t.Segments)} {
 		if !(x >= 0 && x <= 1e9) {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -53,8 +53,8 @@
 
 // readFleet checks the table [fleet] if it is present, and applies defaults. It reads the key
 // file, so that a missing one fails the start before anything listens.
-func (c *Config) readFleet(path string, f *fleetTable, there bool) (err error) {
-	if !there {
+func (c *Config) readFleet(path string, f *fleetTable, present bool) (err error) {
+	if !present {
 		return nil
 	}
 	bad := func(key, format string, args ...any) error {
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -392,7 +392,7 @@
 
 // sweep enforces the timeouts of calls and connections and runs every front.SweepInterval.
 func (f *Front) sweep() {
-	now, keep := f.core.Now(), front.IdleTimeout(f.limit)
+	now, idleTimeout := f.core.Now(), front.IdleTimeout(f.limit)
 	for c := range f.clients {
 		c.conn.CloseIfReset()
 		for k := range c.calls {
@@ -408,13 +408,13 @@
 				k.endWithStatus(h2.Status{Code: codes.DeadlineExceeded, Message: "the call was not whole in time"})
 			}
 		}
-		may := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, UnreadBytes: !c.halfClosed && !c.conn.InputDrained()})
-		switch rests := may == gate.Allowed && c.conn.Flushed(); {
-		case rests && (f.closing || c.halfClosed):
+		verdict := gate.Close(gate.Connection{Open: c.h2.Streams() > 0, UnreadBytes: !c.halfClosed && !c.conn.InputDrained()})
+		switch idle := verdict == gate.Allowed && c.conn.Flushed(); {
+		case idle && (f.closing || c.halfClosed):
 			c.conn.Close(transport.LocalDone)
 		case c.closeDeadline > 0 && now > c.closeDeadline:
 			c.conn.Close(transport.BadInput)
-		case rests && !c.hasCalled && now-c.lastDataAt > front.RequestReadTimeout, rests && now-c.lastDataAt > keep:
+		case idle && !c.hasCalled && now-c.lastDataAt > front.RequestReadTimeout, idle && now-c.lastDataAt > idleTimeout:
 			// Frees file descriptors held by clients that keep unused connections open.
 			c.h2.GoAway()
 			c.conn.Close(transport.LocalIdle)
--- a/internal/front/query.go
+++ b/internal/front/front.go
@@ -49,7 +49,7 @@
 
 // Conn is a connection to a client, as transport.Conn implements it.
 type Conn interface {
-	// Write queues b for sending.
+	// Write sends b without blocking. It returns the offset of the end of b in what was written.
 	Write(b []byte) int64
 	// Close closes the connection and records e as the reason.
 	Close(e transport.End)
@@ -74,8 +74,8 @@
 
 // IdleTimeout returns how long a connection may stay open between requests. It is shorter
 // while more than half of the allowed connections are open, to free file descriptors.
-func IdleTimeout(r ConnectionLimit) time.Duration {
-	if r.HalfUsed() {
+func IdleTimeout(limit ConnectionLimit) time.Duration {
+	if limit.HalfUsed() {
 		return reducedIdleTimeout
 	}
 	return normalIdleTimeout
--- a/internal/front/platform/arrivals.go
+++ b/internal/front/platform/arrivals.go
@@ -38,10 +38,10 @@
 // been parsed, and removes the entries before it. It returns now if there is no such entry.
 func (a *arrivals) lastByteAt(unusedBytes int, now time.Duration) time.Duration {
 	used := a.total - int64(unusedBytes)
-	for i, came := range a.entries {
-		if came.endOffset >= used {
+	for i, entry := range a.entries {
+		if entry.endOffset >= used {
 			a.entries = a.entries[i:]
-			return came.at
+			return entry.at
 		}
 	}
 	return now
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -90,7 +90,7 @@
 type request struct {
 	c            *client
 	handle       *broker.QueryHandle
-	close        bool
+	close        bool // the connection is closed behind the answer
 	id           string
 	admittedAt   time.Duration
 	deadline     time.Duration // when the client's deadline passes
@@ -437,7 +437,7 @@
 
 // sweep enforces the timeouts of connections and runs every front.SweepInterval.
 func (f *Front) sweep() {
-	now, keep := f.core.Now(), front.IdleTimeout(f.limit)
+	now, idleTimeout := f.core.Now(), front.IdleTimeout(f.limit)
 	for c := range f.clients {
 		idle := c.idle()
 		switch {
@@ -453,7 +453,7 @@
 			// The same for clients that never complete a request. A request behind one that
 			// is being answered has not been parsed yet, so it has no start time.
 			c.rejectMalformed(&http1.Error{Status: 408, Reason: "the request was not whole in time"})
-		case idle && (f.closing && now-c.idleSince > drainIdleTimeout || now-c.idleSince > keep) && c.mayClose():
+		case idle && (f.closing && now-c.idleSince > drainIdleTimeout || now-c.idleSince > idleTimeout) && c.mayClose():
 			c.startClosing()
 		}
 	}
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -115,8 +115,8 @@
 				c := f.Accept(l).(*client)
 				f.Ready()
 				tt.do(d, f, c)
-				if shut := len(l.closes) > 0; shut == unread {
-					t.Errorf("connection closed: %v, want the opposite", shut)
+				if closed := len(l.closes) > 0; closed == unread {
+					t.Errorf("connection closed: %v, want the opposite", closed)
 				}
 			})
 		}
