--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -65,32 +65,33 @@
 	if err := json.Unmarshal([]byte(text), &keys); err != nil {
 		return d, fmt.Errorf("the document is no object: %w", err)
 	}
-	into := map[string]any{"attempts": &d.Attempts, "copies": &d.Copies, "further_ratio": &d.RetryBudgetRatio, "further_spare": &d.RetryBudgetBase,
+	targets := map[string]any{"attempts": &d.Attempts, "copies": &d.Copies, "further_ratio": &d.RetryBudgetRatio, "further_spare": &d.RetryBudgetBase,
 		"cold_share": &d.ColdShare, "max_open": &d.MaxOpen, "allowances": &d.Allowances, "nodes": &d.Nodes, "zones_left": &d.ZonesLeft, "hold_list": &d.HoldList,
 		"storm_retries": &d.StormRetries, "storm_good": &d.StormGood}
 	for _, key := range unsupportedKeys {
-		delete(into, key)
+		delete(targets, key)
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		to, ok := into[key]
+		target, ok := targets[key]
 		if !ok {
 			return d, fmt.Errorf("%s: unknown key", key)
 		}
-		if err := json.Unmarshal(keys[key], to); err != nil {
+		if err := json.Unmarshal(keys[key], target); err != nil {
 			return d, fmt.Errorf("%s: %s", key, decodeErrorText(err))
 		}
 	}
-	// A mixer that can't know which version is in force uses half of each budget, so no version
-	// may allow less.
 	checkRange := func(key string, x *float64, least, most float64) error {
 		if x != nil && !(*x >= least && *x <= most) {
 			return fmt.Errorf("%s: %g is not between %g and %g", key, *x, least, most)
 		}
 		return nil
 	}
+	// A mixer that can't know which version is in force uses half of each budget, so no version
+	// may allow less.
 	checkBudgetShare := func(key string, x *float64, whole float64) error {
 		return checkRange(key, x, whole*version.MinBudgetShare, whole)
 	}
+	// whole checks an integer.
 	whole := func(key string, x *int, least, most int) error {
 		if x != nil && (*x < least || *x > most) {
 			return fmt.Errorf("%s: %d is not between %d and %d", key, *x, least, most)
--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -45,7 +45,7 @@
 // goroutine.
 type Front struct {
 	core          front.Core
-	classes       map[string]int
+	classes       map[string]int // index in classSettings by name
 	classSettings []decide.Class
 	log           zerolog.Logger
 	malformedLog  zerolog.Logger // sampled, for malformed calls
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -33,8 +33,8 @@
 // called on the core's goroutine.
 type Front struct {
 	core          front.Core
-	classes       map[string]int
-	tenants       map[string]int
+	classes       map[string]int // index in classSettings by name
+	tenants       map[string]int // index in the settings by name
 	classSettings []decide.Class
 	sampledLog    zerolog.Logger // for lines that clients can cause, sampled
 	clients       map[*client]struct{}
@@ -90,7 +90,7 @@
 type request struct {
 	c            *client
 	handle       *broker.QueryHandle
-	close        bool // the connection is closed behind the answer
+	close        bool // the connection is closed after the answer
 	id           string
 	admittedAt   time.Duration
 	deadline     time.Duration // when the client's deadline passes
@@ -343,7 +343,7 @@
 }
 
 // respond sends a response. The response to HEAD has a length and no body. A positive after is
-// sent as Retry-After. If closes is set, the connection is closed behind the response.
+// sent as Retry-After. If closes is set, the connection is closed after the response.
 func (c *client) respond(status int, kind string, length int, body []byte, after time.Duration, closes bool) {
 	// Frees file descriptors, and the connections that clients may hold, from clients that
 	// send one request and keep the connection. Requests that have been received behind this
