--- a/decide/first_query_test.go
+++ b/decide/first_query_test.go
@@ -17,7 +17,7 @@
 	_, parts := r.query(0, 2)
 	first := r.sent[parts[0]][0].Server
 	if r.sent[parts[1]][0].Server != first {
-		t.Fatal("the parts of one offset went to two servers")
+		t.Fatal("the parts of one query were sent to two servers")
 	}
 	answered, final := map[string]bool{}, 0
 	for range 300 { // 1.5 s
@@ -33,7 +33,7 @@
 		}
 	}
 	if final != 1 {
-		t.Errorf("it had %d answers by 1.5 times its aim; sends: %v", final, r.sent)
+		t.Errorf("%d final answers within 1.5 times the latency target, want 1; sends: %v", final, r.sent)
 	}
 }
 
@@ -58,6 +58,6 @@
 		}
 	}
 	if steps < 20 || steps > 250 {
-		t.Errorf("%d steps in 2 s for a part that waits", steps)
+		t.Errorf("%d steps in 2 s for one late part, want 20 to 250", steps)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -194,7 +194,7 @@
 		f.checkColdBudget(a.Server, at, i)
 	}
 	if at, ok := f.goneAt[a.Server]; ok && f.now > at+f.settings.DrainGrace {
-		f.t.Errorf("%s was sent a part %v after all were told that it is gone", a.Server, f.now-at)
+		f.t.Errorf("%s was sent a part %v after the aggregators learned that it is gone", a.Server, f.now-at)
 	}
 	if f.silent[a.Server] {
 		f.schedule(a.StopAt-f.now, i, AttemptDone{Part: a.Part, Attempt: n, Server: a.Server, Outcome: TimedOut,
@@ -235,7 +235,7 @@
 		f.silent["s041"] = true // the other holder of half its shards
 		f.run(17 * time.Second)
 		if n := len(f.coldSends["s040"]); n < 20 || f.partAnswers < 5000 {
-			t.Errorf("%d parts reached the cold server, %d were answered: tests too little", n, f.partAnswers)
+			t.Errorf("%d parts reached the cold server, %d were answered: too few for this test", n, f.partAnswers)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 				}
 				f.run(17 * time.Second)
 				if got := len(f.coldSends["s020"]); got < 20 {
-					t.Errorf("%d parts reached the cold server: tests too little", got)
+					t.Errorf("%d parts reached the cold server: too few for this test", got)
 				}
 			}
 		})
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -91,7 +91,7 @@
 	}
 	slices.Sort(at)
 	if len(at) < n || at[n*9/10] > 7*time.Second {
-		t.Errorf("%d of %d had a list, nine in ten by %v; discovery needs 4s for them all", len(at), n, at[len(at)*9/10])
+		t.Errorf("%d of %d had a list, nine in ten by %v; discovery takes 4s to answer them all", len(at), n, at[len(at)*9/10])
 	}
 }
 
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(d.listedAt) < n || late > 0 {
-		t.Errorf("%d of %d had a list, %d of them more than 10s after discovery was sound", len(d.listedAt), n, late)
+		t.Errorf("%d of %d had a list, %d of them more than 10s after discovery recovered", len(d.listedAt), n, late)
 	}
 	// Without random pauses they would all come back within a few milliseconds.
 	most, first := 0, d.calls[n:]
--- a/decide/outage_test.go
+++ b/decide/outage_test.go
@@ -20,7 +20,7 @@
 	f.t.Helper()
 	for id, came := range f.openQueries {
 		if f.now > came+4*time.Second {
-			f.t.Errorf("%s came %v ago and has no answer", id, f.now-came)
+			f.t.Errorf("%s arrived %v ago and has no final answer", id, f.now-came)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	// Most queries touch a cell of which both holders are gone and not listed yet, so few can be
 	// answered in the 9 s.
 	if before < 0.95 || after < 0.85 {
-		t.Errorf("answered in time: %.2f before and %.2f after", before, after)
+		t.Errorf("answered in time: %.2f before and %.2f after, want 0.95 and 0.85", before, after)
 	}
 }
 
@@ -83,12 +83,12 @@
 	f.run(12 * time.Second)
 	f.checkAllAnswered()
 	dim, back := f.answeredShare(dark, 5*time.Second), f.answeredShare(dark+7*time.Second, 8*time.Second)
-	t.Logf("answered in time: %.2f while the zone is dark, %.2f once it is back", dim, back)
+	t.Logf("answered in time: %.2f while the zone is down, %.2f after its return", dim, back)
 	// An aggregator that sends to a server once in 46 s can't find out in 5 s that it is gone, nor
 	// copy a third of its parts, so little is served meanwhile. What is checked is the return: all
 	// queries are served, and no server is overloaded.
 	if back < 0.95 {
-		t.Errorf("answered in time: %.2f once the zone is back", back)
+		t.Errorf("answered in time after the return of the zone: %.2f, want 0.95", back)
 	}
 }
 
@@ -115,7 +115,7 @@
 	f.run(12 * time.Second)
 	f.checkAllAnswered()
 	early, late := f.answeredShare(again, 3*time.Second), f.answeredShare(again+7*time.Second, 4*time.Second)
-	t.Logf("%d servers gone; answered in time: %.2f with old lists, %.2f with new ones", named, early, late)
+	t.Logf("%d servers replaced; answered in time: %.2f with old lists, %.2f with new ones", named, early, late)
 	if early < 0.8 || late < 0.95 {
 		t.Errorf("answered in time: %.2f with old lists, %.2f with new ones", early, late)
 	}
--- a/decide/property_test.go
+++ b/decide/property_test.go
@@ -190,7 +190,7 @@
 		w.checkFinal(a.Query)
 	case SetTimer:
 		if a.After <= 0 {
-			w.t.Errorf("a timer of %v", a.After)
+			w.t.Errorf("a timer after %v, want more than 0", a.After)
 		}
 		w.timers = append(w.timers, w.now+a.After)
 	case Watch:
@@ -254,14 +254,14 @@
 		floor = need
 	}
 	if in < floor-1e-4 {
-		w.t.Errorf("%v: %s answered from %.3f, floor %.3f", w.now, q.id, in, floor)
+		w.t.Errorf("%v: %s answered with weight %.3f, least weight %.3f", w.now, q.id, in, floor)
 	}
 	whole := in >= need-1e-4
 	if q.inSecondStep {
 		whole = all && q.firstStepComplete
 	}
 	if a.Whole && !whole {
-		w.t.Errorf("%v: %s marked whole from %.3f (second step %v)", w.now, q.id, in, q.inSecondStep)
+		w.t.Errorf("%v: %s marked whole with weight %.3f (second step: %v)", w.now, q.id, in, q.inSecondStep)
 	}
 	if q.class.SecondStepParts > 0 && !q.inSecondStep {
 		q.inSecondStep, q.firstStepComplete = true, a.Whole
@@ -283,16 +283,16 @@
 	w.sends++
 	p, s := w.parts[a.Part], w.servers[a.Server]
 	if p == nil || s == nil {
-		w.t.Fatalf("%v: a send of something unknown: %v", w.now, a)
+		w.t.Fatalf("%v: a send of an unknown part or to an unknown server: %v", w.now, a)
 	}
 	if p.q.closed || p.ended || p.answered {
-		w.t.Errorf("%v: a send for the finished part %s", w.now, p.id)
+		w.t.Errorf("%v: a send of the finished part %s", w.now, p.id)
 	}
 	if k := ((s.cell-p.shard)%w.settings.Cells + w.settings.Cells) % w.settings.Cells; k >= w.settings.CellsPerShard {
 		w.t.Errorf("%v: %s does not hold shard %d", w.now, a.Server, p.shard)
 	}
 	if s.stoppingSince > 0 && w.now > s.stoppingSince+w.settings.DrainGrace {
-		w.t.Errorf("%v: a send to %s, told to stop at %v", w.now, a.Server, s.stoppingSince)
+		w.t.Errorf("%v: a send to %s, known to stop since %v", w.now, a.Server, s.stoppingSince)
 	}
 	w.checkRepeat(p)
 	if len(p.attempts) > 0 {
@@ -300,7 +300,7 @@
 		n := countSince(w.extraAttempts, w.now-w.settings.RetryBudgetWindow)
 		limit := w.settings.RetryBudgetBase + w.settings.RetryBudgetRatio*float64(countSince(w.arrivals, w.now-w.settings.RetryBudgetWindow+1))
 		if float64(n) > limit {
-			w.t.Errorf("%v: %d further attempts, budget %.1f", w.now, n, limit)
+			w.t.Errorf("%v: %d retries and copies, budget %.1f", w.now, n, limit)
 		}
 	}
 	if s.started > 0 && w.now < s.started+w.settings.WarmupTime {
@@ -319,12 +319,12 @@
 	switch {
 	case first < 0:
 	case p.q.class.Idempotency == NonIdempotent:
-		w.t.Errorf("%v: the unsafe part %s was sent again though it may have run", w.now, p.id)
+		w.t.Errorf("%v: the non-idempotent part %s was sent again though it may have run", w.now, p.id)
 	case p.q.class.Idempotency == Deduplicated && w.now > first+p.q.class.DedupWindow:
-		w.t.Errorf("%v: the keyed part %s was sent again %v after it may have run", w.now, p.id, w.now-first)
+		w.t.Errorf("%v: the deduplicated part %s was sent again %v after it may have run", w.now, p.id, w.now-first)
 	}
 	if !w.settings.CopiesAllowed && slices.ContainsFunc(p.attempts, func(a *modelAttempt) bool { return a.inFlight }) {
-		w.t.Errorf("%v: two attempts of %s are out", w.now, p.id)
+		w.t.Errorf("%v: two attempts of %s are in flight, copies are not allowed", w.now, p.id)
 	}
 }
 
@@ -465,11 +465,11 @@
 			w.run(40 * time.Second)
 			for _, q := range w.queries {
 				if !q.closed {
-					t.Errorf("query %s was lost", q.id)
+					t.Errorf("query %s has no final answer", q.id)
 				}
 			}
 			if w.finals < 100 || w.sends < 300 || len(w.extraAttempts) < 20 {
-				t.Errorf("%d finals, %d sends, %d further attempts: the day tests too little", w.finals, w.sends, len(w.extraAttempts))
+				t.Errorf("%d final answers, %d sends, %d retries and copies: too few for this test", w.finals, w.sends, len(w.extraAttempts))
 			}
 			if n := len(w.machine.parts) + len(w.machine.queries) + len(w.machine.queriesByID) + len(w.machine.active); n != 0 {
 				t.Errorf("%d queries and parts are still held", n)
@@ -483,6 +483,6 @@
 	first.run(20 * time.Second)
 	again.run(20 * time.Second)
 	if !reflect.DeepEqual(first.actions, again.actions) {
-		t.Errorf("the same events led to other actions")
+		t.Errorf("the same events led to different actions")
 	}
 }
--- a/decide/shares_test.go
+++ b/decide/shares_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if got := newZoneHarness(t, 1, 1, 1).zoneSplit(0, 100); got[0] < 0.9 {
-		t.Errorf("with whole shares zone 0, which is near, got %v", got[0])
+		t.Errorf("with full shares, zone 0, the aggregator's own, got %v", got[0])
 	}
 }
 
@@ -64,13 +64,13 @@
 func TestOnlyHolderGetsPartsBeyondItsZoneShare(t *testing.T) {
 	r := newZoneHarness(t, 1, 0.05, 0.05)
 	if got := r.zoneSplit(1, 200); got[1]+got[2] < 1 { // held in zones 1 and 2 only
-		t.Errorf("parts that zones 1 and 2 alone hold: %v", got)
+		t.Errorf("shares by zone of a shard that only zones 1 and 2 hold: %v", got)
 	}
 	if got := r.zoneSplit(0, 200); math.Abs(got[1]-0) > 0.1 || got[0] < 0.9 {
-		t.Errorf("parts that zones 0 and 1 hold: %v", got)
+		t.Errorf("shares by zone of a shard that zones 0 and 1 hold: %v", got)
 	}
 	r.step(ServerListUpdate{Servers: []Server{{ID: "s0", Zone: 0, Cell: 0, State: Deleted}}})
 	if got := r.zoneSplit(0, 200); got[1] < 1 {
-		t.Errorf("parts that zone 1 alone holds now: %v", got)
+		t.Errorf("shares by zone of a shard that only zone 1 holds now: %v", got)
 	}
 }
--- a/decide/sparse_traffic_test.go
+++ b/decide/sparse_traffic_test.go
@@ -85,7 +85,7 @@
 func TestSilentServerIsDetectedThoughCopiesAnswerFirst(t *testing.T) {
 	r := newSparseHarness(t)
 	if parts, _ := r.runTraffic(20*time.Second, ""); parts > 0 {
-		t.Fatal("nobody is silent yet")
+		t.Fatal("parts were counted for a silent server before there was one")
 	}
 	parts, probes := r.runTraffic(20*time.Second, "s07")
 	if parts > 6 {
@@ -109,7 +109,7 @@
 	}
 	r.runTraffic(12*time.Second, "")
 	if s := r.m.servers["s07"]; r.m.isSuspect(s) || s.failureShare > singleTryFailureShare {
-		t.Errorf("still doubted %v after it was back: failing share %.2f, silent %v", 12*time.Second, s.failureShare, r.m.silence(s))
+		t.Errorf("still a suspect %v after it recovered: failing share %.2f, silent %v", 12*time.Second, s.failureShare, r.m.silence(s))
 	}
 }
 
@@ -150,11 +150,11 @@
 	}
 	// What a cold server of 100 parts a second may be sent in its first second.
 	if limit := 96; most > limit {
-		t.Errorf("%d parts in one second at the cold server, which falls over at %d", most, limit)
+		t.Errorf("%d parts in one second to the cold server, want at most %d", most, limit)
 	}
 	for i, g := range got {
 		if g < 2 {
-			t.Errorf("aggregator %d got %d parts through in 10s", i, g)
+			t.Errorf("aggregator %d had %d parts answered in 10s, want at least 2", i, g)
 		}
 	}
 }
--- a/decide/statemachine_test.go
+++ b/decide/statemachine_test.go
@@ -39,11 +39,11 @@
 	_, parts := r.query(0, 1)
 	r.advance(490 * ms)
 	if len(r.sent[parts[0]]) != 1 {
-		t.Fatalf("copied before half the aim")
+		t.Fatalf("copied before half the latency target")
 	}
 	r.advance(20 * ms)
 	if len(r.sent[parts[0]]) != 2 {
-		t.Fatalf("not copied at half the aim")
+		t.Fatalf("not copied at half the latency target")
 	}
 }
 
@@ -58,7 +58,7 @@
 	first := r.sent[parts[0]][0].Server
 	_, parts = r.query(0, 1)
 	if r.sent[parts[0]][0].Server == first {
-		t.Errorf("the next query went to the server with a call out, not to one with none")
+		t.Errorf("the next query went to the server with an open call, not to an idle one")
 	}
 }
 
@@ -103,7 +103,7 @@
 	r.finish(parts[0], 0, TimedOut, 1100*ms)
 	r.advance(time.Second)
 	if len(r.sent[parts[0]]) != before {
-		t.Errorf("sent again after the memory span")
+		t.Errorf("sent again after the dedup window")
 	}
 }
 
@@ -167,7 +167,7 @@
 			PartArrived{ID: "y" + string(rune('0'+i)), Number: int64(900 + i), Weight: 1})
 	}
 	if len(r.sent["y1"]) != 1 {
-		t.Errorf("the second query was not begun")
+		t.Errorf("the second query was not started")
 	}
 }
 
@@ -182,10 +182,10 @@
 				PartArrived{ID: "y" + id, Number: int64(900 + i), Weight: 1})
 		}
 		if len(r.sent["y1"]) != 0 {
-			t.Errorf("left %v: work was begun for a try whose aim is past", late)
+			t.Errorf("timeout %v: a try past its latency target was started", late)
 		}
 		if len(r.sent["y2"]) != 1 {
-			t.Errorf("left %v: a first try was not begun", late)
+			t.Errorf("timeout %v: a first try was not started", late)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	r.finish(parts[0], 0, OK, 50*ms)
 	r.advance(900 * ms)
 	if _, ok := findAction[Answer](r.actions); ok {
-		t.Fatalf("answered before the aim was near")
+		t.Fatalf("answered long before the latency target")
 	}
 	answered := false
 	for range 10 {
@@ -205,12 +205,12 @@
 		if a, ok := findAction[Answer](r.actions); ok {
 			answered = true
 			if a.Whole {
-				t.Errorf("a short answer was marked whole")
+				t.Errorf("a partial answer was marked whole")
 			}
 		}
 	}
 	if !answered {
-		t.Errorf("no short answer at the aim")
+		t.Errorf("no partial answer by the latency target")
 	}
 }
 
@@ -298,7 +298,7 @@
 	id, _ := r.query(0, 1)
 	r.advance(5 * time.Second)
 	if r.m.queriesByID[id] != nil || len(r.m.parts) != 0 || len(r.m.active) != 0 {
-		t.Errorf("state is left after the queries ended")
+		t.Errorf("state is kept after the queries ended")
 	}
 }
 
@@ -310,7 +310,7 @@
 	r.advance(8 * time.Second)
 	s := r.m.servers["a"]
 	if s.inFlight != 0 || s.calls != 0 || len(r.m.parts) != 0 {
-		t.Errorf("%d attempts, %d calls and %d parts are left", s.inFlight, s.calls, len(r.m.parts))
+		t.Errorf("%d attempts, %d calls and %d parts are kept", s.inFlight, s.calls, len(r.m.parts))
 	}
 }
 
@@ -329,7 +329,7 @@
 		s.trialAt = r.now + time.Hour // so that no trial is due
 	}
 	if _, parts = r.query(0, 1); len(r.sent[parts[0]]) != 1 {
-		t.Errorf("refused on a silence of servers that hold nothing")
+		t.Errorf("refused because of the old silence of servers with nothing in flight")
 	}
 }
 
@@ -372,7 +372,7 @@
 	_, parts := r.query(0, 1)
 	r.advance(520 * ms)
 	if len(r.sent[parts[0]]) != 2 {
-		t.Errorf("%d sends at half the aim, want a copy", len(r.sent[parts[0]]))
+		t.Errorf("%d sends at half the latency target, want a copy", len(r.sent[parts[0]]))
 	}
 }
 
@@ -403,7 +403,7 @@
 	copyTokens := r.m.copyTokens
 	r.advance(300 * ms)
 	if len(r.sent[parts[0]]) != 1 || r.m.copyTokens < copyTokens {
-		t.Errorf("copied to a holder that is as slow")
+		t.Errorf("copied to a holder that is equally slow")
 	}
 }
 
@@ -427,7 +427,7 @@
 		s.trialAt = r.now + time.Hour
 	}
 	if _, parts := r.query(0, 1); len(r.sent[parts[0]]) != 1 {
-		t.Errorf("a shard was condemned with all its holders")
+		t.Errorf("refused a part because all holders of its shard are suspects")
 	}
 }
 
@@ -448,7 +448,7 @@
 		r.now += 5 * ms
 	}
 	if len(r.sent["y0"]) != 1 || len(r.sent["y1"]) != 0 {
-		t.Errorf("within the share sent %d, over it %d; want 1 and 0", len(r.sent["y0"]), len(r.sent["y1"]))
+		t.Errorf("sent %d within the allowance and %d over it, want 1 and 0", len(r.sent["y0"]), len(r.sent["y1"]))
 	}
 }
 
@@ -466,11 +466,11 @@
 			r.finish(parts[0], n, Full, ms)
 		}
 		if limit := 5 + 0.2*float64(taken); float64(further) > limit {
-			t.Fatalf("%d further attempts after %d queries and parts", further, taken)
+			t.Fatalf("%d retries after %d queries and parts", further, taken)
 		}
 	}
 	if further < 10 {
-		t.Errorf("%d further attempts, the budget was not reached", further)
+		t.Errorf("%d retries, the budget was not used up", further)
 	}
 }
 
@@ -502,11 +502,11 @@
 	for range 300 {
 		r.advance(5 * ms)
 		if _, ok := findAction[Answer](r.actions); ok {
-			t.Fatalf("a short answer worth 0.45 was given, a late one earns 0.8")
+			t.Fatalf("a partial answer worth 0.45 was given, a late one is worth 0.8")
 		}
 	}
 	if a, ok := findAction[Answer](r.finish(parts[1], 0, OK, time.Second)); !ok || !a.Whole {
-		t.Errorf("no whole answer when the last part came")
+		t.Errorf("no whole answer when the last part arrived")
 	}
 }
 
@@ -590,7 +590,7 @@
 		r.advance(5 * ms)
 	}
 	if n := len(r.sent[parts[0]]); n != 2 {
-		t.Errorf("%d attempts of the last part after half the aim, want 2", n)
+		t.Errorf("%d attempts of the last part after half the latency target, want 2", n)
 	}
 }
 
@@ -603,7 +603,7 @@
 	_, parts := r.query(0, 1)
 	r.finish(parts[0], 0, Reset, 2*ms)
 	if s := r.m.servers[r.sent[parts[0]][0].Server]; s.failureShare > 0 {
-		t.Errorf("a server is blamed for a dropped connection")
+		t.Errorf("a dropped connection was counted as a failure of the server")
 	}
 	r.advance(100 * ms)
 	r.finish(parts[0], 1, OK, 50*ms)
@@ -628,7 +628,7 @@
 	r.advance(4 * ms)
 	_, parts = r.query(0, 1)
 	if idle := r.m.inFlight[len(r.m.inFlight)-1].idle; idle <= 0 || idle > 70*ms {
-		t.Fatalf("the connection had rested for %v", idle)
+		t.Fatalf("the connection had been idle for %v", idle)
 	}
 	r.finish(parts[0], 0, Reset, 2*ms)
 	r.advance(100 * ms)
@@ -689,7 +689,7 @@
 		}
 	}
 	if again < 1 || again > 4 {
-		t.Errorf("sent again %d times though none answered first", again)
+		t.Errorf("%d forced copies though none answered first, want 1 to 4", again)
 	}
 }
 
@@ -698,17 +698,17 @@
 func TestTwoStepQueryIsStartedOnlyIfBothStepsFit(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
-		begun   bool
+		started bool
 	}{{200 * ms, true}, {600 * ms, false}} {
 		r := newHarness(t, testSettings(), "a", "b")
 		r.warmUp(8, c.latency)
 		r.query(4, 1)
-		if _, sent := findAction[Send](r.actions); sent != c.begun {
-			t.Errorf("answers take %v: begun %v, want %v", c.latency, sent, c.begun)
+		if _, sent := findAction[Send](r.actions); sent != c.started {
+			t.Errorf("answers take %v: started %v, want %v", c.latency, sent, c.started)
 		}
 		r.query(0, 1)
 		if _, sent := findAction[Send](r.actions); !sent {
-			t.Errorf("answers take %v: a query of one step was not begun", c.latency)
+			t.Errorf("answers take %v: a query of one step was not started", c.latency)
 		}
 	}
 }
@@ -735,13 +735,13 @@
 func TestShortTimeoutsAreServedWhileAnswersAreQuick(t *testing.T) {
 	for _, c := range []struct {
 		latency time.Duration
-		begun   bool
+		started bool
 	}{{50 * ms, true}, {300 * ms, false}} {
 		r := newHarness(t, testSettings(), "a", "b")
 		r.warmUp(8, c.latency)
 		r.step(QueryArrived{ID: "hasty", Number: 99, Left: 300 * ms}, PartArrived{ID: "hasty.0", Number: 99, Weight: 1})
-		if _, sent := findAction[Send](r.actions); sent != c.begun {
-			t.Errorf("answers take %v: begun %v, want %v", c.latency, sent, c.begun)
+		if _, sent := findAction[Send](r.actions); sent != c.started {
+			t.Errorf("answers take %v: started %v, want %v", c.latency, sent, c.started)
 		}
 	}
 }
@@ -766,7 +766,7 @@
 		r.advance(5 * ms)
 	}
 	if len(r.sent[some[3]]) > 1 || len(r.sent[all[2]])+len(r.sent[all[3]]) != 3 {
-		t.Errorf("attempts: %d where a short answer is possible, %d and %d where not, want one copy there", len(r.sent[some[3]]),
+		t.Errorf("attempts: %d where a partial answer is possible, %d and %d where not, want one copy there", len(r.sent[some[3]]),
 			len(r.sent[all[2]]), len(r.sent[all[3]]))
 	}
 }
@@ -817,7 +817,7 @@
 	}
 	r.step(ProbeDone{Server: "a", Outcome: OK})
 	if s := r.m.servers["a"]; r.m.isSuspect(s) {
-		t.Errorf("still a suspect after its word: silent %v", r.m.silence(s))
+		t.Errorf("still a suspect after its response: silent %v", r.m.silence(s))
 	}
 }
 
@@ -902,7 +902,7 @@
 	m := r.m
 	got := []int{len(m.servers), len(m.sortedServers), len(m.queries), len(m.queriesByID), len(m.active), len(m.parts), len(m.inFlight)}
 	if diff := cmp.Diff([]int{1, 1, 0, 0, 0, 0, 0}, got); diff != "" || len(m.arrivals) > 100 || len(m.holders) > 1 {
-		t.Errorf("servers, order, queries, ids, live, parts, out: %s; %d taken, %d holders", diff, len(m.arrivals), len(m.holders))
+		t.Errorf("servers, sortedServers, queries, queriesByID, active, parts, inFlight: %s; %d arrivals, %d holders", diff, len(m.arrivals), len(m.holders))
 	}
 }
 
@@ -933,7 +933,7 @@
 		t.Errorf("%d of 40 queries refused over 4 s by servers that answer within 20 ms", refused)
 	}
 	if refused == 0 {
-		t.Error("none refused: the servers never looked slow, so this shows nothing")
+		t.Error("none refused: the servers never looked slow, so the test is void")
 	}
 }
 
@@ -984,7 +984,7 @@
 						}
 					}
 					if most := max(1, 3*share*9*1.5); float64(n) > most {
-						t.Fatalf("%s was sent %d parts within a second, %.1f are three times what it bears", id, n, most)
+						t.Fatalf("%s was sent %d parts within a second, limit %.1f", id, n, most)
 					}
 				}
 			}
@@ -1008,7 +1008,7 @@
 			r.step(TimerFired{Token: "due"})
 		}
 		if took := r.now - start; took > time.Second-way || took < time.Second-50*ms {
-			t.Errorf("with a tick of %v, the short answer left %v after the query, which is wanted within 1s", tick, took)
+			t.Errorf("with a tick of %v, the partial answer left %v after the query, whose latency target is 1s", tick, took)
 		}
 	}
 }
@@ -1035,6 +1035,6 @@
 		r.step(TimerFired{Token: "due"})
 	}
 	if left := start + time.Second - r.now; left < 270*ms || left > 500*ms {
-		t.Errorf("the second step was given %v, while slow answers take 300ms", left)
+		t.Errorf("the second step was left %v, while slow answers take 300ms", left)
 	}
 }
--- a/decide/unusual_lists_test.go
+++ b/decide/unusual_lists_test.go
@@ -94,6 +94,6 @@
 		}
 	}
 	if watched < 0 {
-		t.Error("discovery was never asked")
+		t.Error("discovery was never called")
 	}
 }
