--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -90,7 +90,7 @@
 }
 
 // Directory follows the list of nodes and reports it by Core.UpdateNodeList and
-// Core.ListLost.
+// Core.WatchFailed.
 type Directory interface {
 	// Watch starts or stops the subscription to changes of the list.
 	Watch(on bool)
--- a/internal/transport/faults_test.go
+++ b/internal/transport/faults_test.go
@@ -168,7 +168,7 @@
 	for _, err := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EMFILE, unix.ENFILE} {
 		wrapped := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
 		if got := Outcome(dialEnd(wrapped), false); got != decide.NotSent {
-			t.Errorf("%v: outcome %v, want Moot", err, got)
+			t.Errorf("%v: outcome %v, want NotSent", err, got)
 		}
 	}
 	for _, err := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ECONNRESET, unix.ETIMEDOUT} {
