--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -156,8 +156,8 @@
 			f.attempts[a.Part]++
 			f.handleSend(i, a, f.attempts[a.Part]-1)
 		case Answer:
-			if came := f.openQueries[a.Query]; f.now <= came+fleetAim {
-				f.answeredInTime = append(f.answeredInTime, came)
+			if arrived := f.openQueries[a.Query]; f.now <= arrived+fleetAim {
+				f.answeredInTime = append(f.answeredInTime, arrived)
 			}
 			f.recordFinal(a.Query)
 		case Refuse:
--- a/decide/health.go
+++ b/decide/health.go
@@ -159,11 +159,11 @@
 	if !m.maySend(p, s) {
 		return false
 	}
-	doubt := m.isSuspect(s)
-	if doubt != s.loggedSuspect {
-		s.loggedSuspect = doubt
+	suspect := m.isSuspect(s)
+	if suspect != s.loggedSuspect {
+		s.loggedSuspect = suspect
 		m.logf("server %s suspect=%v: failing share %.2f, silent %v",
-			s.ID, doubt, s.failureShare, m.silence(s))
+			s.ID, suspect, s.failureShare, m.silence(s))
 	}
-	return !doubt || (m.now >= s.trialAt && m.mayRepeat(p) && !s.unresponsive)
+	return !suspect || (m.now >= s.trialAt && m.mayRepeat(p) && !s.unresponsive)
 }
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -38,20 +38,20 @@
 	set.WatchDiscovery, set.ListRefreshInterval, set.Tick, set.Aggregators = true, 10*time.Second, ms, n
 	d.listedAt = map[int]time.Duration{}
 	start := 50 * time.Second
-	modules, inbox := make([]*StateMachine, n), map[time.Duration]map[int][]Event{}
-	later := func(at time.Duration, i int, e Event) {
+	machines, inbox := make([]*StateMachine, n), map[time.Duration]map[int][]Event{}
+	schedule := func(at time.Duration, i int, e Event) {
 		at = max(at, start).Truncate(ms)
 		if inbox[at] == nil {
 			inbox[at] = map[int][]Event{}
 		}
 		inbox[at][i] = append(inbox[at][i], e)
 	}
-	for i := range modules {
-		modules[i] = New(set, uint64(i))
-		later(start, i, listOf("a"))
+	for i := range machines {
+		machines[i] = New(set, uint64(i))
+		schedule(start, i, listOf("a"))
 	}
 	for now := start; now < start+length; now += ms {
-		for i, m := range modules {
+		for i, m := range machines {
 			events := inbox[now][i]
 			for _, e := range events {
 				if l, ok := e.(ServerListUpdate); ok && !l.Full {
@@ -64,12 +64,12 @@
 			for _, a := range m.Step(now, events) {
 				switch a := a.(type) {
 				case SetTimer:
-					later(now+a.After+ms, i, TimerFired{})
+					schedule(now+a.After+ms, i, TimerFired{})
 				case Watch:
 					if at, ok := d.call(now); ok {
-						later(at+ms, i, ServerListUpdate{})
+						schedule(at+ms, i, ServerListUpdate{})
 					} else {
-						later(at+ms, i, WatchFailed{})
+						schedule(at+ms, i, WatchFailed{})
 					}
 				}
 			}
--- a/decide/outage_test.go
+++ b/decide/outage_test.go
@@ -18,30 +18,30 @@
 // checkAllAnswered fails the test for each query that is past its timeout and has no final answer.
 func (f *fleetSimulation) checkAllAnswered() {
 	f.t.Helper()
-	for id, came := range f.openQueries {
-		if f.now > came+4*time.Second {
-			f.t.Errorf("%s arrived %v ago and has no final answer", id, f.now-came)
+	for id, arrived := range f.openQueries {
+		if f.now > arrived+4*time.Second {
+			f.t.Errorf("%s arrived %v ago and has no final answer", id, f.now-arrived)
 		}
 	}
 }
 
 // replaceServer has a server disappear without notice and one with another ID start cold in its
 // place. All aggregators learn of both after a delay.
-func (f *fleetSimulation) replaceServer(cell int, late time.Duration) {
+func (f *fleetSimulation) replaceServer(cell int, delay time.Duration) {
 	old := f.server(cell)
 	old.State = Deleted
 	f.silent[old.ID] = true
 	f.serverIDs[cell] = fmt.Sprintf("%s.%d", old.ID[:4], f.now/time.Millisecond)
 	f.started[f.serverIDs[cell]] = f.now
-	f.announce(late, old)
-	f.announce(late, f.server(cell))
-	f.goneAt[old.ID] = f.now + late
+	f.announce(delay, old)
+	f.announce(delay, f.server(cell))
+	f.goneAt[old.ID] = f.now + delay
 }
 
 func TestSixInTenServersAreReplacedWithPartsInFlight(t *testing.T) {
 	f := newFleetSimulation(t, 1, manyAggregators, manyServers)
 	f.run(10 * time.Second)
-	first := f.now
+	start := f.now
 	for step := range 60 { // two of 200 at a time, over 7 s
 		for k := range 2 {
 			f.replaceServer((step*2+k)*5/3%manyServers, 2*time.Second)
@@ -50,7 +50,7 @@
 	}
 	f.run(12 * time.Second)
 	f.checkAllAnswered()
-	before, during, after := f.answeredShare(first-5*time.Second, 4*time.Second), f.answeredShare(first, 9*time.Second), f.answeredShare(first+10*time.Second, 6*time.Second)
+	before, during, after := f.answeredShare(start-5*time.Second, 4*time.Second), f.answeredShare(start, 9*time.Second), f.answeredShare(start+10*time.Second, 6*time.Second)
 	t.Logf("answered in time: %.2f before, %.2f in the 9 s, %.2f after", before, during, after)
 	// Most queries touch a cell of which both holders are gone and not listed yet, so few can be
 	// answered in the 9 s.
@@ -72,7 +72,7 @@
 	f := newFleetSimulation(t, seed, manyAggregators, manyServers)
 	f.allowChance = true
 	f.run(10 * time.Second)
-	dark := f.now
+	failedAt := f.now
 	for c := 0; c < manyServers; c += 3 {
 		f.silent[f.server(c).ID] = true
 	}
@@ -82,13 +82,13 @@
 	}
 	f.run(12 * time.Second)
 	f.checkAllAnswered()
-	dim, back := f.answeredShare(dark, 5*time.Second), f.answeredShare(dark+7*time.Second, 8*time.Second)
-	t.Logf("answered in time: %.2f while the zone is down, %.2f after its return", dim, back)
+	during, after := f.answeredShare(failedAt, 5*time.Second), f.answeredShare(failedAt+7*time.Second, 8*time.Second)
+	t.Logf("answered in time: %.2f while the zone is down, %.2f after its return", during, after)
 	// An aggregator that sends to a server once in 46 s can't find out in 5 s that it is gone, nor
 	// copy a third of its parts, so little is served meanwhile. What is checked is the return: all
 	// queries are served, and no server is overloaded.
-	if back < 0.95 {
-		t.Errorf("answered in time after the return of the zone: %.2f, want 0.95", back)
+	if after < 0.95 {
+		t.Errorf("answered in time after the return of the zone: %.2f, want 0.95", after)
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	clear(f.openQueries) // a killed aggregator answers nothing, and its clients are told so
 	f.run(time.Second)
-	again, named := f.now, len(f.goneAt)
+	restartedAt, replaced := f.now, len(f.goneAt)
 	// An aggregator that starts with an old list does not know yet which servers are gone.
 	clear(f.goneAt)
 	for i := range manyAggregators * 7 / 10 {
@@ -114,8 +114,8 @@
 	}
 	f.run(12 * time.Second)
 	f.checkAllAnswered()
-	early, late := f.answeredShare(again, 3*time.Second), f.answeredShare(again+7*time.Second, 4*time.Second)
-	t.Logf("%d servers replaced; answered in time: %.2f with old lists, %.2f with new ones", named, early, late)
+	early, late := f.answeredShare(restartedAt, 3*time.Second), f.answeredShare(restartedAt+7*time.Second, 4*time.Second)
+	t.Logf("%d servers replaced; answered in time: %.2f with old lists, %.2f with new ones", replaced, early, late)
 	if early < 0.8 || late < 0.95 {
 		t.Errorf("answered in time: %.2f with old lists, %.2f with new ones", early, late)
 	}
--- a/decide/sparse_traffic_test.go
+++ b/decide/sparse_traffic_test.go
@@ -39,7 +39,7 @@
 		n    int
 	}
 	var due []answer
-	see := func(actions []Action) {
+	handle := func(actions []Action) {
 		for len(actions) > 0 {
 			a := actions[0]
 			actions = actions[1:]
@@ -63,9 +63,9 @@
 		r.now += 5 * ms
 		if i%10 == 0 {
 			r.queryShard((r.queries * 7) % r.m.settings.Cells)
-			see(r.actions)
+			handle(r.actions)
 		}
-		see(r.step(TimerFired{Token: "due"}))
+		handle(r.step(TimerFired{Token: "due"}))
 		now := due
 		due = nil
 		for _, d := range now {
@@ -73,7 +73,7 @@
 				due = append(due, d)
 				continue
 			}
-			see(r.step(AttemptDone{Part: d.part, Attempt: d.n, Server: r.sent[d.part][d.n].Server, Outcome: OK, Latency: 40 * ms}))
+			handle(r.step(AttemptDone{Part: d.part, Attempt: d.n, Server: r.sent[d.part][d.n].Server, Outcome: OK, Latency: 40 * ms}))
 		}
 	}
 	return parts, probes
@@ -121,14 +121,14 @@
 	set.Aggregators, set.Tick, set.ColdBudgetWindow, set.ColdBudgetFactor, set.WarmupStartShare = n, ms, time.Second, 3, 0.32
 	set.Classes[0].LatencyTarget, set.SendRetryAfter = 400*ms, true
 	start := 100 * time.Second
-	modules, got, sends := make([]*StateMachine, n), make([]int, n), []time.Duration(nil)
-	for i := range modules {
-		modules[i] = New(set, uint64(i))
-		modules[i].Step(start, []Event{ServerListUpdate{Full: true, Servers: []Server{{ID: "a", Started: start}}}})
+	machines, partsSent, sends := make([]*StateMachine, n), make([]int, n), []time.Duration(nil)
+	for i := range machines {
+		machines[i] = New(set, uint64(i))
+		machines[i].Step(start, []Event{ServerListUpdate{Full: true, Servers: []Server{{ID: "a", Started: start}}}})
 	}
 	for k := range 600 { // 10 s; each has a query every half second
 		now := start + time.Duration(k)*16*ms
-		for i, m := range modules {
+		for i, m := range machines {
 			events := []Event{TimerFired{}}
 			if (k+i)%30 == 0 {
 				id := fmt.Sprintf("q%d.%d", i, k)
@@ -137,7 +137,7 @@
 			}
 			for _, a := range m.Step(now, events) {
 				if s, ok := a.(Send); ok {
-					got[i]++
+					partsSent[i]++
 					sends = append(sends, now)
 					m.Step(now, []Event{AttemptDone{Part: s.Part, Server: "a", Outcome: OK, Latency: 15 * ms}})
 				}
@@ -152,7 +152,7 @@
 	if limit := 96; most > limit {
 		t.Errorf("%d parts in one second to the cold server, want at most %d", most, limit)
 	}
-	for i, g := range got {
+	for i, g := range partsSent {
 		if g < 2 {
 			t.Errorf("aggregator %d had %d parts answered in 10s, want at least 2", i, g)
 		}
--- a/decide/statemachine_test.go
+++ b/decide/statemachine_test.go
@@ -780,7 +780,7 @@
 	r := newHarness(t, set, "a", "b")
 	r.warmUp(20, 40*ms)
 	toA, probes := 0, 0
-	see := func(actions []Action) { // what b and the caller do at once; a never responds
+	handle := func(actions []Action) { // what b and the caller do at once; a never responds
 		for _, action := range actions {
 			switch action := action.(type) {
 			case Probe:
@@ -803,10 +803,10 @@
 	for range 40 {
 		_, parts := r.query(0, 1)
 		first := r.sent[parts[0]][0].Server
-		see(r.actions)
+		handle(r.actions)
 		for range 20 {
 			r.advance(5 * ms)
-			see(r.actions)
+			handle(r.actions)
 		}
 		if first == "a" {
 			toA++
