--- a/decide/outage_test.go
+++ b/decide/outage_test.go
@@ -38,6 +38,8 @@
 	f.goneAt[old.ID] = f.now + delay
 }
 
+// TestSixInTenServersAreReplacedWithPartsInFlight replaces 120 of 200 servers within 7 s, which the
+// aggregators learn 2 s later each time.
 func TestSixInTenServersAreReplacedWithPartsInFlight(t *testing.T) {
 	f := newFleetSimulation(t, 1, manyAggregators, manyServers)
 	f.run(10 * time.Second)
@@ -59,9 +61,9 @@
 	}
 }
 
-// A third of 200 servers is cold at once, and hundreds of windows of each are checked: on most
-// seeds one of them exceeds the limit by chance alone. The room that the rule leaves for chance is
-// therefore given here, on four seeds.
+// TestZoneFailsAndReturnsColdWithTheSameIDs has a third of 200 servers cold at once and checks
+// hundreds of windows of each. On most seeds one of them exceeds the limit by chance alone, so the
+// room that the rule leaves for chance is given here, on four seeds.
 func TestZoneFailsAndReturnsColdWithTheSameIDs(t *testing.T) {
 	for seed := range uint64(4) {
 		testZoneRestart(t, seed)
@@ -92,6 +94,8 @@
 	}
 }
 
+// TestMostAggregatorsRestartWithAStaleList replaces a fifth of the servers, kills 70 % of the
+// aggregators and starts them again with the list from before. They learn of the new one 3 to 5.1 s later.
 func TestMostAggregatorsRestartWithAStaleList(t *testing.T) {
 	f := newFleetSimulation(t, 3, manyAggregators, manyServers)
 	stale := f.list()
