--- a/internal/tracing/recorder.go
+++ b/internal/tracing/recorder.go
@@ -12,7 +12,7 @@
 type Class struct {
 	Name                 string
 	LatencyTarget        time.Duration // an answer is wanted within it
-	LatencyTargetPerWork float64       // the aim grows by this multiple of the query's own work
+	LatencyTargetPerWork float64       // the target grows by this multiple of the query's own work
 	Deadline             time.Duration // of all tries of a client
 }
 
