--- a/decide/decide.go
+++ b/decide/decide.go
@@ -312,17 +312,17 @@
 	}
 	s.coldSends = dropBefore(s.coldSends, m.now-m.settings.ColdBudgetWindow)
 	share := m.warmupShare(s)
-	warm := m.warmServerRate() * m.settings.ColdBudgetWindow.Seconds()
-	room := coldBudgetShare * m.settings.ColdBudgetFactor * share * warm
-	if room >= 1 {
-		return float64(len(s.coldSends)+1) <= room
+	warmCount := m.warmServerRate() * m.settings.ColdBudgetWindow.Seconds()
+	budget := coldBudgetShare * m.settings.ColdBudgetFactor * share * warmCount
+	if budget >= 1 {
+		return float64(len(s.coldSends)+1) <= budget
 	}
 	// A budget of less than one part in a window means one part in more than a window: with one in each,
 	// many aggregators would exceed the capacity of the server several times over. The first part is
 	// spread, too.
-	pause := time.Duration(float64(m.settings.ColdBudgetWindow) * min(1/max(room, 0.01), maxColdPause))
-	last := s.coldKnownAt - time.Duration(s.coldJitter*float64(pause))
-	return m.now >= max(last, s.lastColdSend)+pause
+	pause := time.Duration(float64(m.settings.ColdBudgetWindow) * min(1/max(budget, 0.01), maxColdPause))
+	lastSend := s.coldKnownAt - time.Duration(s.coldJitter*float64(pause))
+	return m.now >= max(lastSend, s.lastColdSend)+pause
 }
 
 // withinRetryBudget tells whether one more retry or copy is within the given share of the retry budget.
@@ -361,7 +361,7 @@
 func (m *StateMachine) mayRepeat(p *part) bool { return p.q.class.Idempotency != NonIdempotent }
 
 // startAttempt is the only way to send a part: it checks all rules, and reports whether it sent the part.
-func (m *StateMachine) startAttempt(p *part, s *server, why SendReason) bool {
+func (m *StateMachine) startAttempt(p *part, s *server, reason SendReason) bool {
 	if !m.mayAttempt(p) || !m.maySend(p, s) || (len(p.attempts) > 0 && !m.withinRetryBudget(1)) {
 		return false
 	}
@@ -387,7 +387,7 @@
 	if a.number == 0 {
 		m.partRate.add(m.now, 1)
 	}
-	m.emit(Send{Part: p.ID, Server: s.ID, StopAt: deadline, Reason: why})
+	m.emit(Send{Part: p.ID, Server: s.ID, StopAt: deadline, Reason: reason})
 	return true
 }
 
@@ -589,7 +589,7 @@
 		left /= 2 // two steps have to fit
 	}
 	limit := left * (minAdmitShare + (maxAdmitShare-minAdmitShare)*min(m.relativeValue(q), 1))
-	reach := 0.0
+	reachable := 0.0
 	for _, p := range q.parts {
 		s := m.route(p, q.offset)
 		// A suspect due for a trial counts, so that one signal alone can't make its shards unavailable. So
@@ -597,22 +597,22 @@
 		// is.
 		if s != nil && (m.expectedDelay(s) <= limit ||
 			m.now >= s.trialAt && (m.isSuspect(s) || s.inFlight == 0 && m.latency() <= limit)) {
-			reach += p.Weight
+			reachable += p.Weight
 		}
 	}
-	return reach >= q.class.MinWeight-weightTolerance
+	return reachable >= q.class.MinWeight-weightTolerance
 }
 
 // sendNextAttempt sends a part's first or next attempt: the first by the offset rule, later ones to the
 // best other holder.
 func (m *StateMachine) sendNextAttempt(p *part) {
-	s, why := m.route(p, p.q.offset), ByOffset
+	s, reason := m.route(p, p.q.offset), ByOffset
 	if len(p.attempts) > 0 {
-		s, why = m.bestHolder(p), NextBestHolder
+		s, reason = m.bestHolder(p), NextBestHolder
 	} else if hs := m.holdersOf(p.Shard); len(hs) > 0 && s != hs[p.q.offset%len(hs)] {
-		why = OffsetAvoided
+		reason = OffsetAvoided
 	}
-	if s == nil || !m.startAttempt(p, s, why) {
+	if s == nil || !m.startAttempt(p, s, reason) {
 		if m.settings.ReportShortages && s == nil && m.blockedByColdBudget(p) {
 			m.reportShortage(p, ColdBudgetSpent)
 		}
@@ -698,13 +698,13 @@
 
 // cannotBeAnswered tells whether parts that can never arrive leave too little weight for any answer.
 func (m *StateMachine) cannotBeAnswered(q *query) bool {
-	reach := 0.0
+	reachable := 0.0
 	for _, p := range q.parts {
 		if p.done || p.active() != nil || m.mayAttempt(p) {
-			reach += p.Weight
+			reachable += p.Weight
 		}
 	}
-	return len(q.parts) > 0 && reach < q.class.MinWeight-weightTolerance
+	return len(q.parts) > 0 && reachable < q.class.MinWeight-weightTolerance
 }
 
 // answerQuery answers with the parts that have arrived. The first answer of two steps opens the second.
@@ -720,14 +720,14 @@
 
 // endUnanswered refuses the query if nothing ran that may not run twice, since a refusal promises that, and
 // fails it otherwise.
-func (m *StateMachine) endUnanswered(q *query, why EndReason) {
+func (m *StateMachine) endUnanswered(q *query, reason EndReason) {
 	if q.inSecondStep || (q.class.Idempotency != Idempotent &&
 		slices.ContainsFunc(q.parts, func(p *part) bool {
 			return p.mayHaveRun() != nil
 		})) {
-		m.emit(Fail{Query: q.ID, Reason: why})
+		m.emit(Fail{Query: q.ID, Reason: reason})
 	} else {
-		m.emit(Refuse{Query: q.ID, RetryAfter: m.retryAfter(q), Reason: why})
+		m.emit(Refuse{Query: q.ID, RetryAfter: m.retryAfter(q), Reason: reason})
 	}
 	m.close(q)
 }
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -86,18 +86,18 @@
 		m.reportShortage(p, NoCopyToken)
 		return
 	}
-	s, why := m.bestHolder(p), LateCopy
+	s, reason := m.bestHolder(p), LateCopy
 	if s == nil || m.isSuspect(s) || m.expectedDelay(s) > (m.now-p.active().sentAt).Seconds() {
 		return
 	}
 	if needsForcedCopy {
-		why = ForcedCopy
+		reason = ForcedCopy
 	}
 	if !m.withinRetryBudget(share) {
 		m.reportShortage(p, RetryBudgetSpent)
 		return
 	}
-	if !m.startAttempt(p, s, why) {
+	if !m.startAttempt(p, s, reason) {
 		return
 	}
 	if needsForcedCopy {
@@ -116,12 +116,13 @@
 // The age counts only for queries that miss few parts and can't be answered partially, and only
 // while enough forced copies are the first to answer. The retry budget bounds forced copies.
 func (m *StateMachine) needsForcedCopy(p *part) bool {
-	many := float64(p.q.missingParts()) > max(1, forcedCopyShare*float64(len(p.q.parts))) ||
+	ignoreAge := float64(p.q.missingParts()) > max(1, forcedCopyShare*float64(len(p.q.parts))) ||
 		m.canAnswerPartially(p.q) ||
 		m.forcedCopyWins.count(m.now)+1 < minForcedWinShare*(m.forcedCopies.count(m.now)+2)
 	for _, a := range p.attempts {
 		mark := m.lateThreshold(a.s, p.q.class.LatencyTarget)
-		if !a.ended && a.s.lastAnsweredSentAt < a.sentAt+mark && (many || m.now-a.sentAt < m.giveUpAfter(p)) {
+		if !a.ended && a.s.lastAnsweredSentAt < a.sentAt+mark &&
+			(ignoreAge || m.now-a.sentAt < m.giveUpAfter(p)) {
 			return false
 		}
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -301,8 +301,8 @@
 	m.settings.RetryBudgetRatio, m.settings.RetryBudgetBase = e.RetryBudgetRatio, e.RetryBudgetBase
 	m.settings.ColdBudgetFactor = e.ColdBudgetFactor
 	m.settings.Tenants = slices.Clone(m.settings.Tenants) // the Settings are the caller's
-	for i, x := range e.Allowances[:min(len(e.Allowances), len(m.settings.Tenants))] {
-		m.settings.Tenants[i].Allowance = x
+	for i, allowance := range e.Allowances[:min(len(e.Allowances), len(m.settings.Tenants))] {
+		m.settings.Tenants[i].Allowance = allowance
 	}
 	m.zoneShares = e.Shares
 }
@@ -507,8 +507,8 @@
 
 // WarmupShare is the share of its capacity that a server has at an age: it grows evenly from the
 // start share to 1 at the end of its warm-up.
-func WarmupShare(age, cold time.Duration, from float64) float64 {
-	return from + (1-from)*max(0, min(age, cold).Seconds())/cold.Seconds()
+func WarmupShare(age, warmupTime time.Duration, startShare float64) float64 {
+	return startShare + (1-startShare)*max(0, min(age, warmupTime).Seconds())/warmupTime.Seconds()
 }
 
 // warmServerRate is how many parts a second a warm server is known to handle for this aggregator:
