--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -162,7 +162,7 @@
 	listed         time.Duration     // time of the last list update
 	stormDetector  *storm.Detector
 	lastStormCheck time.Duration
-	mail           mailbox
+	inbox          mailbox
 	timers         timers
 	now            time.Duration
 
@@ -172,7 +172,7 @@
 	wireIDs      map[string]*query
 	parts        map[string]*part // parts of open queries, and parts that still have an attempt out
 	listedNodes  map[string]ListedNode
-	told         map[string]time.Duration // by node id: when the notice came that it drains or is gone
+	notified     map[string]time.Duration // by node id: when the notice came that it drains or is gone
 	limits       Limits
 	barred       map[string]bool // nodes to which nothing is sent, whatever the list says
 	onTurn       func()          // may be nil
@@ -182,7 +182,7 @@
 	openCount    int             // open queries and their parts
 	audit        Audit
 	closed       bool   // FailAllQueries was called: no new query is taken
-	shards       []int  // buffer of sum
+	shardBuffer  []int  // buffer of requestHash
 	awaitingIdle bool   // OnIdle was called
 	onIdle       func() // called once when no query is open, after OnIdle
 }
@@ -273,9 +273,9 @@
 
 // New returns a Core. Attach has to be called before Run.
 func New(config settings.Settings, module Stepper, clock func() time.Duration, log Logger) *Core {
-	return &Core{limits: Limits{MaxOpen: config.Module.MaxOpen, MaxAttempts: config.Module.MaxAttempts}, config: config, module: module, clock: clock, log: log, mail: newMailbox(), stormDetector: storm.New(),
+	return &Core{limits: Limits{MaxOpen: config.Module.MaxOpen, MaxAttempts: config.Module.MaxAttempts}, config: config, module: module, clock: clock, log: log, inbox: newMailbox(), stormDetector: storm.New(),
 		queries: map[string]*query{}, wireIDs: map[string]*query{}, parts: map[string]*part{}, listedNodes: map[string]ListedNode{},
-		told: map[string]time.Duration{}}
+		notified: map[string]time.Duration{}}
 }
 
 // Attach sets the transport to the nodes and the source of the node list. Nodes are also
@@ -312,7 +312,7 @@
 
 // Post queues fn to run on the core's goroutine, in order of the calls. It may be called
 // from any goroutine and never blocks.
-func (c *Core) Post(fn func()) { c.mail.put(fn) }
+func (c *Core) Post(fn func()) { c.inbox.put(fn) }
 
 // Now returns the module's clock as of the start of the current turn of the event loop.
 func (c *Core) Now() time.Duration { return c.now }
@@ -342,7 +342,7 @@
 		select {
 		case <-stop:
 			return
-		case <-c.mail.ready:
+		case <-c.inbox.ready:
 		case <-timer.C:
 		}
 		c.RunOnce()
@@ -370,7 +370,7 @@
 	if c.onTurn != nil {
 		c.onTurn()
 	}
-	for _, fn := range c.mail.take() {
+	for _, fn := range c.inbox.take() {
 		fn()
 	}
 	if due, ok := c.timers.next(); ok && c.now > due {
@@ -435,8 +435,8 @@
 	if gate.Admit(c.closed) != gate.Allowed {
 		return ShuttingDown, nil
 	}
-	sum := c.sum(in)
-	c.stormDetector.RecordQuery(c.now, in.Repeat, sum)
+	requestHash := c.requestHash(in)
+	c.stormDetector.RecordQuery(c.now, in.Repeat, requestHash)
 	// Bounds memory, and keeps to the number of open queries and parts that the module's
 	// settings promise it.
 	if most := c.limits.MaxOpen; most > 0 && c.openCount+1+len(in.Parts) > most {
@@ -455,7 +455,7 @@
 		work += p.Work
 	}
 	if c.traces != nil {
-		q.trace = c.beginTrace(in, work, sum)
+		q.trace = c.beginTrace(in, work, requestHash)
 	}
 	c.events = append(c.events, decide.QueryArrived{ID: q.id, Number: q.number, Class: in.Class, Tenant: in.Tenant,
 		Key: in.Key, Left: in.Left, Work: work, Repeat: in.Repeat})
@@ -655,7 +655,7 @@
 	f := gate.Attempt{Now: now, RequestOver: q.ended, StepOver: a.p.secondStep != q.secondStep, Deadline: a.timeoutAt, EarlierAttempts: a.index,
 		Listed: a.allowed || listed, Withheld: c.barred[a.Node.ID], HoldsShard: a.allowed || c.holdsShard(m, a.p.shard),
 		ClassIdempotency: q.class.Idempotency, RepeatWindow: q.class.DedupWindow}
-	f.DrainingSince, f.IsDraining = c.told[a.Node.ID]
+	f.DrainingSince, f.IsDraining = c.notified[a.Node.ID]
 	// Attempts are in the order in which they were sent: the first that may have run counts.
 	for _, other := range a.p.attempts {
 		if other != a && (!other.ended || !other.neverRan) {
@@ -681,8 +681,8 @@
 	for _, m := range list {
 		// Several mixers may have had the notice at different times: the earliest counts,
 		// as it ends the drain grace first.
-		if at, told := c.told[m.ID]; m.Told > 0 && m.State != decide.Running && (!told || m.Told < at) {
-			c.told[m.ID] = m.Told
+		if at, notified := c.notified[m.ID]; m.Told > 0 && m.State != decide.Running && (!notified || m.Told < at) {
+			c.notified[m.ID] = m.Told
 		}
 		if m.State == decide.Deleted {
 			delete(c.listedNodes, m.ID)
@@ -703,14 +703,14 @@
 	}
 	for id := range old {
 		m, listed := c.listedNodes[id]
-		if _, told := c.told[id]; listed && m.State == decide.Running {
-			delete(c.told, id)
-		} else if !told {
-			c.told[id] = l.Told
+		if _, notified := c.notified[id]; listed && m.State == decide.Running {
+			delete(c.notified, id)
+		} else if !notified {
+			c.notified[id] = l.Told
 		}
 	}
 	// Nodes that left the list this long ago have no attempts any more.
-	maps.DeleteFunc(c.told, func(id string, at time.Duration) bool {
+	maps.DeleteFunc(c.notified, func(id string, at time.Duration) bool {
 		_, listed := c.listedNodes[id]
 		return !listed && c.now > at+c.config.Module.DrainGrace+goneNodeRetention
 	})
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -151,7 +151,7 @@
 	}
 	s.at(tick / 2)
 	if len(s.answers) != 0 {
-		t.Error("a step within a tick of the last")
+		t.Error("the module had a step within a tick of the last one")
 	}
 	s.at(tick)
 	if diff := cmp.Diff([]string{"whole a b"}, s.answers); diff != "" {
@@ -182,7 +182,7 @@
 			1, tick, []string{"failed"}, []string{"honest"}},
 		{"a refusal of what may have run", 2, [][]decide.Action{both, {decide.Refuse{Query: "q1"}}},
 			1, tick, []string{"failed"}, []string{"refusal"}},
-		{"a refusal of what may run twice", 0, [][]decide.Action{both, {decide.Refuse{Query: "q1"}}},
+		{"a refusal of what may be repeated", 0, [][]decide.Action{both, {decide.Refuse{Query: "q1"}}},
 			1, tick, []string{"refused"}, nil},
 		{"a part to a node without its shard", 0, [][]decide.Action{{decide.Send{Part: "q1.0", Server: "n1"}, send("q1.0"), send("q1.2")}},
 			0, time.Second, []string{"expired"}, []string{"wrong-shard", "one-answer"}},
@@ -238,10 +238,10 @@
 	// of the query cancels the two that are left, and one send comes after it.
 	want := []decide.Outcome{decide.NotSent, decide.NotSent, decide.Cancelled, decide.Cancelled, decide.Cancelled, decide.NotSent}
 	if diff := cmp.Diff(want, s.outcomes()); diff != "" || s.cancelled != 3 {
-		t.Errorf("%s; %d given up", diff, s.cancelled)
+		t.Errorf("%s; %d attempts cancelled", diff, s.cancelled)
 	}
 	if diff := cmp.Diff([]string{"failed"}, s.answers); diff != "" || s.OpenCount() != 0 || len(s.parts) != 0 {
-		t.Errorf("%s; %d held, %d parts kept", diff, s.OpenCount(), len(s.parts))
+		t.Errorf("%s; %d queries and parts open, %d parts kept", diff, s.OpenCount(), len(s.parts))
 	}
 }
 
@@ -250,7 +250,7 @@
 	s.submit(t, 0)
 	s.at(100 * time.Millisecond)
 	if diff := cmp.Diff([]decide.Outcome{decide.TimedOut}, s.outcomes()); diff != "" || s.cancelled != 1 {
-		t.Errorf("%s; %d given up", diff, s.cancelled)
+		t.Errorf("%s; %d attempts cancelled", diff, s.cancelled)
 	}
 }
 
@@ -310,7 +310,7 @@
 		s.at(d)
 	}
 	if len(s.answers) != 0 || s.cancelled != 2 || s.OpenCount() != 0 {
-		t.Errorf("answers %v, %d given up, %d held", s.answers, s.cancelled, s.OpenCount())
+		t.Errorf("answers %v, %d attempts cancelled, %d queries and parts open", s.answers, s.cancelled, s.OpenCount())
 	}
 }
 
@@ -326,7 +326,7 @@
 	s.at(2 * tick)
 	for _, e := range s.scriptedModule.events {
 		if q, ok := e.(decide.QueryArrived); ok && s.Core.now+q.Left != s.queries[q.ID].deadline {
-			t.Errorf("told of %v left, it is %v", q.Left, s.queries[q.ID].deadline-s.Core.now)
+			t.Errorf("the module was given %v left, want %v", q.Left, s.queries[q.ID].deadline-s.Core.now)
 		}
 	}
 }
@@ -359,15 +359,15 @@
 	s.Post(func() { s.UpdateNodeList(List{Full: true, Version: 4, Members: []ListedNode{back}}) })
 	s.at(10 * time.Second)
 	s.at(11 * time.Second)
-	_, back0 := s.told["n0"]
-	if _, gone1 := s.told["n1"]; back0 || !gone1 {
-		t.Errorf("told of %v; n0 is back, n1 is off the list", s.told)
+	_, back0 := s.notified["n0"]
+	if _, gone1 := s.notified["n1"]; back0 || !gone1 {
+		t.Errorf("drain notices %v; n0 is running again, n1 is off the list", s.notified)
 	}
 	s.Post(func() { s.UpdateNodeList(List{Version: 5}) })
 	s.at(11*time.Second + goneNodeRetention)
 	s.Post(func() { s.UpdateNodeList(List{Version: 6}) })
 	s.at(20*time.Second + goneNodeRetention)
-	if len(s.told) != 0 {
-		t.Errorf("still told of %v", s.told)
+	if len(s.notified) != 0 {
+		t.Errorf("drain notices of nodes that left long ago: %v", s.notified)
 	}
 }
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -15,29 +15,29 @@
 	decide.RetryBudgetSpent: tracing.NoBudget, decide.ColdBudgetSpent: tracing.ColdFull}
 
 // beginTrace starts the trace of a query.
-func (c *Core) beginTrace(in Query, work time.Duration, sum uint64) *tracing.Query {
+func (c *Core) beginTrace(in Query, work time.Duration, requestHash uint64) *tracing.Query {
 	s := tracing.Start{Front: in.Front, Class: in.Class, WireID: in.WireID, Key: in.Key, Repeat: in.Repeat, Left: in.Left, Work: work, Version: c.limits.Version}
 	if in.Context != nil {
 		s.Context = *in.Context
 	}
 	if in.Key == "" {
-		s.Content = sum
+		s.Content = requestHash
 	}
 	return c.traces.Begin(c.now, s)
 }
 
-// sum returns a hash by which retries of a query are recognized: of its key, or of its
-// content if it has none.
-func (c *Core) sum(in Query) uint64 {
+// requestHash returns a hash by which retries of a query are recognized: of its key, or of
+// its content if it has none.
+func (c *Core) requestHash(in Query) uint64 {
 	if in.Key != "" {
 		return tracing.KeySum(in.Class, in.Key)
 	}
-	shards := c.shards[:0]
+	shardBuffer := c.shardBuffer[:0]
 	for _, p := range in.Parts {
-		shards = append(shards, p.Shard)
+		shardBuffer = append(shardBuffer, p.Shard)
 	}
-	c.shards = shards
-	return tracing.Content(in.Class, in.Text, shards)
+	c.shardBuffer = shardBuffer
+	return tracing.Content(in.Class, in.Text, shardBuffer)
 }
 
 // checkStorm evaluates the retry-storm state and logs a change.
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -25,30 +25,30 @@
 		change func(a *Attempt)
 		want   Verdict
 	}{
-		{"a sound one", func(*Attempt) {}, Allowed},
+		{"no rule broken", func(*Attempt) {}, Allowed},
 		{"for a request that is over", func(a *Attempt) { a.RequestOver = true }, RequestOver},
 		{"for an earlier step", func(a *Attempt) { a.StepOver = true }, StepOver},
 		{"to a server that is not listed", func(a *Attempt) { a.Listed = false }, NotListed},
-		{"when its time is up", func(a *Attempt) { a.Deadline = now }, OutOfTime},
+		{"after its deadline", func(a *Attempt) { a.Deadline = now }, OutOfTime},
 		{"one more than the settings allow", func(a *Attempt) { a.EarlierAttempts = 3 }, TooManyAttempts},
 		{"the last that they allow", func(a *Attempt) { a.EarlierAttempts = 2 }, Allowed},
-		{"to a server that is kept unused", func(a *Attempt) { a.Withheld = true }, Withheld},
+		{"to a server that is withheld", func(a *Attempt) { a.Withheld = true }, Withheld},
 		{"to a server without the shard", func(a *Attempt) { a.HoldsShard = false }, WrongShard},
 		{"to a server that drains", func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-time.Second }, Allowed},
-		{"to one whose grace would end while we are held up",
+		{"to a server whose grace ends within the longest stall",
 			func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-grace+MaxProcessPause }, Draining},
-		{"just before that", func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-grace+DrainMargin }, Allowed},
-		{"again, what may be repeated", func(a *Attempt) { a.MayHaveRun, a.FirstSentAt = true, now-time.Minute }, Allowed},
-		{"again, within the window",
+		{"to a server whose grace ends after the drain margin", func(a *Attempt) { a.IsDraining, a.DrainingSince = true, now-grace+DrainMargin }, Allowed},
+		{"repeated, idempotent", func(a *Attempt) { a.MayHaveRun, a.FirstSentAt = true, now-time.Minute }, Allowed},
+		{"repeated, deduplicated, within the window",
 			func(a *Attempt) {
 				a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now-window+1, decide.Deduplicated
 			}, Allowed},
-		{"again, after the window",
+		{"repeated, deduplicated, after the window",
 			func(a *Attempt) {
 				a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now-window, decide.Deduplicated
 			}, UnsafeRepeat},
-		{"again, what may run once", func(a *Attempt) { a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now, decide.NonIdempotent }, UnsafeRepeat},
-		{"again, what never ran", func(a *Attempt) { a.ClassIdempotency = decide.NonIdempotent }, Allowed},
+		{"repeated, not idempotent, may have run", func(a *Attempt) { a.MayHaveRun, a.FirstSentAt, a.ClassIdempotency = true, now, decide.NonIdempotent }, UnsafeRepeat},
+		{"repeated, not idempotent, never ran", func(a *Attempt) { a.ClassIdempotency = decide.NonIdempotent }, Allowed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -150,16 +150,16 @@
 func (d *Detector) State() State { return d.state }
 
 // RecordQuery records a query and reports whether it is a retry. Marked says that the client
-// declares it as one. Sum is a hash of the query's key or, if it has none, of its content,
+// declares it as one. Hash is a hash of the query's key or, if it has none, of its content,
 // by which retries that are not declared are recognized; 0 if there is no hash.
-func (d *Detector) RecordQuery(now time.Duration, marked bool, sum uint64) (repeat bool) {
+func (d *Detector) RecordQuery(now time.Duration, marked bool, hash uint64) (repeat bool) {
 	if !d.started {
 		d.started, d.learningSince, d.stateSince = true, now, now
 	}
-	at, known := d.lastSeen[sum]
-	repeat = marked || sum != 0 && known && now-at <= retryMemory
-	if sum != 0 {
-		d.remember(now, sum, known)
+	at, known := d.lastSeen[hash]
+	repeat = marked || hash != 0 && known && now-at <= retryMemory
+	if hash != 0 {
+		d.remember(now, hash, known)
 	}
 	if repeat {
 		d.retries.add(now, 1)
@@ -174,15 +174,15 @@
 }
 
 // remember keeps the latest queries in a ring of maxRemembered hashes.
-func (d *Detector) remember(now time.Duration, sum uint64, known bool) {
-	d.lastSeen[sum] = now
+func (d *Detector) remember(now time.Duration, hash uint64, known bool) {
+	d.lastSeen[hash] = now
 	switch {
 	case known: // it keeps its place in the ring, so it may be forgotten a little early
 	case len(d.ring) < maxRemembered:
-		d.ring = append(d.ring, sum)
+		d.ring = append(d.ring, hash)
 	default:
 		delete(d.lastSeen, d.ring[d.ringHead])
-		d.ring[d.ringHead] = sum
+		d.ring[d.ringHead] = hash
 		d.ringHead = (d.ringHead + 1) % maxRemembered
 	}
 }
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -88,7 +88,7 @@
 	w := New()
 	simulate(w, []period{{seconds: 60, first: 30, good: 1}, {seconds: 20, first: 10, repeat: 200}})
 	if f := w.Measurements(time.Hour + 80*time.Second); f.UsualRate < 27 || f.UsualRate > 33 {
-		t.Errorf("%.1f first tries a second are usual, 30 were", f.UsualRate)
+		t.Errorf("the usual rate is %.1f first tries a second, want about 30", f.UsualRate)
 	}
 }
 
