--- a/internal/front/flight/flight.go
+++ b/internal/front/flight/flight.go
@@ -351,7 +351,8 @@
 // markDone records the end of the call and frees its buffered input.
 func (k *call) markDone() { k.done, k.doneAt, k.parser = true, k.c.f.core.Now(), h2.MessageParser{} }
 
-// Closed implements h2.Handler. It is called when the client has reset the stream.
+// Closed implements h2.Handler: the client reset the stream, or it was reset because the client
+// broke the protocol or a limit.
 func (c streamHandler) Closed(s *h2.Stream, _ http2.ErrCode, _ bool) {
 	if k, ok := s.User.(*call); ok {
 		c.dropCall(k)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -357,7 +357,7 @@
 	}
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
 	501: "Not Implemented", 503: "Service Unavailable",
 	504: "Gateway Timeout"}
@@ -365,7 +365,7 @@
 // responseHead returns the status line and header fields.
 func responseHead(status int, kind string, length int, after time.Duration, closes bool) []byte {
 	b := append([]byte(httpVersion), strconv.Itoa(status)...)
-	b = append(append(b, ' '), reasons[status]...)
+	b = append(append(b, ' '), reasonPhrases[status]...)
 	b = append(append(b, "\r\nContent-Type: "...), kind...)
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(length), 10)
