--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -63,7 +63,7 @@
 			t.roll.News(key, body, age)
 		}
 	}
-	f.Word = t.word
+	f.HandleMessage = t.word
 	f.Stop = func(why string) {
 		core.After(50*time.Millisecond, func() { stop(fmt.Errorf("fleet: %s", why)) }) // its log line goes first
 	}
@@ -93,19 +93,19 @@
 	about byte
 }
 
-// Say tells one member something.
-func (t topic) Say(to string, body []byte) { t.Fleet.Say(to, append([]byte{t.about}, body...)) }
+// Send tells one member something.
+func (t topic) Send(to string, body []byte) { t.Fleet.Send(to, append([]byte{t.about}, body...)) }
 
 // word takes what another mixer says to us alone.
 func (t *team) word(from string, body []byte) {
 	switch {
 	case len(body) == 0:
 	case body[0] == aboutSettings && t.accord != nil:
-		t.accord.Word(from, body[1:])
+		t.accord.HandleMessage(from, body[1:])
 	case body[0] == aboutLists && t.roll != nil:
-		t.roll.Word(from, body[1:])
+		t.roll.HandleMessage(from, body[1:])
 	case body[0] == aboutZones && t.survey != nil:
-		t.survey.Word(from, body[1:])
+		t.survey.HandleMessage(from, body[1:])
 	}
 }
 
@@ -126,7 +126,7 @@
 			t.roll.Hold(x.Rules.HoldList)
 		}
 	}
-	t.link.Asked = a.Asked
+	t.link.HandleRequest = a.HandleRequest
 	t.survey = survey.New(core, topic{t.link, aboutZones}, a, cfg.Name, t.link.Zone(), cfg.Settings.Zones, cfg.Settings.Module.WarmupTime, log)
 	a.Zones = t.survey.Describe
 	checks := survey.Checks{Survey: t.survey, Nodes: nodes, Aim: cfg.Settings.Module.ShortestLatencyTarget()}
--- a/cmd/loft/settings_test.go
+++ b/cmd/loft/settings_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Asked, f.Word = a.Asked, a.Word
+	f.HandleRequest, f.HandleMessage = a.HandleRequest, a.HandleMessage
 	s := survey.New(core, f, a, "n0", "a", set.Zones, 0, zerolog.Nop())
 	st := steer.New(core, a, f, nobody{}, s, steer.Config{Zones: set.Zones, Zone: zone.Config{Manual: true}}, zerolog.Nop())
 	a.OnChange = func(x accord.ActiveRules) { st.Agreed(x.Plan) }
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -42,8 +42,8 @@
 
 // Fleet is what this package needs of the communication among mixers.
 type Fleet interface {
-	// Say sends a message to one member. The message may be lost.
-	Say(to string, body []byte)
+	// Send sends a message to one member. The message may be lost.
+	Send(to string, body []byte)
 	// Announce spreads a value under a key to all members.
 	Announce(key string, body []byte)
 	// Live returns the names of the members that are alive, this one included.
@@ -339,10 +339,10 @@
 	a.sendMessage(to, w)
 }
 
-func (a *Participant) sendMessage(to string, w message) { a.fleet.Say(to, w.encode()) }
+func (a *Participant) sendMessage(to string, w message) { a.fleet.Send(to, w.encode()) }
 
-// Word handles a message from another mixer. Malformed messages are ignored.
-func (a *Participant) Word(from string, body []byte) {
+// HandleMessage handles a message from another mixer. Malformed messages are ignored.
+func (a *Participant) HandleMessage(from string, body []byte) {
 	w, err := decodeMessage(body)
 	if err != nil || a.closed {
 		return
--- a/internal/fleet/accord/cluster_test.go
+++ b/internal/fleet/accord/cluster_test.go
@@ -207,7 +207,7 @@
 func (w *cluster) ask(i int, q Request) (x Response, ok bool) {
 	done := false
 	body, _ := json.Marshal(q)
-	w.processes[i].participant.Asked(body, func(text []byte) {
+	w.processes[i].participant.HandleRequest(body, func(text []byte) {
 		done = true
 		_ = json.Unmarshal(text, &x)
 	})
@@ -323,7 +323,7 @@
 	}
 }
 
-func (p *process) Say(to string, body []byte) {
+func (p *process) Send(to string, body []byte) {
 	w := p.w
 	p.sent, p.bytes = p.sent+1, p.bytes+len(body)
 	if w.cutLinks[[2]string{p.name, to}] || w.rng.Float64() < w.loss {
@@ -334,7 +334,7 @@
 		return
 	}
 	x, incarnation := w.processes[i], w.processes[i].incarnation
-	w.after(time.Duration(w.rng.Int64N(int64(w.delay))), func() { x.do(incarnation, func() { x.received++; x.participant.Word(p.name, body) }) })
+	w.after(time.Duration(w.rng.Int64N(int64(w.delay))), func() { x.do(incarnation, func() { x.received++; x.participant.HandleMessage(p.name, body) }) })
 }
 
 func (p *process) Announce(key string, body []byte) {
--- a/internal/fleet/accord/history_test.go
+++ b/internal/fleet/accord/history_test.go
@@ -108,7 +108,7 @@
 			o.id += 100 // a client of its own, as it has no further request open
 		}
 	}
-	w.processes[at].participant.Asked(body, func(text []byte) {
+	w.processes[at].participant.HandleRequest(body, func(text []byte) {
 		var x Response
 		if err := json.Unmarshal(text, &x); err != nil {
 			w.t.Error(err)
--- a/internal/fleet/accord/request.go
+++ b/internal/fleet/accord/request.go
@@ -73,9 +73,9 @@
 	return text
 }
 
-// Asked handles an operator's encoded Request at any mixer, forwarding it to the
+// HandleRequest handles an operator's encoded Request at any mixer, forwarding it to the
 // leader where needed. Answer is called once with the encoded Response.
-func (a *Participant) Asked(body []byte, answer func([]byte)) {
+func (a *Participant) HandleRequest(body []byte, answer func([]byte)) {
 	fail := func(format string, args ...any) {
 		answer(a.encodeResponse(Response{Mixer: a.config.Name, Error: fmt.Sprintf(format, args...)}))
 	}
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -69,10 +69,10 @@
 	Changed func(live int, share float64)
 	// News is called with what others announce, and how long ago they did.
 	News func(key string, body []byte, age time.Duration)
-	// Word is called with what others said to us alone.
-	Word func(from string, body []byte)
-	// Asked is called with what an operator's tool asks beside the view.
-	Asked func(body []byte, answer func([]byte))
+	// HandleMessage is called with what others said to us alone.
+	HandleMessage func(from string, body []byte)
+	// HandleRequest is called with what an operator's tool asks beside the view.
+	HandleRequest func(body []byte, answer func([]byte))
 	// Stop is called if this process may not go on.
 	Stop func(why string)
 	live int
@@ -502,8 +502,8 @@
 	answer := func(text []byte) {
 		s.conn.Write(frame(s.f.c.Keys.seal(packet{Message: member.Message{Kind: kindAnswer, From: s.f.c.ID}, fleet: s.f.c.Fleet, answer: text}.encode())))
 	}
-	if len(question) > 0 && s.f.Asked != nil {
-		s.f.Asked(question, answer)
+	if len(question) > 0 && s.f.HandleRequest != nil {
+		s.f.HandleRequest(question, answer)
 		return
 	}
 	answer(s.f.describe())
--- a/internal/fleet/link/talk.go
+++ b/internal/fleet/link/talk.go
@@ -50,9 +50,9 @@
 	return t
 }
 
-// Say tells one member something, over a connection. It may be lost; what is said to one
+// Send tells one member something, over a connection. It may be lost; what is said to one
 // member on one connection comes in order.
-func (f *Fleet) Say(to string, body []byte) {
+func (f *Fleet) Send(to string, body []byte) {
 	if f.m == nil || to == f.c.ID {
 		return
 	}
@@ -124,8 +124,8 @@
 	if t.conn == nil && !t.dialing && conn != nil {
 		t.use(conn)
 	}
-	if f.Word != nil {
-		f.Word(p.From, p.answer)
+	if f.HandleMessage != nil {
+		f.HandleMessage(p.From, p.answer)
 	}
 }
 
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -40,7 +40,7 @@
 
 // Fleet is what it needs of the talk among mixers.
 type Fleet interface {
-	Say(to string, body []byte)
+	Send(to string, body []byte)
 	Announce(key string, body []byte)
 	Owner(zone, key string) string
 	MineIn(zone, key string) bool
@@ -178,7 +178,7 @@
 		r.log.Error().Err(err).Msg("lists: a word could not be encoded") // a defect
 		return
 	}
-	r.fleet.Say(to, text)
+	r.fleet.Send(to, text)
 }
 
 // Filter is handed each list of our own watch, and returns what is believed.
@@ -270,8 +270,8 @@
 	r.tell(changed)
 }
 
-// Word takes what another mixer says to us: whether it believes what we believe.
-func (r *Roll) Word(from string, body []byte) {
+// HandleMessage takes what another mixer says to us: whether it believes what we believe.
+func (r *Roll) HandleMessage(from string, body []byte) {
 	var w word
 	if err := json.Unmarshal(body, &w); err != nil {
 		return
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -115,10 +115,10 @@
 
 // ---- the talk among mixers ----
 
-func (m *mixer) Say(to string, body []byte) {
+func (m *mixer) Send(to string, body []byte) {
 	for _, x := range m.f.mixers {
 		if x.name == to && !x.dead {
-			x.after(time.Duration(1+m.f.rng.IntN(5))*ms, func() { x.roll.Word(m.name, body) })
+			x.after(time.Duration(1+m.f.rng.IntN(5))*ms, func() { x.roll.HandleMessage(m.name, body) })
 		}
 	}
 }
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -42,7 +42,7 @@
 
 // Fleet is what it needs of the talk among mixers.
 type Fleet interface {
-	Say(to string, body []byte)
+	Send(to string, body []byte)
 }
 
 // Voters say who leads; "": nobody is known to.
@@ -240,12 +240,12 @@
 	}
 	s.board.Put(now, r)
 	if to := s.voters.Leader(); to != "" && to != s.name {
-		s.fleet.Say(to, encode(r))
+		s.fleet.Send(to, encode(r))
 	}
 }
 
-// Word takes another mixer's report. Whoever does not lead has no use for it.
-func (s *Survey) Word(from string, body []byte) {
+// HandleMessage takes another mixer's report. Whoever does not lead has no use for it.
+func (s *Survey) HandleMessage(from string, body []byte) {
 	r, err := decode(body)
 	if err != nil || r.Mixer != from || s.voters.Leader() != s.name {
 		return
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -52,10 +52,10 @@
 func (h *half) After(d time.Duration, fn func()) { h.p.events.Add(h.p.now+d, fn) }
 func (h *half) Lag() time.Duration               { return h.lag }
 func (h *half) Leader() string                   { return h.leader }
-func (h *half) Say(to string, body []byte) {
+func (h *half) Send(to string, body []byte) {
 	for _, x := range h.p.both {
 		if x.name == to {
-			h.After(2*ms, func() { x.s.Word(h.name, body) })
+			h.After(2*ms, func() { x.s.HandleMessage(h.name, body) })
 		}
 	}
 }
