--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -46,8 +46,8 @@
 	Send(to string, body []byte)
 	// Announce spreads a value under a key to all members.
 	Announce(key string, body []byte)
-	// Live returns the names of the members that are alive, this one included.
-	Live() []string
+	// LiveMembers returns the names of the members that are alive, this one included.
+	LiveMembers() []string
 }
 
 // Config is a mixer's configuration of the agreement.
--- a/internal/fleet/accord/cluster_test.go
+++ b/internal/fleet/accord/cluster_test.go
@@ -346,7 +346,7 @@
 	}
 }
 
-func (p *process) Live() (names []string) {
+func (p *process) LiveMembers() (names []string) {
 	for _, x := range p.w.processes {
 		if x.participant != nil {
 			names = append(names, x.name)
--- a/internal/fleet/accord/lead.go
+++ b/internal/fleet/accord/lead.go
@@ -194,7 +194,7 @@
 	k.passed = func() {
 		l.validation = nil
 		var names []string
-		live := a.fleet.Live()
+		live := a.fleet.LiveMembers()
 		for _, h := range l.g.Holders(now) {
 			if slices.Contains(live, h.Name) { // a dead canary would look as if the version had crashed it
 				names = append(names, h.Name)
--- a/internal/fleet/accord/request.go
+++ b/internal/fleet/accord/request.go
@@ -198,7 +198,7 @@
 		}
 		list = append(list, x)
 	}
-	for _, name := range l.s.a.fleet.Live() {
+	for _, name := range l.s.a.fleet.LiveMembers() {
 		if !slices.ContainsFunc(list, func(h Holder) bool { return h.Name == name }) {
 			list = append(list, Holder{Name: name, Votes: slices.Contains(voters, name)})
 		}
@@ -212,7 +212,7 @@
 	if slices.Contains(l.s.voters(), name) {
 		return nil
 	}
-	if !slices.Contains(a.fleet.Live(), name) {
+	if !slices.Contains(a.fleet.LiveMembers(), name) {
 		return fmt.Errorf("%s is not there", name)
 	}
 	a.invited[name] = true
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -217,8 +217,8 @@
 // Zone is this mixer's.
 func (f *Fleet) Zone() string { return f.c.Zone }
 
-// Mates is how many mixers of our zone are there, this one among them.
-func (f *Fleet) Mates() (n int) {
+// ZoneMemberCount is how many mixers of our zone are there, this one among them.
+func (f *Fleet) ZoneMemberCount() (n int) {
 	for _, e := range f.m.View() {
 		if e.Zone == f.c.Zone && (e.State == member.Alive || e.Self) {
 			n++
@@ -227,8 +227,8 @@
 	return n
 }
 
-// Live names the mixers that are there.
-func (f *Fleet) Live() []string { return f.m.Live() }
+// LiveMembers names the mixers that are there.
+func (f *Fleet) LiveMembers() []string { return f.m.LiveMembers() }
 
 // Leave says that this mixer ends, and stops listening.
 func (f *Fleet) Leave() {
--- a/internal/fleet/member/share.go
+++ b/internal/fleet/member/share.go
@@ -163,8 +163,8 @@
 	return Record{}, false
 }
 
-// Live returns the ids of the live members including this mixer, sorted.
-func (m *Machine) Live() []string {
+// LiveMembers returns the ids of the live members including this mixer, sorted.
+func (m *Machine) LiveMembers() []string {
 	list := []string{m.c.ID}
 	for _, id := range m.sortedIDs {
 		if m.peers[id].State == Alive {
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -52,7 +52,7 @@
 }
 
 // Fleet says how many mixers of this one's zone are there, itself among them.
-type Fleet interface{ Mates() int }
+type Fleet interface{ ZoneMemberCount() int }
 
 // Config is how a mixer takes part.
 type Config struct {
@@ -311,7 +311,7 @@
 			rate = silentRate
 		}
 		if !left || s.agreed.StatusOf(z).Share == 0 {
-			rate /= float64(max(1, s.fleet.Mates()))
+			rate /= float64(max(1, s.fleet.ZoneMemberCount()))
 		}
 		for s.credit[i] += rate * checkPace.Seconds(); s.credit[i] >= 1; s.credit[i]-- {
 			s.checkOne(i)
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -55,7 +55,7 @@
 func (x *stage) After(d time.Duration, fn func()) { x.events.Add(x.now+d, fn) }
 func (x *stage) Lag() time.Duration               { return 0 }
 func (x *stage) Only(int) float64                 { return 0 }
-func (x *stage) Mates() int                       { return 1 }
+func (x *stage) ZoneMemberCount() int             { return 1 }
 func (x *stage) Send(string, []byte)              {}
 func (x *stage) AgreedState() version.State       { return x.state }
 func (x *stage) Leader() string {
