--- a/internal/broker/observe.go
+++ b/internal/broker/observe.go
@@ -8,9 +8,9 @@
 
 // Observer is told how attempts and checks of nodes end, in addition to the module.
 type Observer interface {
-	// Observe reports the outcome of an attempt or check, the time that it took, and the aim of
-	// the query's class. For a check, aim is the shortest of all classes.
-	Observe(m ListedNode, o decide.Outcome, took, aim time.Duration)
+	// Observe reports the outcome of an attempt or check, the time that it took, and the latency
+	// target of the query's class. For a check, it is the shortest target of all classes.
+	Observe(m ListedNode, o decide.Outcome, took, latencyTarget time.Duration)
 }
 
 // SetObserver sets the observer of all attempts.
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Ended records how a query ended. InTime says that it was answered within the aim of its
-// class, while the answer had its full worth.
+// Ended records how a query ended. InTime says that it was answered within the latency
+// target of its class, while the answer had its full worth.
 func (d *Detector) Ended(now time.Duration, inTime bool) {
 	if inTime {
 		d.answeredInTime.add(now, 1)
