--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -53,7 +53,7 @@
 	}
 	probes := duty.New(core, f, checks)
 	core.SetProber(probes)
-	f.Changed = core.AggregatorsChanged
+	f.OnChange = core.AggregatorsChanged
 	f.News = func(key string, body []byte, age time.Duration) {
 		probes.News(key, body, age)
 		if t.accord != nil {
@@ -74,9 +74,9 @@
 type team struct {
 	link   *link.Fleet
 	accord *accord.Participant // nil: no settings are agreed on
-	roll   *roll.Roll          // nil: each follows discovery for itself
+	roll   *roll.Sharer        // nil: each follows discovery for itself
 	survey *survey.Survey      // nil: nothing is said of zones
-	steer  *steer.Steer        // what zones are to get; there where the survey is
+	steer  *steer.Controller   // what zones are to get; there where the survey is
 	acts   accord.ActiveRules
 }
 
@@ -120,7 +120,7 @@
 	t.accord = a
 	a.OnChange = func(x accord.ActiveRules) {
 		t.acts = x
-		t.steer.Agreed(x.Plan)
+		t.steer.SetAgreedPlan(x.Plan)
 		t.limit(core, cfg)
 		if t.roll != nil {
 			t.roll.Hold(x.Rules.HoldList)
@@ -129,10 +129,10 @@
 	t.link.HandleRequest = a.HandleRequest
 	t.survey = survey.New(core, topic{t.link, aboutZones}, a, cfg.Name, t.link.Zone(), cfg.Settings.Zones, cfg.Settings.Module.WarmupTime, log)
 	a.Zones = t.survey.Describe
-	checks := survey.Checks{Survey: t.survey, Nodes: nodes, Aim: cfg.Settings.Module.ShortestLatencyTarget()}
+	checks := survey.ObservedProber{Survey: t.survey, Nodes: nodes, LatencyTarget: cfg.Settings.Module.ShortestLatencyTarget()}
 	t.steer = steer.New(core, a, t.link, checks, t.survey, steer.Config{Zones: cfg.Settings.Zones, Seed: cfg.Seed,
 		Zone: zone.Config{WarmupTime: cfg.Settings.Module.WarmupTime, WarmupStartShare: cfg.Settings.Module.WarmupStartShare, Manual: !cfg.LeaveZones}}, log)
-	t.steer.Changed = func() { t.limit(core, cfg) }
+	t.steer.OnSharesChange = func() { t.limit(core, cfg) }
 	a.Order = t.steer.Order
 	core.SetObserver(t.survey)
 	return checks, nil
--- a/cmd/loft/settings_test.go
+++ b/cmd/loft/settings_test.go
@@ -76,7 +76,7 @@
 	f.HandleRequest, f.HandleMessage = a.HandleRequest, a.HandleMessage
 	s := survey.New(core, f, a, "n0", "a", set.Zones, 0, zerolog.Nop())
 	st := steer.New(core, a, f, nobody{}, s, steer.Config{Zones: set.Zones, Zone: zone.Config{Manual: true}}, zerolog.Nop())
-	a.OnChange = func(x accord.ActiveRules) { st.Agreed(x.Plan) }
+	a.OnChange = func(x accord.ActiveRules) { st.SetAgreedPlan(x.Plan) }
 	a.Zones, a.Order = s.Describe, st.Order
 	stop := make(chan struct{})
 	over := make(chan struct{})
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -64,9 +64,9 @@
 	spoken  int              // of the bad ones, how many the log has told of
 	talks   map[string]*talk // by member
 
-	// Changed is called after each look at the fleet, with how many mixers live and what
+	// OnChange is called after each look at the fleet, with how many mixers live and what
 	// this one may use of what all share.
-	Changed func(live int, share float64)
+	OnChange func(live int, share float64)
 	// News is called with what others announce, and how long ago they did.
 	News func(key string, body []byte, age time.Duration)
 	// HandleMessage is called with what others said to us alone.
@@ -279,9 +279,9 @@
 		f.log.Error().Str("why", out.Stop).Msg("fleet: this process may not go on")
 		f.Stop(out.Stop)
 	}
-	if live, part := f.m.Alive(), f.m.Share(f.core.Now()); f.Changed != nil && (live != f.live || part != f.part) {
+	if live, part := f.m.Alive(), f.m.Share(f.core.Now()); f.OnChange != nil && (live != f.live || part != f.part) {
 		f.live, f.part = live, part
-		f.Changed(live, part)
+		f.OnChange(live, part)
 	}
 	if len(out.Changes) > 0 && f.keeper != nil {
 		text, err := snapshotOf(f.c.ID, f.m).text()
--- a/internal/fleet/link/view.go
+++ b/internal/fleet/link/view.go
@@ -10,8 +10,8 @@
 	"kiteloft/internal/fleet/member"
 )
 
-// Line is a member as a mixer's view has it.
-type Line struct {
+// MemberStatus is a member as a mixer's view has it.
+type MemberStatus struct {
 	ID         string   `json:"id"`
 	Zone       string   `json:"zone"`
 	Addr       string   `json:"addr"`
@@ -27,12 +27,12 @@
 
 // View is what a mixer says of the fleet.
 type View struct {
-	Fleet    string  `json:"fleet"`
-	Mixer    string  `json:"mixer"`
-	Live     int     `json:"live"`
-	Share    float64 `json:"share"` // of what all share
-	Isolated bool    `json:"isolated"`
-	Members  []Line  `json:"members"`
+	Fleet    string         `json:"fleet"`
+	Mixer    string         `json:"mixer"`
+	Live     int            `json:"live"`
+	Share    float64        `json:"share"` // of what all share
+	Isolated bool           `json:"isolated"`
+	Members  []MemberStatus `json:"members"`
 }
 
 // View is this mixer's view now.
@@ -40,7 +40,7 @@
 	now := f.core.Now()
 	v := View{Fleet: f.c.Fleet, Mixer: f.c.ID, Live: f.m.Alive(), Share: f.m.Share(now), Isolated: f.m.Isolated()}
 	for _, e := range f.m.View() {
-		l := Line{ID: e.ID, Zone: e.Zone, Addr: e.Addr, State: e.State.String(), Self: e.Self, Ready: e.Ready,
+		l := MemberStatus{ID: e.ID, Zone: e.Zone, Addr: e.Addr, State: e.State.String(), Self: e.Self, Ready: e.Ready,
 			Generation: e.Incarnation.Generation, Turn: e.Incarnation.Turn, SinceMS: (now - e.Since).Milliseconds(), HeardMS: -1, DoubtedBy: e.Doubters}
 		if e.Self && e.State == member.Doubted {
 			l.State = "isolated"
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -53,8 +53,8 @@
 	Publish(l discovery.List)
 }
 
-// Roll implements broker.Directory.
-type Roll struct {
+// Sharer implements broker.Directory.
+type Sharer struct {
 	core     Core
 	fleet    Fleet
 	dir      Directory
@@ -89,21 +89,21 @@
 }
 
 // New stands between the core and its own watch of discovery.
-func New(core Core, fleet Fleet, dir Directory, name string, zones []string, seed uint64, log zerolog.Logger) *Roll {
-	return &Roll{core: core, fleet: fleet, dir: dir, name: name, zones: zones, log: log, rng: rand.New(rand.NewPCG(seed, 11)), lists: version.NewNodeView()}
+func New(core Core, fleet Fleet, dir Directory, name string, zones []string, seed uint64, log zerolog.Logger) *Sharer {
+	return &Sharer{core: core, fleet: fleet, dir: dir, name: name, zones: zones, log: log, rng: rand.New(rand.NewPCG(seed, 11)), lists: version.NewNodeView()}
 }
 
 // Start begins, on the core's goroutine.
-func (r *Roll) Start() {
+func (r *Sharer) Start() {
 	r.began = true
 	r.look()
 }
 
 // Hold has what lists merely leave out not believed, or again.
-func (r *Roll) Hold(on bool) { r.lists.Hold = on }
+func (r *Sharer) Hold(on bool) { r.lists.Hold = on }
 
 // Watch implements broker.Directory.
-func (r *Roll) Watch(on bool) {
+func (r *Sharer) Watch(on bool) {
 	r.wanted = on
 	if !on {
 		r.watching = false
@@ -118,20 +118,20 @@
 }
 
 // following tells the module that it follows the list, though by others.
-func (r *Roll) following() {
+func (r *Sharer) following() {
 	r.core.After(0, func() { r.core.UpdateNodeList(broker.List{Version: r.lists.Revision()}) })
 }
 
 // Read implements broker.Directory.
-func (r *Roll) Read() { r.dir.Read() }
+func (r *Sharer) Read() { r.dir.Read() }
 
 // should reports whether we are to watch discovery: it is our duty, or we hear from nobody
 // whose it is.
-func (r *Roll) should() bool {
+func (r *Sharer) should() bool {
 	return r.mine() || !r.began || r.heard == 0 || r.core.Now()-r.heard > heardLast
 }
 
-func (r *Roll) mine() bool {
+func (r *Sharer) mine() bool {
 	for k := range watchers {
 		if r.fleet.MineIn(r.fleet.Zone(), watchKey+strconv.Itoa(k)) {
 			return true
@@ -140,7 +140,7 @@
 	return false
 }
 
-func (r *Roll) look() {
+func (r *Sharer) look() {
 	now := r.core.Now()
 	r.tell(r.lists.DropOverdue(now))
 	if should := r.should(); r.wanted && should != r.watching {
@@ -161,7 +161,7 @@
 }
 
 // watcher is one of those who watch, of our own zone more often than of another.
-func (r *Roll) watcher() string {
+func (r *Sharer) watcher() string {
 	zone := r.fleet.Zone()
 	if len(r.zones) > 0 && r.rng.IntN(4) == 0 {
 		zone = r.zones[r.rng.IntN(len(r.zones))]
@@ -172,7 +172,7 @@
 	return ""
 }
 
-func (r *Roll) say(to string, w word) {
+func (r *Sharer) say(to string, w word) {
 	text, err := json.Marshal(w)
 	if err != nil {
 		r.log.Error().Err(err).Msg("lists: a word could not be encoded") // a defect
@@ -182,7 +182,7 @@
 }
 
 // Filter is handed each list of our own watch, and returns what is believed.
-func (r *Roll) Filter(l discovery.List) discovery.List {
+func (r *Sharer) Filter(l discovery.List) discovery.List {
 	now := r.core.Now()
 	lines := make([]version.NodeEntry, 0, len(l.Members))
 	for _, e := range l.Members {
@@ -224,7 +224,7 @@
 }
 
 // announce says a line to all.
-func (r *Roll) announce(now time.Duration, x version.NodeEntry) {
+func (r *Sharer) announce(now time.Duration, x version.NodeEntry) {
 	if !r.began {
 		return
 	}
@@ -237,14 +237,14 @@
 }
 
 // tell hands on what is believed since somebody else said it.
-func (r *Roll) tell(list []version.NodeEntry) {
+func (r *Sharer) tell(list []version.NodeEntry) {
 	if len(list) > 0 {
 		r.dir.Publish(discovery.List{Revision: r.lists.Revision(), Members: r.entries(list)})
 	}
 }
 
 // News takes what others announced so long ago.
-func (r *Roll) News(key string, body []byte, age time.Duration) {
+func (r *Sharer) News(key string, body []byte, age time.Duration) {
 	if !strings.HasPrefix(key, newsKey) {
 		return
 	}
@@ -256,7 +256,7 @@
 	r.take([]said{x})
 }
 
-func (r *Roll) take(list []said) {
+func (r *Sharer) take(list []said) {
 	now := r.core.Now()
 	var changed []version.NodeEntry
 	for _, x := range list {
@@ -271,7 +271,7 @@
 }
 
 // HandleMessage takes what another mixer says to us: whether it believes what we believe.
-func (r *Roll) HandleMessage(from string, body []byte) {
+func (r *Sharer) HandleMessage(from string, body []byte) {
 	var w word
 	if err := json.Unmarshal(body, &w); err != nil {
 		return
@@ -310,7 +310,7 @@
 	}
 }
 
-func (r *Roll) entries(list []version.NodeEntry) (out []discovery.Entry) {
+func (r *Sharer) entries(list []version.NodeEntry) (out []discovery.Entry) {
 	for _, x := range list {
 		var e discovery.Entry
 		if err := json.Unmarshal([]byte(x.Data), &e); err != nil || e.ID != x.ID {
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -31,7 +31,7 @@
 	f        *fleet
 	name     string
 	zone     string
-	roll     *Roll
+	roll     *Sharer
 	dead     bool
 	deaf     bool // discovery does not answer it
 	watching bool
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -61,8 +61,8 @@
 	Seed  uint64
 }
 
-// Steer is a mixer's part.
-type Steer struct {
+// Controller is a mixer's part.
+type Controller struct {
 	core   Core
 	accord Accord
 	fleet  Fleet
@@ -72,9 +72,9 @@
 	log    zerolog.Logger
 	rng    *rand.Rand
 
-	// Changed is called when this mixer's own evidence changes the shares of the zones; whoever
+	// OnSharesChange is called when this mixer's own evidence changes the shares of the zones; whoever
 	// calls Agreed asks for Shares itself.
-	Changed func()
+	OnSharesChange func()
 
 	agreed zone.Plan // the plan that is known here
 	acts   zone.Plan // with what this mixer adds by its own evidence
@@ -97,21 +97,21 @@
 }
 
 // New takes part from Start on. The survey sees what nodes checks. It has the survey tell it of each judgement.
-func New(core Core, a Accord, f Fleet, nodes broker.Prober, s *survey.Survey, c Config, log zerolog.Logger) *Steer {
-	st := &Steer{core: core, accord: a, fleet: f, nodes: nodes, survey: s, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, 11)), credit: make([]float64, len(c.Zones))}
+func New(core Core, a Accord, f Fleet, nodes broker.Prober, s *survey.Survey, c Config, log zerolog.Logger) *Controller {
+	st := &Controller{core: core, accord: a, fleet: f, nodes: nodes, survey: s, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, 11)), credit: make([]float64, len(c.Zones))}
 	for i := range st.credit {
 		st.credit[i] = st.rng.Float64()
 	}
-	s.Looked = st.look
+	s.OnJudgement = st.look
 	s.Stand = func(z string) (zone.Stand, uint64) { return st.acts.StatusOf(z), st.agreed.Seq }
 	return st
 }
 
 // Start begins, on the core's goroutine.
-func (s *Steer) Start() { s.core.After(checkPace, s.check) }
+func (s *Controller) Start() { s.core.After(checkPace, s.check) }
 
-// Agreed takes the plan that this mixer knows to be agreed; "": there is none.
-func (s *Steer) Agreed(text string) {
+// SetAgreedPlan takes the plan that this mixer knows to be agreed; "": there is none.
+func (s *Controller) SetAgreedPlan(text string) {
 	p, err := parse(text)
 	if err != nil {
 		s.log.Error().Err(err).Msg("zones: a plan can't be read") // by a program that is not ours
@@ -132,8 +132,8 @@
 }
 
 // act works out what this mixer acts on, and reports whether a share is another one.
-func (s *Steer) act() (changed bool) {
-	own, _ := s.survey.Judged()
+func (s *Controller) act() (changed bool) {
+	own, _ := s.survey.LatestJudgement()
 	was := s.acts
 	s.acts = s.agreed.WithOwnEvidence(own)
 	for _, z := range s.c.Zones {
@@ -148,7 +148,7 @@
 
 // Shares is the share of its parts that each zone is to get, by the zone's number; nil: all
 // get the whole.
-func (s *Steer) Shares() []float64 {
+func (s *Controller) Shares() []float64 {
 	list := make([]float64, len(s.c.Zones))
 	for i, z := range s.c.Zones {
 		list[i] = s.acts.StatusOf(z).Share
@@ -160,9 +160,9 @@
 }
 
 // look is called after each judgement.
-func (s *Steer) look(leads bool) {
-	if s.act() && s.Changed != nil {
-		s.Changed()
+func (s *Controller) look(leads bool) {
+	if s.act() && s.OnSharesChange != nil {
+		s.OnSharesChange()
 	}
 	if leads != s.leads {
 		s.leads, s.keeper, s.gauge, s.power, s.steps = leads, zone.NewPlanner(s.c.Zone), zone.NewCapacityEstimator(), nil, map[string]*step{}
@@ -176,7 +176,7 @@
 	if err != nil {
 		return
 	}
-	j, _ := s.survey.Judged()
+	j, _ := s.survey.LatestJudgement()
 	if now-s.gaugedAt >= gaugePace {
 		s.gaugedAt = now
 		s.power = s.gauge.Update(now, p, j, s.survey.Loads(), s.told(p))
@@ -187,10 +187,10 @@
 }
 
 // latest is the plan that is agreed, as the leader knows it.
-func (s *Steer) latest() (zone.Plan, error) { return parse(s.accord.AgreedState().Plan) }
+func (s *Controller) latest() (zone.Plan, error) { return parse(s.accord.AgreedState().Plan) }
 
 // propose has a plan agreed.
-func (s *Steer) propose(was, next zone.Plan, done func(error)) {
+func (s *Controller) propose(was, next zone.Plan, done func(error)) {
 	text, err := json.MarshalToString(next)
 	if err != nil {
 		done(err) // a defect
@@ -215,9 +215,11 @@
 }
 
 // Order carries out an operator's word on a zone, at the leader.
-func (s *Steer) Order(name, order, why string, done func(error)) { s.order(name, order, why, 0, done) }
+func (s *Controller) Order(name, order, why string, done func(error)) {
+	s.order(name, order, why, 0, done)
+}
 
-func (s *Steer) order(name, order, why string, try int, done func(error)) {
+func (s *Controller) order(name, order, why string, try int, done func(error)) {
 	o := zone.ParseOrder(order)
 	p, err := s.latest()
 	switch {
@@ -246,7 +248,7 @@
 }
 
 // told is what the list tells of the zones' nodes.
-func (s *Steer) told(p zone.Plan) map[string]zone.NodeStats {
+func (s *Controller) told(p zone.Plan) map[string]zone.NodeStats {
 	now := s.core.Now()
 	list, warm, starts := make([]zone.NodeStats, len(s.c.Zones)), make([]float64, len(s.c.Zones)), make([]map[string]time.Duration, len(s.c.Zones))
 	s.core.EachNode(func(m broker.ListedNode) {
@@ -278,7 +280,7 @@
 }
 
 // fell counts the nodes of a zone that started anew since its step of a return began.
-func (s *Steer) fell(z string, now zone.Stand, starts map[string]time.Duration) (n int) {
+func (s *Controller) fell(z string, now zone.Stand, starts map[string]time.Duration) (n int) {
 	if now.Phase != zone.Returning {
 		delete(s.steps, z)
 		return 0
@@ -299,7 +301,7 @@
 // check has nodes of zones that are left checked, and of those that have fallen silent: the
 // module soon sends nothing there, and what is seen of checks is all that tells how they are.
 // The mixers of a zone divide them; one that leaves a zone by its own word checks for itself.
-func (s *Steer) check() {
+func (s *Controller) check() {
 	s.core.After(checkPace, s.check)
 	for i, z := range s.c.Zones {
 		left := s.acts.StatusOf(z).Share == 0
@@ -319,7 +321,7 @@
 	}
 }
 
-func (s *Steer) checkOne(in int) {
+func (s *Controller) checkOne(in int) {
 	var list []broker.ListedNode
 	s.core.EachNode(func(m broker.ListedNode) {
 		if m.Zone == in && m.State == decide.Running {
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -32,7 +32,7 @@
 	dark   map[int]bool
 	checks [2]int // by zone
 	s      *survey.Survey
-	st     *Steer
+	st     *Controller
 }
 
 func newStage(manual bool) *stage {
@@ -44,7 +44,7 @@
 	}
 	zones := []string{"a", "b"}
 	x.s = survey.New(x, x, x, "n0", "a", zones, 5*time.Second, zerolog.Nop())
-	x.st = New(x, x, x, survey.Checks{Survey: x.s, Nodes: x, Aim: time.Second}, x.s,
+	x.st = New(x, x, x, survey.ObservedProber{Survey: x.s, Nodes: x, LatencyTarget: time.Second}, x.s,
 		Config{Zones: zones, Zone: zone.Config{WarmupTime: 5 * time.Second, WarmupStartShare: 0.3, Manual: manual}, Seed: 1}, zerolog.Nop())
 	x.s.Start()
 	x.st.Start()
@@ -75,7 +75,7 @@
 		next, _, err := x.state.Apply(version.Command{Kind: version.SetZonePlan, Seq: seq, Plan: plan, Why: why})
 		if err == nil {
 			x.state = next
-			x.After(100*ms, func() { x.st.Agreed(next.Plan) })
+			x.After(100*ms, func() { x.st.SetAgreedPlan(next.Plan) })
 		}
 		done(err)
 	})
@@ -205,8 +205,8 @@
 	old := x.state.Plan
 	order("b", "leave")
 	x.until(t, "b is left again", x.has(1, 0))
-	x.st.Agreed(old)
-	x.st.Agreed("{")
+	x.st.SetAgreedPlan(old)
+	x.st.SetAgreedPlan("{")
 	if !x.has(1, 0)() {
 		t.Errorf("an older plan, or one that is none, is acted on: %v", x.st.Shares())
 	}
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -68,10 +68,10 @@
 	changed map[string]time.Duration // when a zone's verdict last did
 	reports int                      // taken from others
 
-	// Looked is called after each judgement, with whether this mixer leads; Stand is how the
+	// OnJudgement is called after each judgement, with whether this mixer leads; Stand is how the
 	// fleet stands to a zone, by the plan of a number. Nil: nothing is made of it.
-	Looked func(leads bool)
-	Stand  func(zone string) (zone.Stand, uint64)
+	OnJudgement func(leads bool)
+	Stand       func(zone string) (zone.Stand, uint64)
 }
 
 // seen is what was seen of a zone's nodes since the last report, and since the last word.
@@ -187,19 +187,19 @@
 	}
 }
 
-// Checks are nodes' checks, of which this mixer sees those that it makes itself. What another
+// ObservedProber are nodes' checks, of which this mixer sees those that it makes itself. What another
 // has found is no evidence of ours: it may reach what we don't.
-type Checks struct {
+type ObservedProber struct {
 	*Survey
-	Nodes broker.Prober
-	Aim   time.Duration // the shortest of all classes
+	Nodes         broker.Prober
+	LatencyTarget time.Duration // the shortest of all classes
 }
 
 // Probe implements broker.Prober.
-func (c Checks) Probe(n broker.Node, done func(decide.Outcome)) {
+func (c ObservedProber) Probe(n broker.Node, done func(decide.Outcome)) {
 	begun := c.core.Now()
 	c.Nodes.Probe(n, func(o decide.Outcome) {
-		c.checked(c.core.ListedNode(n.ID), o, c.core.Now()-begun, c.Aim)
+		c.checked(c.core.ListedNode(n.ID), o, c.core.Now()-begun, c.LatencyTarget)
 		done(o)
 	})
 }
@@ -284,13 +284,13 @@
 }
 
 func (s *Survey) looked() {
-	if s.Looked != nil {
-		s.Looked(s.leads)
+	if s.OnJudgement != nil {
+		s.OnJudgement(s.leads)
 	}
 }
 
-// Judged is the latest judgement, and whether it is by the evidence of all.
-func (s *Survey) Judged() (j zone.Judgement, whole bool) { return s.judged, s.leads }
+// LatestJudgement is the latest judgement, and whether it is by the evidence of all.
+func (s *Survey) LatestJudgement() (j zone.Judgement, whole bool) { return s.judged, s.leads }
 
 // Silent reports whether parts were sent to a zone's nodes of late, and no word has come from
 // any of them since.
@@ -302,8 +302,8 @@
 // Loads is what is sent to each zone, in parts a second: by all at the leader, else by us.
 func (s *Survey) Loads() map[string]float64 { return s.board.Loads(s.core.Now()) }
 
-// Line is a zone as a mixer judges it.
-type Line struct {
+// ZoneStatus is a zone as a mixer judges it.
+type ZoneStatus struct {
 	Zone    string   `json:"zone"`
 	Verdict string   `json:"verdict"`
 	SinceMS int64    `json:"since_ms"`
@@ -318,12 +318,12 @@
 
 // View is what a mixer judges, and by whose evidence.
 type View struct {
-	Mixer  string   `json:"mixer"`
-	Whole  bool     `json:"whole"` // by the whole fleet's evidence, as this mixer leads; else by its own
-	Shared bool     `json:"all_slow"`
-	Off    []string `json:"off,omitempty"` // mixers whose own word does not count
-	Plan   uint64   `json:"plan"`          // its number; 0: there was none yet
-	Zones  []Line   `json:"zones"`
+	Mixer  string       `json:"mixer"`
+	Whole  bool         `json:"whole"` // by the whole fleet's evidence, as this mixer leads; else by its own
+	Shared bool         `json:"all_slow"`
+	Off    []string     `json:"off,omitempty"` // mixers whose own word does not count
+	Plan   uint64       `json:"plan"`          // its number; 0: there was none yet
+	Zones  []ZoneStatus `json:"zones"`
 }
 
 // View is this mixer's, now.
@@ -331,7 +331,7 @@
 	now := s.core.Now()
 	v := View{Mixer: s.name, Whole: s.leads, Shared: s.judged.Shared, Off: s.judged.Off}
 	for _, z := range s.zones {
-		l := Line{Zone: z, Verdict: s.judged.Zones[z].String(), SinceMS: (now - s.changed[z]).Milliseconds(), Why: s.judged.Why[z]}
+		l := ZoneStatus{Zone: z, Verdict: s.judged.Zones[z].String(), SinceMS: (now - s.changed[z]).Milliseconds(), Why: s.judged.Why[z]}
 		for at := range s.judged.Cuts {
 			if at[1] == z {
 				l.Cuts = append(l.Cuts, at[0])
