--- a/internal/fleet/member/join.go
+++ b/internal/fleet/member/join.go
@@ -83,7 +83,7 @@
 		m.noteNameConflict(r)
 		return
 	}
-	// The other process is gone, or has the address that is now ours: it was an earlier run of this
+	// The other process is gone, or has this member's address: it was an earlier run of this
 	// member.
 	if m.nameConflict.open && r.Incarnation.Before(m.nameConflict.rival.Incarnation) {
 		return // the record is of a run before the rival's
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -265,7 +265,7 @@
 	recentMaxShare     float64 // largest fair share of late, and when it held
 	recentMaxShareAt   time.Duration
 	readyAt            time.Duration
-	joined             bool // a member has admitted us, or no other member is there
+	joined             bool // a member has admitted this one, or no other member is there
 	nextJoinAt         time.Duration
 	joinTries          int
 	leaving            bool
@@ -411,7 +411,7 @@
 	m.advanceClock(now)
 	m.merge(msg)
 	if msg.From == m.c.ID {
-		return // a seed runs under our name; merging its record has opened a name conflict
+		return // a seed runs under this name; merging its record has opened a name conflict
 	}
 	m.joinTries = 0
 	if p := m.peers[msg.From]; p != nil && p.Instance == msg.Instance {
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -56,7 +56,7 @@
 	case r.Incarnation.Before(p.Incarnation), r.Instance != p.Instance, r.State <= p.State:
 		return
 	case r.State == Gone && m.now-p.lastRoundTrip < m.periods(doubtAfterSilence):
-		return // we hear it; it will be told of this record and refute it
+		return // this member hears it; it will receive this record and refute it
 	}
 	m.adopt(p, r, changeCause(p, r), false)
 }
--- a/internal/fleet/zone/capacity.go
+++ b/internal/fleet/zone/capacity.go
@@ -8,7 +8,7 @@
 const (
 	capacityHalfLife = 10 * time.Minute // half-life of the largest load seen on a node
 	usualLoadWindow  = 30 * time.Second // time constant of the mean of a zone's usual load
-	trustFactor      = 1.5              // multiple of the largest load seen that nodes are expected to bear; if they do not, they slow down and part of the load is taken back
+	trustFactor      = 1.5              // multiple of the largest load seen that nodes are expected to handle; if they do not, they slow down and part of the load is taken back
 )
 
 // NodeStats is what the node list says about the nodes of a zone.
@@ -20,7 +20,7 @@
 }
 
 // CapacityEstimator estimates the capacity of zones in parts per second. No node announces its
-// capacity; the estimate rests on the load that nodes bore while their zone was sound.
+// capacity; the estimate rests on the load that nodes handled while their zone was sound.
 type CapacityEstimator struct {
 	maxNodeLoad float64 // largest load of one node
 	usualLoads  map[string]float64
--- a/internal/fleet/zone/evidence.go
+++ b/internal/fleet/zone/evidence.go
@@ -1,6 +1,6 @@
 // Package zone decides from the evidence of a whole fleet of mixers whether the stock nodes of a
 // zone have failed, and how much of the traffic the fleet sends to each zone. The fleet leaves a
-// failing zone in whole or in part, and returns to it in steps that cold nodes can bear. The
+// failing zone in whole or in part, and returns to it in steps that cold nodes can handle. The
 // package is pure: it does no I/O, reads no clock and starts no goroutine. Times are of the
 // caller's monotonic clock; no time is compared between processes.
 //
--- a/internal/fleet/zone/exhaustive_test.go
+++ b/internal/fleet/zone/exhaustive_test.go
@@ -156,7 +156,7 @@
 		now += time.Second
 		p = g.Update(now, Plan{}, j, map[string]float64{"a": 80, "b": 40}, nodes)
 	}
-	if got := p["b"]; got.UsualLoad != 40 || got.Load != 40 || got.Only != 0.25 || got.Total < 115 || got.Total > 120 { // 1.5 times the load that a node of zone a bore
+	if got := p["b"]; got.UsualLoad != 40 || got.Load != 40 || got.Only != 0.25 || got.Total < 115 || got.Total > 120 { // 1.5 times the load that a node of zone a handled
 		t.Errorf("b: %+v", got)
 	}
 	left := Plan{Zones: map[string]Stand{"b": {Phase: Leaving}}}
--- a/internal/fleet/zone/plan.go
+++ b/internal/fleet/zone/plan.go
@@ -71,13 +71,13 @@
 	return c.Load
 }
 
-// exceeds reports whether a share of the zone's usual load is more than its nodes can bear now.
+// exceeds reports whether a share of the zone's usual load is more than its nodes can handle now.
 func (c Capacity) exceeds(share float64, s Stand) bool {
 	usual := max(c.UsualLoad, s.UsualLoad)
 	return usual > 0 && c.Total > 0 && share*usual > coldMargin*c.Total*c.WarmShare
 }
 
-// highestSafeStep returns the last step of a return that does not exceed what the nodes can bear
+// highestSafeStep returns the last step of a return that does not exceed what the nodes can handle
 // now, but at least the first step with traffic.
 func (c Capacity) highestSafeStep(s Stand) int {
 	step := len(returnSteps) - 1
@@ -117,7 +117,7 @@
 }
 
 // stepTime returns the length of a step of a return. If any nodes are cold, all steps together take
-// half of WarmupTime. Capacity.exceeds limits each step to what cold nodes can bear.
+// half of WarmupTime. Capacity.exceeds limits each step to what cold nodes can handle.
 func (c Config) stepTime(capacity Capacity) time.Duration {
 	if capacity.WarmShare >= 1 {
 		return warmStepTime
@@ -347,7 +347,7 @@
 	m := planner.memoryOf(zone)
 	if v := j.Zones[zone]; v != Dark && v != Unknown && len(j.Zones) > 1 && p.isLastZone(zone, j) {
 		// No other zone is usable, so its verdict does not matter. Use as much at once as its nodes
-		// can bear.
+		// can handle.
 		if step := capacities[zone].highestSafeStep(s); returnSteps[step] > s.Share {
 			m.step, m.extraWaits = now, 0
 			s.Phase, s.Step, s.Share, s.Why = Returning, step, returnSteps[step], "all others are dark, or left"
@@ -430,7 +430,7 @@
 		planner.moved = slices.DeleteFunc(planner.moved, func(x moved) bool { return x.zone == zone })
 		return Stand{Phase: In, Share: 1, Failures: s.Failures}, true
 	}
-	// Do not exceed what the nodes can bear now.
+	// Do not exceed what the nodes can handle now.
 	next := returnSteps[s.Step+1]
 	if w.exceeds(next, s) {
 		return s, false
