--- a/internal/fleet/member/scenarios_test.go
+++ b/internal/fleet/member/scenarios_test.go
@@ -143,16 +143,16 @@
 func TestIsolatedMinorityDeclaresNobodyGone(t *testing.T) {
 	for seed := range uint64(10) {
 		w := settledFleet(t, seed, 9)
-		few, many := w.processes[:3+seed%2], w.processes[3+seed%2:]
-		w.setCut(few, many, true)
-		w.setCut(many, few, true)
+		minority, majority := w.processes[:3+seed%2], w.processes[3+seed%2:]
+		w.setCut(minority, majority, true)
+		w.setCut(majority, minority, true)
 		w.run(30 * time.Second)
 		for _, c := range w.declaredGone() {
-			if slices.ContainsFunc(few, func(p *process) bool { return p.id == c.observer }) {
+			if slices.ContainsFunc(minority, func(p *process) bool { return p.id == c.observer }) {
 				t.Errorf("seed %d: %+v", seed, c)
 			}
 		}
-		for _, p := range few {
+		for _, p := range minority {
 			if !p.machine.Isolated() {
 				t.Errorf("seed %d: %s has not found that it is isolated\n%s", seed, p.id, w.describeViews())
 			}
