--- a/internal/fleet/link/codec.go
+++ b/internal/fleet/link/codec.go
@@ -19,19 +19,19 @@
 	"kiteloft/internal/fleet/member"
 )
 
-// What is said is a protobuf message behind a header: one byte for the form, four that
+// What is said is a protobuf message behind a header: one byte for the formatVersion, four that
 // name the key, sixteen of the message's HMAC-SHA256. Fields that a program does not
 // know are passed over, so that older and newer ones live together.
 const (
-	form        = 1
-	keyName     = 4
-	digestSize  = 16
-	headerSize  = 1 + keyName + digestSize
-	maxDatagram = 4 << 10
-	maxExchange = 4 << 20
-	maxName     = 128
-	leastKey    = 16
-	maxRecords  = 8192
+	formatVersion = 1
+	keyIDSize     = 4
+	digestSize    = 16
+	headerSize    = 1 + keyIDSize + digestSize
+	maxDatagram   = 4 << 10
+	maxFrame      = 4 << 20
+	maxNameSize   = 128
+	minKeySize    = 16
+	maxRecords    = 8192
 )
 
 // Field numbers. They are never used again for something else.
@@ -54,9 +54,9 @@
 
 // Kinds of the link's own, beside member's.
 const (
-	kindAsk    member.Kind = 64 // an operator's tool asks for the view
-	kindAnswer member.Kind = 65
-	kindWord   member.Kind = 66 // of whoever else among the fleet talks over the link
+	kindViewRequest  member.Kind = 64 // an operator's tool asks for the view
+	kindViewResponse member.Kind = 65
+	kindMessage      member.Kind = 66 // of whoever else among the fleet talks over the link
 )
 
 // Keys sign and check what is said. The first signs; all are accepted, so that a key can
@@ -67,13 +67,13 @@
 // Key is one of them.
 type Key struct {
 	secret []byte
-	name   [keyName]byte // tells which key signed, without a try
+	id     [keyIDSize]byte // tells which key signed, without a try
 }
 
 // NewKey returns a key of a secret.
 func NewKey(secret []byte) Key {
 	sum := sha256.Sum256(append([]byte("kiteloft key "), secret...))
-	return Key{secret, [keyName]byte(sum[:])}
+	return Key{secret, [keyIDSize]byte(sum[:])}
 }
 
 // ReadKeys reads a key file: a key a line, 16 bytes at least; empty lines and those that
@@ -88,8 +88,8 @@
 		if line = strings.TrimSpace(line); line == "" || line[0] == '#' {
 			continue
 		}
-		if len(line) < leastKey {
-			return nil, fmt.Errorf("%s: line %d: a key has %d bytes at least", path, i+1, leastKey)
+		if len(line) < minKeySize {
+			return nil, fmt.Errorf("%s: line %d: a key has %d bytes at least", path, i+1, minKeySize)
 		}
 		keys = append(keys, NewKey([]byte(line)))
 	}
@@ -101,45 +101,45 @@
 
 func (k Key) digest(body []byte) []byte {
 	h := hmac.New(sha256.New, k.secret)
-	_, _ = h.Write([]byte{form}) // never fails
+	_, _ = h.Write([]byte{formatVersion}) // never fails
 	_, _ = h.Write(body)
 	return h.Sum(nil)[:digestSize]
 }
 
 func (k Keys) seal(body []byte) []byte {
-	b := append([]byte{form}, k[0].name[:]...)
+	b := append([]byte{formatVersion}, k[0].id[:]...)
 	return append(append(b, k[0].digest(body)...), body...)
 }
 
 // Errors of what came.
 var (
-	errForeign  = errors.New("signed with no key of ours")
-	errBroken   = errors.New("can't be read")
-	errStranger = errors.New("of another fleet")
+	errUnknownKey = errors.New("signed with no key of ours")
+	errMalformed  = errors.New("can't be read")
+	errOtherFleet = errors.New("of another fleet")
 )
 
 // open checks what came and returns the message's bytes.
 func (k Keys) open(b []byte) ([]byte, error) {
-	if len(b) < headerSize || b[0] != form {
-		return nil, errBroken
+	if len(b) < headerSize || b[0] != formatVersion {
+		return nil, errMalformed
 	}
 	for _, key := range k {
-		if [keyName]byte(b[1:]) == key.name && hmac.Equal(key.digest(b[headerSize:]), b[1+keyName:headerSize]) {
+		if [keyIDSize]byte(b[1:]) == key.id && hmac.Equal(key.digest(b[headerSize:]), b[1+keyIDSize:headerSize]) {
 			return b[headerSize:], nil
 		}
 	}
-	return nil, errForeign
+	return nil, errUnknownKey
 }
 
 // packet is a message with what the link adds.
 type packet struct {
 	member.Message
-	fleet  string
-	count  uint64 // of what this instance has said
-	answer []byte // a word, or what an operator's tool asks and hears
+	fleet     string
+	sendCount uint64 // of what this instance has said
+	answer    []byte // a word, or what an operator's tool asks and hears
 }
 
-func flag(b bool) uint64 {
+func boolToUint(b bool) uint64 {
 	if b {
 		return 1
 	}
@@ -159,19 +159,19 @@
 	b = fields.AppendUint(b, fSeq, p.Seq)
 	b = fields.AppendString(b, fSubject, p.Subject)
 	b = fields.AppendUint(b, fDigest, p.Digest)
-	b = fields.AppendUint(b, fCount, p.count)
+	b = fields.AppendUint(b, fCount, p.sendCount)
 	for _, r := range p.Records {
 		v := fields.AppendString([]byte{}, 1, r.ID)
 		v = fields.AppendString(fields.AppendString(v, 2, r.Zone), 3, r.Addr)
 		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 4, r.Instance), 5, uint64(r.Incarnation.Generation)), 6, uint64(r.Incarnation.Turn))
-		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 7, uint64(r.State)), 8, flag(r.ConfirmedGone)), 9, flag(r.Ready))
+		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 7, uint64(r.State)), 8, boolToUint(r.ConfirmedGone)), 9, boolToUint(r.Ready))
 		v = fields.AppendUint(fields.AppendUint(v, 10, millis(r.Age)), 11, math.Float64bits(r.RetainedShare))
 		b = fields.AppendBytes(b, fRecord, v)
 	}
 	for _, d := range p.Doubts {
 		v := fields.AppendString(fields.AppendString([]byte{}, 1, d.Subject), 2, d.Observer)
 		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 3, uint64(d.Incarnation.Generation)), 4, uint64(d.Incarnation.Turn)), 5, uint64(d.Version))
-		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 6, millis(d.SilentFor)), 7, flag(d.Refused)), 8, flag(d.Withdrawn))
+		v = fields.AppendUint(fields.AppendUint(fields.AppendUint(v, 6, millis(d.SilentFor)), 7, boolToUint(d.Refused)), 8, boolToUint(d.Withdrawn))
 		b = fields.AppendBytes(b, fDoubt, v)
 	}
 	for _, n := range p.News {
@@ -182,7 +182,7 @@
 	return fields.AppendBytes(b, fAnswer, p.answer)
 }
 
-func span(x uint64) time.Duration {
+func durationOfMillis(x uint64) time.Duration {
 	return time.Duration(min(x, uint64(math.MaxInt64/int64(time.Millisecond)))) * time.Millisecond
 }
 
@@ -190,7 +190,7 @@
 func decode(b []byte) (p packet, err error) {
 	sound := true
 	name := func(v []byte) string {
-		sound = sound && len(v) <= maxName
+		sound = sound && len(v) <= maxNameSize
 		return string(v)
 	}
 	whole := fields.Each(b, func(n protowire.Number, x uint64, v []byte) bool {
@@ -214,29 +214,29 @@
 		case fDigest:
 			p.Digest = x
 		case fCount:
-			p.count = x
+			p.sendCount = x
 		case fAnswer:
 			p.answer = v
 		case fRecord:
 			var r member.Record
 			sound = sound && fields.Each(v, func(n protowire.Number, x uint64, v []byte) bool { readRecord(&r, n, x, v); return true }) &&
-				len(r.ID) <= maxName && len(r.Zone) <= maxName && len(r.Addr) <= maxName && !math.IsNaN(r.RetainedShare) && r.RetainedShare >= 0 && r.RetainedShare <= 1
+				len(r.ID) <= maxNameSize && len(r.Zone) <= maxNameSize && len(r.Addr) <= maxNameSize && !math.IsNaN(r.RetainedShare) && r.RetainedShare >= 0 && r.RetainedShare <= 1
 			p.Records = append(p.Records, r)
 		case fDoubt:
 			var d member.Doubt
 			sound = sound && fields.Each(v, func(n protowire.Number, x uint64, v []byte) bool { readDoubt(&d, n, x, v); return true }) &&
-				len(d.Subject) <= maxName && len(d.Observer) <= maxName
+				len(d.Subject) <= maxNameSize && len(d.Observer) <= maxNameSize
 			p.Doubts = append(p.Doubts, d)
 		case fNews:
 			var w member.News
 			sound = sound && fields.Each(v, func(n protowire.Number, x uint64, v []byte) bool { readNews(&w, n, x, v); return true }) &&
-				len(w.Key) <= maxName && len(w.Origin) <= maxName
+				len(w.Key) <= maxNameSize && len(w.Origin) <= maxNameSize
 			p.News = append(p.News, w)
 		}
 		return sound && len(p.Records) <= maxRecords
 	})
 	if !whole || !sound {
-		return packet{}, errBroken
+		return packet{}, errMalformed
 	}
 	return p, nil
 }
@@ -262,7 +262,7 @@
 	case 9:
 		r.Ready = x != 0
 	case 10:
-		r.Age = span(x)
+		r.Age = durationOfMillis(x)
 	case 11:
 		r.RetainedShare = math.Float64frombits(x)
 	}
@@ -281,7 +281,7 @@
 	case 5:
 		d.Version = uint32(x)
 	case 6:
-		d.SilentFor = span(x)
+		d.SilentFor = durationOfMillis(x)
 	case 7:
 		d.Refused = x != 0
 	case 8:
@@ -300,6 +300,6 @@
 	case 4:
 		w.Body = append([]byte(nil), v...)
 	case 5:
-		w.Age = span(x)
+		w.Age = durationOfMillis(x)
 	}
 }
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -16,7 +16,7 @@
 )
 
 func sample() packet {
-	return packet{fleet: "f", count: 7, Message: member.Message{Kind: member.Gossip, From: "n1", Instance: 1 << 60, To: "n2", Target: 3, Seq: 4,
+	return packet{fleet: "f", sendCount: 7, Message: member.Message{Kind: member.Gossip, From: "n1", Instance: 1 << 60, To: "n2", Target: 3, Seq: 4,
 		Subject: "n3", Digest: 5,
 		Records: []member.Record{{ID: "n1", Zone: "a", Addr: "127.0.0.1:1", Instance: 9, Incarnation: member.Incarnation{Generation: 1, Turn: 2}, State: member.Gone,
 			ConfirmedGone: true, Ready: true, Age: time.Second, RetainedShare: 0.25}},
@@ -24,7 +24,7 @@
 		News:   []member.News{{Key: "k", Origin: "n1", Version: 8, Body: []byte("b")}}}}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestPacketRoundTrip(t *testing.T) {
 	got, err := decode(sample().encode())
 	if err != nil {
 		t.Fatal(err)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestANewerProgramIsUnderstood: fields that we don't know are passed over.
-func TestANewerProgramIsUnderstood(t *testing.T) {
+// TestUnknownFieldsAreSkipped: fields that we don't know are passed over.
+func TestUnknownFieldsAreSkipped(t *testing.T) {
 	b := fields.AppendBytes(fields.AppendUint(sample().encode(), 900, 5), 901, []byte("new"))
 	b = protowire.AppendFixed64(protowire.AppendTag(b, 902, protowire.Fixed64Type), 1)
 	if got, err := decode(b); err != nil || got.From != "n1" {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestKeysAreChangedWhileTheFleetRuns(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	one, two := NewKey([]byte("the first key, long")), NewKey([]byte("the second key, long"))
 	steps := []Keys{{one}, {one, two}, {two, one}, {two}}
 	for i, k := range steps {
@@ -53,17 +53,17 @@
 			}
 		}
 	}
-	if _, err := steps[0].open(steps[3].seal([]byte("words"))); err != errForeign {
+	if _, err := steps[0].open(steps[3].seal([]byte("words"))); err != errUnknownKey {
 		t.Errorf("%v", err)
 	}
 	spoilt := steps[0].seal([]byte("words"))
 	spoilt[len(spoilt)-1] ^= 1
-	if _, err := steps[0].open(spoilt); err != errForeign {
+	if _, err := steps[0].open(spoilt); err != errUnknownKey {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestKeyFiles(t *testing.T) {
+func TestReadKeys(t *testing.T) {
 	for text, want := range map[string]int{"# old\n\n0123456789abcdef\n": 1, "0123456789abcdef\nfedcba9876543210\n": 2, "short\n": 0, "": 0,
 		"0123456789abcdef\n0123456789abcde1\n0123456789abcde2\n": 0} {
 		path := filepath.Join(t.TempDir(), "key")
@@ -77,13 +77,13 @@
 	}
 }
 
-func TestEachDatagramCountsOnce(t *testing.T) {
+func TestReplayedDatagramsAreRejected(t *testing.T) {
 	s := &sender{}
 	for _, c := range []struct {
 		n    uint64
 		want bool
 	}{{5, true}, {5, false}, {3, true}, {3, false}, {70, true}, {5, false}, {7, true}, {6, false}, {1000, true}, {70, false}} {
-		if got := s.fresh(c.n); got != c.want {
+		if got := s.markSeen(c.n); got != c.want {
 			t.Errorf("%d: %v", c.n, got)
 		}
 	}
@@ -92,8 +92,8 @@
 func TestSnapshots(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.json")
-	s := snapshot{Name: "n1", Generation: 3, Members: []known{{"n2", "a", "127.0.0.1:2"}}}
-	s.Sum = s.sum()
+	s := snapshot{Name: "n1", Generation: 3, Members: []knownMember{{"n2", "a", "127.0.0.1:2"}}}
+	s.Sum = s.checksum()
 	text, err := s.text()
 	if err != nil {
 		t.Fatal(err)
@@ -101,10 +101,10 @@
 	if err := keep.Write(path, text); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(s, load(path, "n1", zerolog.Nop())); diff != "" {
+	if diff := cmp.Diff(s, loadSnapshot(path, "n1", zerolog.Nop())); diff != "" {
 		t.Error(diff)
 	}
-	if got := load(path, "n9", zerolog.Nop()); got.Generation != 0 {
+	if got := loadSnapshot(path, "n9", zerolog.Nop()); got.Generation != 0 {
 		t.Errorf("another mixer's: %+v", got)
 	}
 	if _, err := os.Stat(path + ".bad"); err != nil {
--- a/internal/fleet/link/snapshot.go
+++ b/internal/fleet/link/snapshot.go
@@ -16,19 +16,19 @@
 
 // snapshot is what a mixer finds of the fleet when it starts again.
 type snapshot struct {
-	Name       string  `json:"name"`
-	Generation uint32  `json:"generation"` // of our last start
-	Members    []known `json:"members"`
-	Sum        string  `json:"sum"` // of all else
+	Name       string        `json:"name"`
+	Generation uint32        `json:"generation"` // of our last start
+	Members    []knownMember `json:"members"`
+	Sum        string        `json:"sum"` // of all else
 }
 
-type known struct {
+type knownMember struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
 	Addr string `json:"addr"`
 }
 
-func (s snapshot) sum() string {
+func (s snapshot) checksum() string {
 	text := fmt.Sprintf("%q %d", s.Name, s.Generation)
 	for _, k := range s.Members {
 		text += fmt.Sprintf(" %q %q %q", k.ID, k.Zone, k.Addr)
@@ -36,15 +36,15 @@
 	return fmt.Sprintf("%016x", xxh3.HashString(text))
 }
 
-// load reads a snapshot. One that can't be used is set aside, and the mixer starts
+// loadSnapshot reads a snapshot. One that can't be used is set aside, and the mixer starts
 // without.
-func load(path, name string, log zerolog.Logger) (s snapshot) {
+func loadSnapshot(path, name string, log zerolog.Logger) (s snapshot) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return s
 	}
 	if err == nil {
-		if err = json.Unmarshal(text, &s); err == nil && (s.Name != name || s.Sum != s.sum()) {
+		if err = json.Unmarshal(text, &s); err == nil && (s.Name != name || s.Sum != s.checksum()) {
 			err = errors.New("its sum is wrong, or it is another mixer's")
 		}
 		if err == nil {
@@ -60,7 +60,7 @@
 
 // text is the snapshot's file.
 func (s snapshot) text() ([]byte, error) {
-	s.Sum = s.sum()
+	s.Sum = s.checksum()
 	return json.Marshal(s)
 }
 
@@ -69,7 +69,7 @@
 	s := snapshot{Name: name, Generation: m.Self().Incarnation.Generation}
 	for _, e := range m.View() {
 		if !e.Self && e.Record.State == member.Alive {
-			s.Members = append(s.Members, known{e.ID, e.Zone, e.Addr})
+			s.Members = append(s.Members, knownMember{e.ID, e.Zone, e.Addr})
 		}
 	}
 	return s
--- a/internal/fleet/link/view.go
+++ b/internal/fleet/link/view.go
@@ -38,8 +38,8 @@
 // View is this mixer's view now.
 func (f *Fleet) View() View {
 	now := f.core.Now()
-	v := View{Fleet: f.c.Fleet, Mixer: f.c.ID, Live: f.m.Alive(), Share: f.m.Share(now), Isolated: f.m.Isolated()}
-	for _, e := range f.m.View() {
+	v := View{Fleet: f.c.Fleet, Mixer: f.c.ID, Live: f.machine.Alive(), Share: f.machine.Share(now), Isolated: f.machine.Isolated()}
+	for _, e := range f.machine.View() {
 		l := MemberStatus{ID: e.ID, Zone: e.Zone, Addr: e.Addr, State: e.State.String(), Self: e.Self, Ready: e.Ready,
 			Generation: e.Incarnation.Generation, Turn: e.Incarnation.Turn, SinceMS: (now - e.Since).Milliseconds(), HeardMS: -1, DoubtedBy: e.Doubters}
 		if e.Self && e.State == member.Doubted {
@@ -62,8 +62,8 @@
 }
 
 // AskView asks a mixer for its view, as an operator's tool does.
-func AskView(addr, fleet string, keys Keys, patience time.Duration) (v View, err error) {
-	text, err := Ask(addr, fleet, keys, nil, patience)
+func AskView(addr, fleet string, keys Keys, timeout time.Duration) (v View, err error) {
+	text, err := Ask(addr, fleet, keys, nil, timeout)
 	if err != nil {
 		return v, err
 	}
@@ -71,16 +71,16 @@
 }
 
 // Ask asks a mixer a question, as an operator's tool does; none is for its view.
-func Ask(addr, fleet string, keys Keys, question []byte, patience time.Duration) ([]byte, error) {
-	conn, err := net.DialTimeout("tcp", addr, patience)
+func Ask(addr, fleet string, keys Keys, question []byte, timeout time.Duration) ([]byte, error) {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = conn.Close() }() // read whole
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(frame(keys.seal(packet{Message: member.Message{Kind: kindAsk}, fleet: fleet, answer: question}.encode()))); err != nil {
+	if _, err := conn.Write(frame(keys.seal(packet{Message: member.Message{Kind: kindViewRequest}, fleet: fleet, answer: question}.encode()))); err != nil {
 		return nil, err
 	}
 	var size [4]byte
@@ -88,8 +88,8 @@
 		return nil, fmt.Errorf("no answer (another key, or another fleet?): %w", err)
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n > maxExchange {
-		return nil, errBroken
+	if n > maxFrame {
+		return nil, errMalformed
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(conn, b); err != nil {
