--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -28,16 +28,16 @@
 
 // mixer is one of them, as its core, its fleet and its watch of discovery.
 type mixer struct {
-	f        *fleet
-	name     string
-	zone     string
-	roll     *Sharer
-	dead     bool
-	deaf     bool // discovery does not answer it
-	watching bool
-	turn     int
-	seen     int64                    // the revision that its watch has
-	knew     map[string]time.Duration // since when a node is no running one for it
+	f             *fleet
+	name          string
+	zone          string
+	roll          *Sharer
+	dead          bool
+	deaf          bool // discovery does not answer it
+	watching      bool
+	turn          int
+	seen          int64                    // the revision that its watch has
+	inactiveSince map[string]time.Duration // since when a node is no running one for it
 }
 
 var zones = []string{"a", "b", "c"}
@@ -48,7 +48,7 @@
 		f.list.Members = append(f.list.Members, discovery.Entry{ID: fmt.Sprintf("s-%02d", i), HostPort: "127.0.0.1:1", Phase: "active", UpSinceMS: 1})
 	}
 	for i := range size {
-		m := &mixer{f: f, name: fmt.Sprintf("n%d", i), zone: zones[i%3], knew: map[string]time.Duration{}}
+		m := &mixer{f: f, name: fmt.Sprintf("n%d", i), zone: zones[i%3], inactiveSince: map[string]time.Duration{}}
 		m.roll = New(m, m, m, m.name, zones, uint64(i), zerolog.Nop())
 		f.mixers = append(f.mixers, m)
 	}
@@ -76,14 +76,14 @@
 	return n, most
 }
 
-// tell changes a node on the list; all whose watch is under way hear of it.
-func (f *fleet) tell(i int, phase string) {
+// changePhase changes a node on the list; all whose watch is under way hear of it.
+func (f *fleet) changePhase(i int, phase string) {
 	f.list.Revision++
 	f.list.Members[i].Phase = phase
 	entry, revision := f.list.Members[i], f.list.Revision
 	for _, m := range f.mixers {
 		if m.watching {
-			m.after(time.Duration(f.rng.IntN(200))*ms, func() { m.hears(revision, entry) })
+			m.after(time.Duration(f.rng.IntN(200))*ms, func() { m.receive(revision, entry) })
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	})
 }
 
-func (m *mixer) hears(revision int64, e discovery.Entry) {
+func (m *mixer) receive(revision int64, e discovery.Entry) {
 	if !m.watching || m.deaf || revision <= m.seen {
 		return
 	}
@@ -171,15 +171,15 @@
 // Publish is what the core is told.
 func (m *mixer) Publish(l discovery.List) {
 	for _, e := range l.Members {
-		if _, knew := m.knew[e.ID]; !knew && e.Phase != "active" {
-			m.knew[e.ID] = m.f.now
+		if _, knew := m.inactiveSince[e.ID]; !knew && e.Phase != "active" {
+			m.inactiveSince[e.ID] = m.f.now
 		}
 	}
 }
 
-// TestWhatDiscoveryIsAskedStaysFlat: two mixers a zone watch it at any size, and all believe
+// TestDiscoveryLoadIsIndependentOfFleetSize: two mixers a zone watch it at any size, and all believe
 // what those were told. Where they die, or discovery does not answer them, others go on.
-func TestWhatDiscoveryIsAskedStaysFlat(t *testing.T) {
+func TestDiscoveryLoadIsIndependentOfFleetSize(t *testing.T) {
 	asked := map[int]int{}
 	for _, size := range []int{3, 9, 300} {
 		f := newFleet(size)
@@ -192,10 +192,10 @@
 		worst := time.Duration(0)
 		for i := range 20 {
 			told := f.now
-			f.tell(i, "leaving")
+			f.changePhase(i, "leaving")
 			f.run(2 * time.Second)
 			for _, m := range f.mixers {
-				at, knew := m.knew[f.list.Members[i].ID]
+				at, knew := m.inactiveSince[f.list.Members[i].ID]
 				if !knew || at-told > 2*time.Second {
 					t.Fatalf("%d mixers: %s does not know after %v that node %d leaves", size, m.name, f.now-told, i)
 				}
@@ -213,16 +213,16 @@
 				killed++
 			}
 		}
-		f.run(heardLast + 3*time.Second)
+		f.run(watcherTimeout + 3*time.Second)
 		told := f.now
-		f.tell(30, "leaving")
+		f.changePhase(30, "leaving")
 		f.run(3 * time.Second)
 		n, most = f.watchers()
 		if n == 0 || size > 9 && most > 2 {
 			t.Errorf("%d mixers: %d watch after %d died, %d in one zone", size, n, killed, most)
 		}
 		for _, m := range f.mixers {
-			if _, knew := m.knew[f.list.Members[30].ID]; !m.dead && !knew {
+			if _, knew := m.inactiveSince[f.list.Members[30].ID]; !m.dead && !knew {
 				t.Errorf("%d mixers: %s does not know %v after those who watched died", size, m.name, f.now-told)
 			}
 		}
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestWhoHearsNothingIsTold: discovery answers only one of nine; what it is told, all know.
-func TestWhoHearsNothingIsTold(t *testing.T) {
+// TestMixersCutOffFromDiscoveryLearnFromOthers: discovery answers only one of nine; what it is told, all know.
+func TestMixersCutOffFromDiscoveryLearnFromOthers(t *testing.T) {
 	f := newFleet(9)
 	f.run(15 * time.Second)
 	one := ""
@@ -244,10 +244,10 @@
 		}
 		m.deaf = true
 	}
-	f.tell(7, "leaving")
+	f.changePhase(7, "leaving")
 	f.run(2 * time.Second)
 	for _, m := range f.mixers {
-		if _, knew := m.knew["s-07"]; !knew {
+		if _, knew := m.inactiveSince["s-07"]; !knew {
 			t.Errorf("%s does not know what %s was told", m.name, one)
 		}
 	}
