--- a/internal/fleet/survey/codec.go
+++ b/internal/fleet/survey/codec.go
@@ -24,7 +24,7 @@
 // nodes from fNodes on.
 const (
 	fName protowire.Number = iota + 1
-	fQuiet
+	fSilentFor
 	fLatency
 	fCounts protowire.Number = 10
 	fNodes  protowire.Number = 30
@@ -41,12 +41,12 @@
 }
 
 const (
-	longest   = 64 // name, in bytes
-	mostZones = 64
-	mostParts = 1 << 24 // in a second: whatever is over that is none of ours
+	maxNameSize  = 64 // name, in bytes
+	maxZones     = 64
+	maxPartCount = 1 << 24 // in a second: whatever is over that is none of ours
 )
 
-var errReport = errors.New("no report")
+var errMalformedReport = errors.New("no report")
 
 func encode(r zone.Report) []byte {
 	b := fields.AppendString(nil, fMixer, r.Mixer)
@@ -61,7 +61,7 @@
 		for i, n := range nodes(&e) {
 			x = fields.AppendUint(x, fNodes+protowire.Number(i), uint64(*n))
 		}
-		x = fields.AppendUint(x, fQuiet, uint64(max(0, e.SilentFor)))
+		x = fields.AppendUint(x, fSilentFor, uint64(max(0, e.SilentFor)))
 		x = fields.AppendBytes(x, fLatency, e.EncodeLatencies())
 		b = fields.AppendBytes(b, fEvidence, x)
 	}
@@ -83,12 +83,12 @@
 		case fEvidence:
 			name, e, ok := decodeEvidence(v)
 			r.Zones[name] = e
-			return ok && len(r.Zones) <= mostZones
+			return ok && len(r.Zones) <= maxZones
 		}
-		return len(r.Mixer) <= longest && len(r.Zone) <= longest
+		return len(r.Mixer) <= maxNameSize && len(r.Zone) <= maxNameSize
 	})
 	if !whole || r.Mixer == "" || r.Zone == "" || r.Seq == 0 {
-		return zone.Report{}, errReport
+		return zone.Report{}, errMalformedReport
 	}
 	return r, nil
 }
@@ -100,16 +100,16 @@
 		switch {
 		case n == fName:
 			name = string(v)
-		case n == fQuiet:
+		case n == fSilentFor:
 			e.SilentFor = time.Duration(min(x, 1<<62))
 		case n == fLatency:
 			return e.DecodeLatencies(v) == nil
 		case i >= 0 && i < len(counts):
-			*counts[i] = uint32(min(x, mostParts))
+			*counts[i] = uint32(min(x, maxPartCount))
 		case k >= 0 && k < len(nodes):
 			*nodes[k] = uint16(min(x, 1<<15))
 		}
 		return true
 	})
-	return name, e, whole && name != "" && len(name) <= longest
+	return name, e, whole && name != "" && len(name) <= maxNameSize
 }
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -20,15 +20,15 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	pace       = time.Second            // between two reports
-	lookPace   = 200 * time.Millisecond // between two judgements
-	timely     = 0.25                   // share of a class's aim within which an answer is in time: later ones are given up on, or copied
-	muteTime   = 4                      // times what answers usually take, after which one called off was a silent one
-	usualOf    = 50                     // answers that make what is usual
-	silentTime = 300 * time.Millisecond
-	leastBad   = 2               // parts of a node, most of them in vain, that make it a bad one
-	wordTime   = 2 * time.Second // since a node answered a check, within which what it was called off from was late, not lost
-	mostLate   = 20 * pace       // silent nodes are remembered for so long
+	reportInterval       = time.Second            // between two reports
+	judgeInterval        = 200 * time.Millisecond // between two judgements
+	inTimeShare          = 0.25                   // share of a class's aim within which an answer is in time: later ones are given up on, or copied
+	unansweredFactor     = 4                      // times what answers usually take, after which one called off was a silent one
+	typicalLatencyWindow = 50                     // answers that make what is usual
+	silenceThreshold     = 300 * time.Millisecond
+	minPartsOfBadNode    = 2                   // parts of a node, most of them in vain, that make it a bad one
+	checkAnswerValidity  = 2 * time.Second     // since a node answered a check, within which what it was called off from was late, not lost
+	maxSilence           = 20 * reportInterval // silent nodes are remembered for so long
 )
 
 // Core is what this package needs of the core.
@@ -50,23 +50,23 @@
 
 // Survey is a mixer's part. It implements broker.Observer.
 type Survey struct {
-	core   Core
-	fleet  Fleet
-	voters Voters
-	name   string
-	home   string
-	zones  []string
-	cold   time.Duration
-	log    zerolog.Logger
+	core       Core
+	fleet      Fleet
+	voters     Voters
+	name       string
+	home       string
+	zones      []string
+	warmupTime time.Duration
+	log        zerolog.Logger
 
-	seen    []*seen // by zone
-	seq     uint64
-	leads   bool
-	board   *zone.ReportStore
-	judge   *zone.Judge
-	judged  zone.Judgement
-	changed map[string]time.Duration // when a zone's verdict last did
-	reports int                      // taken from others
+	observations     []*observations // by zone
+	seq              uint64
+	leads            bool
+	reportStore      *zone.ReportStore
+	judge            *zone.Judge
+	judgement        zone.Judgement
+	verdictChangedAt map[string]time.Duration // when a zone's verdict last did
+	receivedReports  int                      // taken from others
 
 	// OnJudgement is called after each judgement, with whether this mixer leads; Stand is how the
 	// fleet stands to a zone, by the plan of a number. Nil: nothing is made of it.
@@ -74,59 +74,59 @@
 	Stand       func(zone string) (zone.Stand, uint64)
 }
 
-// seen is what was seen of a zone's nodes since the last report, and since the last word.
-type seen struct {
+// observations is what was observations of a zone's nodes since the last report, and since the last word.
+type observations struct {
 	zone.Evidence
-	nodes   map[string]*tally
-	words   map[string]time.Duration // by node: when it last answered a check
-	unheard uint32
-	word    time.Duration // when a node of it last said something
-	usual   time.Duration // that an answer takes; 0: none is known
+	nodes           map[string]*nodeTally
+	checkAnsweredAt map[string]time.Duration // by node: when it last answered a check
+	dueSinceAnswer  uint32
+	lastAnswerAt    time.Duration // when a node of it last said something
+	typicalLatency  time.Duration // that an answer takes; 0: none is known
 }
 
-type tally struct{ parts, vain int }
+type nodeTally struct{ parts, unsuccessful int }
 
 // New gathers evidence. Zones are those of the settings, as nodes name them by number.
-func New(core Core, fleet Fleet, voters Voters, name, home string, zones []string, cold time.Duration, log zerolog.Logger) *Survey {
-	s := &Survey{core: core, fleet: fleet, voters: voters, name: name, home: home, zones: zones, cold: cold, log: log,
-		board: zone.NewReportStore(), judge: zone.NewJudge(), changed: map[string]time.Duration{}}
+func New(core Core, fleet Fleet, voters Voters, name, home string, zones []string, warmupTime time.Duration, log zerolog.Logger) *Survey {
+	s := &Survey{core: core, fleet: fleet, voters: voters, name: name, home: home, zones: zones, warmupTime: warmupTime, log: log,
+		reportStore: zone.NewReportStore(), judge: zone.NewJudge(), verdictChangedAt: map[string]time.Duration{}}
 	for range zones {
-		s.seen = append(s.seen, &seen{nodes: map[string]*tally{}, words: map[string]time.Duration{}})
+		s.observations = append(s.observations, &observations{nodes: map[string]*nodeTally{}, checkAnsweredAt: map[string]time.Duration{}})
 	}
 	return s
 }
 
 // Start begins, on the core's goroutine.
 func (s *Survey) Start() {
-	for i, x := range s.seen {
-		x.word, s.changed[s.zones[i]] = s.core.Now(), s.core.Now()
+	for i, x := range s.observations {
+		x.lastAnswerAt, s.verdictChangedAt[s.zones[i]] = s.core.Now(), s.core.Now()
 	}
-	s.core.After(pace, s.report)
-	s.core.After(lookPace, s.look)
+	s.core.After(reportInterval, s.sendReport)
+	s.core.After(judgeInterval, s.evaluate)
 }
 
-// of is what was seen of a node's zone; nil: the node is not listed any more.
-func (s *Survey) of(m broker.ListedNode) *seen {
-	if m.ID == "" || m.Zone < 0 || m.Zone >= len(s.seen) {
+// observationsOf is what was seen observationsOf a node's zone; nil: the node is not listed any more.
+func (s *Survey) observationsOf(m broker.ListedNode) *observations {
+	if m.ID == "" || m.Zone < 0 || m.Zone >= len(s.observations) {
 		return nil
 	}
-	return s.seen[m.Zone]
+	return s.observations[m.Zone]
 }
 
 // Observe implements broker.Observer: an attempt has ended, or a check of a node.
 func (s *Survey) Observe(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
-	x, late := s.of(m), took > time.Duration(timely*float64(aim))
+	x, late := s.observationsOf(m), took > time.Duration(inTimeShare*float64(aim))
 	if x == nil {
 		return
 	}
-	heard, vain := true, o != decide.OK
+	heard, unsuccessful := true, o != decide.OK
 	switch o {
 	case decide.OK:
 		x.RecordAnswer(took, !late)
-		if x.usual == 0 {
-			x.usual = took
+		if x.typicalLatency == 0 {
+			x.typicalLatency = took
 		}
-		x.usual += (took - x.usual) / usualOf
+		x.typicalLatency += (took - x.typicalLatency) / typicalLatencyWindow
 	case decide.Failed:
 		x.Failed++
 	case decide.Full:
@@ -140,11 +140,11 @@
 	case decide.TimedOut, decide.Cancelled:
 		// One that a copy elsewhere has answered was out for less: it counts if others would
 		// have been answered by then.
-		if !late && (x.usual == 0 || took < muteTime*x.usual) {
+		if !late && (x.typicalLatency == 0 || took < unansweredFactor*x.typicalLatency) {
 			return // called off before anything could be said of it
 		}
 		// One that answers checks is slow, not silent: a copy was quicker.
-		if at, spoke := x.words[m.ID]; o == decide.Cancelled && spoke && s.core.Now()-at < wordTime {
+		if at, spoke := x.checkAnsweredAt[m.ID]; o == decide.Cancelled && spoke && s.core.Now()-at < checkAnswerValidity {
 			x.RecordAnswer(took, false)
 		} else {
 			x.Unanswered++
@@ -153,24 +153,24 @@
 	default:
 		return // it was never sent
 	}
-	if x.unheard++; heard {
-		x.word, x.unheard = s.core.Now(), 0
+	if x.dueSinceAnswer++; heard {
+		x.lastAnswerAt, x.dueSinceAnswer = s.core.Now(), 0
 	}
 	n := x.nodes[m.ID]
 	if n == nil {
-		n = &tally{}
+		n = &nodeTally{}
 		x.nodes[m.ID] = n
 	}
-	if n.parts++; vain {
-		n.vain++
+	if n.parts++; unsuccessful {
+		n.unsuccessful++
 	}
 }
 
-// checked takes the end of a check. Of a zone that is in use, parts tell more than a check that
+// observeCheck takes the end of a check. Of a zone that is in use, parts tell more than a check that
 // was answered, as a node that is slow at its work may do that at once; of others, checks are
 // all there is.
-func (s *Survey) checked(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
-	left, x := false, s.of(m)
+func (s *Survey) observeCheck(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
+	left, x := false, s.observationsOf(m)
 	if x == nil {
 		return
 	}
@@ -183,7 +183,7 @@
 	}
 	if o == decide.OK {
 		now := s.core.Now()
-		x.word, x.unheard, x.words[m.ID] = now, 0, now
+		x.lastAnswerAt, x.dueSinceAnswer, x.checkAnsweredAt[m.ID] = now, 0, now
 	}
 }
 
@@ -199,33 +199,33 @@
 func (c ObservedProber) Probe(n broker.Node, done func(decide.Outcome)) {
 	begun := c.core.Now()
 	c.Nodes.Probe(n, func(o decide.Outcome) {
-		c.checked(c.core.ListedNode(n.ID), o, c.core.Now()-begun, c.LatencyTarget)
+		c.observeCheck(c.core.ListedNode(n.ID), o, c.core.Now()-begun, c.LatencyTarget)
 		done(o)
 	})
 }
 
-// report tells the leader what was seen.
-func (s *Survey) report() {
-	s.core.After(pace, s.report)
+// sendReport tells the leader what was seen.
+func (s *Survey) sendReport() {
+	s.core.After(reportInterval, s.sendReport)
 	now := s.core.Now()
 	turning := make([]uint16, len(s.zones))
 	s.core.EachNode(func(m broker.ListedNode) {
-		if m.Zone >= 0 && m.Zone < len(turning) && (m.State != decide.Running || m.Started > 0 && now < m.Started+s.cold) {
+		if m.Zone >= 0 && m.Zone < len(turning) && (m.State != decide.Running || m.Started > 0 && now < m.Started+s.warmupTime) {
 			turning[m.Zone]++
 		}
 	})
 	s.seq++
 	r := zone.Report{Mixer: s.name, Zone: s.home, Seq: s.seq, Lag: s.core.Lag(), Zones: map[string]zone.Evidence{}}
-	for i, x := range s.seen {
+	for i, x := range s.observations {
 		e := x.Evidence
 		e.TransitioningNodes, e.Nodes = turning[i], uint16(len(x.nodes))
 		for _, n := range x.nodes {
-			if n.parts >= leastBad && 2*n.vain > n.parts {
+			if n.parts >= minPartsOfBadNode && 2*n.unsuccessful > n.parts {
 				e.BadNodes++
 			}
 		}
-		e.Overdue, e.SilentFor = x.unheard, now-x.word
-		if x.unheard == 0 {
+		e.Overdue, e.SilentFor = x.dueSinceAnswer, now-x.lastAnswerAt
+		if x.dueSinceAnswer == 0 {
 			e.SilentFor = 0 // nothing was due
 		}
 		if e.Sent() > 0 || e.Overdue > 0 {
@@ -233,12 +233,12 @@
 		}
 		x.Evidence = zone.Evidence{}
 		clear(x.nodes)
-		maps.DeleteFunc(x.words, func(_ string, at time.Duration) bool { return now-at > wordTime })
-		if e.SilentFor > mostLate {
-			x.unheard, x.word = 0, now // so long ago says nothing of now
+		maps.DeleteFunc(x.checkAnsweredAt, func(_ string, at time.Duration) bool { return now-at > checkAnswerValidity })
+		if e.SilentFor > maxSilence {
+			x.dueSinceAnswer, x.lastAnswerAt = 0, now // so long ago says nothing of now
 		}
 	}
-	s.board.Put(now, r)
+	s.reportStore.Put(now, r)
 	if to := s.voters.Leader(); to != "" && to != s.name {
 		s.fleet.Send(to, encode(r))
 	}
@@ -250,28 +250,28 @@
 	if err != nil || r.Mixer != from || s.voters.Leader() != s.name {
 		return
 	}
-	s.reports++
-	s.board.Put(s.core.Now(), r)
+	s.receivedReports++
+	s.reportStore.Put(s.core.Now(), r)
 }
 
-func (s *Survey) look() {
-	s.core.After(lookPace, s.look)
+func (s *Survey) evaluate() {
+	s.core.After(judgeInterval, s.evaluate)
 	now, leads := s.core.Now(), s.voters.Leader() == s.name
 	if leads != s.leads {
 		// What is held of others is of when we led last, or begins now.
-		s.leads, s.board, s.judge, s.judged = leads, zone.NewReportStore(), zone.NewJudge(), zone.Judgement{}
-		s.looked()
+		s.leads, s.reportStore, s.judge, s.judgement = leads, zone.NewReportStore(), zone.NewJudge(), zone.Judgement{}
+		s.notifyJudgement()
 		return
 	}
-	defer s.looked()
-	before := s.judged
-	s.judged = s.judge.Evaluate(now, s.board)
-	for _, z := range s.judged.ZoneNames() {
-		was, is := before.Zones[z], s.judged.Zones[z]
+	defer s.notifyJudgement()
+	before := s.judgement
+	s.judgement = s.judge.Evaluate(now, s.reportStore)
+	for _, z := range s.judgement.ZoneNames() {
+		was, is := before.Zones[z], s.judgement.Zones[z]
 		if was == is {
 			continue
 		}
-		s.changed[z] = now
+		s.verdictChangedAt[z] = now
 		if !leads {
 			continue
 		}
@@ -279,28 +279,28 @@
 		if is > zone.Sound {
 			line = s.log.Warn()
 		}
-		line.Str("zone", z).Str("from", was.String()).Str("to", is.String()).Str("why", s.judged.Why[z]).Bool("all_slow", s.judged.Shared).Msg("zones: a verdict")
+		line.Str("zone", z).Str("from", was.String()).Str("to", is.String()).Str("why", s.judgement.Why[z]).Bool("all_slow", s.judgement.Shared).Msg("zones: a verdict")
 	}
 }
 
-func (s *Survey) looked() {
+func (s *Survey) notifyJudgement() {
 	if s.OnJudgement != nil {
 		s.OnJudgement(s.leads)
 	}
 }
 
 // LatestJudgement is the latest judgement, and whether it is by the evidence of all.
-func (s *Survey) LatestJudgement() (j zone.Judgement, whole bool) { return s.judged, s.leads }
+func (s *Survey) LatestJudgement() (j zone.Judgement, whole bool) { return s.judgement, s.leads }
 
 // Silent reports whether parts were sent to a zone's nodes of late, and no word has come from
 // any of them since.
 func (s *Survey) Silent(zone int) bool {
-	x := s.seen[zone]
-	return x.unheard > 0 && s.core.Now()-x.word > silentTime
+	x := s.observations[zone]
+	return x.dueSinceAnswer > 0 && s.core.Now()-x.lastAnswerAt > silenceThreshold
 }
 
 // Loads is what is sent to each zone, in parts a second: by all at the leader, else by us.
-func (s *Survey) Loads() map[string]float64 { return s.board.Loads(s.core.Now()) }
+func (s *Survey) Loads() map[string]float64 { return s.reportStore.Loads(s.core.Now()) }
 
 // ZoneStatus is a zone as a mixer judges it.
 type ZoneStatus struct {
@@ -329,10 +329,10 @@
 // View is this mixer's, now.
 func (s *Survey) View() View {
 	now := s.core.Now()
-	v := View{Mixer: s.name, Whole: s.leads, Shared: s.judged.Shared, Off: s.judged.Off}
+	v := View{Mixer: s.name, Whole: s.leads, Shared: s.judgement.Shared, Off: s.judgement.Off}
 	for _, z := range s.zones {
-		l := ZoneStatus{Zone: z, Verdict: s.judged.Zones[z].String(), SinceMS: (now - s.changed[z]).Milliseconds(), Why: s.judged.Why[z]}
-		for at := range s.judged.Cuts {
+		l := ZoneStatus{Zone: z, Verdict: s.judgement.Zones[z].String(), SinceMS: (now - s.verdictChangedAt[z]).Milliseconds(), Why: s.judgement.Why[z]}
+		for at := range s.judgement.Cuts {
 			if at[1] == z {
 				l.Cuts = append(l.Cuts, at[0])
 			}
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -20,10 +20,10 @@
 type pair struct {
 	now    time.Duration
 	events queue.Queue
-	both   [2]*half
+	mixers [2]*mixer
 }
 
-type half struct {
+type mixer struct {
 	p      *pair
 	name   string
 	s      *Survey
@@ -35,25 +35,25 @@
 func newPair() *pair {
 	p := &pair{now: time.Hour}
 	for i, name := range []string{"n0", "n1"} {
-		h := &half{p: p, name: name, leader: "n0"}
+		h := &mixer{p: p, name: name, leader: "n0"}
 		for _, id := range []string{"a1", "a2", "b1", "b2"} {
 			m := broker.ListedNode{}
 			m.ID, m.State, m.Zone = id, decide.Running, int(id[0]-'a')
 			h.Nodes = append(h.Nodes, m)
 		}
 		h.s = New(h, h, h, name, string(rune('a'+i)), []string{"a", "b"}, 10*time.Second, zerolog.Nop())
-		p.both[i] = h
+		p.mixers[i] = h
 		h.s.Start()
 	}
 	return p
 }
 
-func (h *half) Now() time.Duration               { return h.p.now }
-func (h *half) After(d time.Duration, fn func()) { h.p.events.Add(h.p.now+d, fn) }
-func (h *half) Lag() time.Duration               { return h.lag }
-func (h *half) Leader() string                   { return h.leader }
-func (h *half) Send(to string, body []byte) {
-	for _, x := range h.p.both {
+func (h *mixer) Now() time.Duration               { return h.p.now }
+func (h *mixer) After(d time.Duration, fn func()) { h.p.events.Add(h.p.now+d, fn) }
+func (h *mixer) Lag() time.Duration               { return h.lag }
+func (h *mixer) Leader() string                   { return h.leader }
+func (h *mixer) Send(to string, body []byte) {
+	for _, x := range h.p.mixers {
 		if x.name == to {
 			h.After(2*ms, func() { x.s.HandleMessage(h.name, body) })
 		}
@@ -65,7 +65,7 @@
 	end := p.now + d
 	for p.now < end {
 		p.events.Run(&p.now, 50*ms, nil)
-		for _, h := range p.both {
+		for _, h := range p.mixers {
 			for _, m := range h.Nodes {
 				o, took := do(h.name, m)
 				h.s.Observe(m, o, took, time.Second)
@@ -78,21 +78,21 @@
 
 func (p *pair) verdicts(i int) map[string]string {
 	out := map[string]string{}
-	for _, l := range p.both[i].s.View().Zones {
+	for _, l := range p.mixers[i].s.View().Zones {
 		out[l.Zone] = l.Verdict
 	}
 	return out
 }
 
-// TestTheLeaderJudgesWhatAllSaw, and the other what it saw itself.
-func TestTheLeaderJudgesWhatAllSaw(t *testing.T) {
+// TestLeaderJudgesByAllReports, and the other what it saw itself.
+func TestLeaderJudgesByAllReports(t *testing.T) {
 	p := newPair()
 	p.run(10*time.Second, sound)
 	if diff := cmp.Diff(map[string]string{"a": "sound", "b": "sound"}, p.verdicts(0)); diff != "" {
 		t.Error(diff)
 	}
-	if p.both[0].s.reports < 8 || p.both[1].s.reports != 0 {
-		t.Errorf("%d and %d reports were taken", p.both[0].s.reports, p.both[1].s.reports)
+	if p.mixers[0].s.receivedReports < 8 || p.mixers[1].s.receivedReports != 0 {
+		t.Errorf("%d and %d reports were taken", p.mixers[0].s.receivedReports, p.mixers[1].s.receivedReports)
 	}
 	dark := func(by string, m broker.ListedNode) (decide.Outcome, time.Duration) {
 		if m.Zone == 1 {
@@ -115,26 +115,26 @@
 		}
 		return sound(by, m)
 	})
-	if v := p.both[0].s.View(); p.verdicts(0)["b"] != "sound" || len(v.Zones) != 2 || !cmp.Equal(v.Zones[1].Cuts, []string{"a"}) || !v.Whole {
+	if v := p.mixers[0].s.View(); p.verdicts(0)["b"] != "sound" || len(v.Zones) != 2 || !cmp.Equal(v.Zones[1].Cuts, []string{"a"}) || !v.Whole {
 		t.Errorf("%+v", v)
 	}
-	if v := p.both[1].s.View(); v.Whole || p.verdicts(1)["b"] != "sound" {
+	if v := p.mixers[1].s.View(); v.Whole || p.verdicts(1)["b"] != "sound" {
 		t.Errorf("%+v", v)
 	}
 	// Another leads: it begins with nothing of others.
-	for _, h := range p.both {
+	for _, h := range p.mixers {
 		h.leader = "n1"
 	}
 	p.run(4*time.Second, sound)
-	if v := p.both[1].s.View(); !v.Whole || p.both[1].s.reports < 2 || p.both[0].s.View().Whole {
-		t.Errorf("%+v, %d reports", v, p.both[1].s.reports)
+	if v := p.mixers[1].s.View(); !v.Whole || p.mixers[1].s.receivedReports < 2 || p.mixers[0].s.View().Whole {
+		t.Errorf("%+v, %d reports", v, p.mixers[1].s.receivedReports)
 	}
 }
 
-// TestWhatCounts of what becomes of parts.
-func TestWhatCounts(t *testing.T) {
+// TestOutcomesAreCounted of what becomes of parts.
+func TestOutcomesAreCounted(t *testing.T) {
 	p := newPair()
-	s, m := p.both[1].s, p.both[1].Nodes[0]
+	s, m := p.mixers[1].s, p.mixers[1].Nodes[0]
 	for _, x := range []struct {
 		o    decide.Outcome
 		took time.Duration
@@ -143,17 +143,17 @@
 		s.Observe(m, x.o, x.took, time.Second)
 	}
 	s.Observe(broker.ListedNode{}, decide.OK, 1, time.Second) // not listed any more
-	e := s.seen[0].Evidence
+	e := s.observations[0].Evidence
 	e.Latency = nil
 	if diff := cmp.Diff(zone.Evidence{InTime: 1, Late: 1, Unanswered: 2, Failed: 2, Refused: 1, Unconnected: 1}, e); diff != "" {
 		t.Error(diff)
 	}
-	if s.seen[0].unheard != 2 {
-		t.Errorf("%d parts were due since the last word", s.seen[0].unheard)
+	if s.observations[0].dueSinceAnswer != 2 {
+		t.Errorf("%d parts were due since the last word", s.observations[0].dueSinceAnswer)
 	}
 }
 
-func TestReportsTravel(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	e := zone.Evidence{InTime: 5, Late: 1, Unanswered: 2, Refused: 3, Failed: 4, Unconnected: 6, Nodes: 9, BadNodes: 2, TransitioningNodes: 1, Overdue: 7, SilentFor: 900 * ms}
 	for i := range 50 {
 		e.RecordAnswer(time.Duration(i+1)*ms, true)
