--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -27,13 +27,13 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	checkPace  = 250 * time.Millisecond
-	checkRate  = 8.0                    // checks a second of the nodes of a zone that is left, by all mixers of one zone,
-	silentRate = 16.0                   // and of one that is silent and not left yet
-	orderAgain = 100 * time.Millisecond // while another plan is being agreed
-	orderTries = 20
-	gaugePace  = time.Second
-	sameStart  = 500 * time.Millisecond // two words on one start differ by less
+	checkInterval       = 250 * time.Millisecond
+	leftZoneCheckRate   = 8.0                    // checks a second of the nodes of a zone that is left, by all mixers of one zone,
+	silentZoneCheckRate = 16.0                   // and of one that is silent and not left yet
+	orderRetryInterval  = 100 * time.Millisecond // while another plan is being agreed
+	maxOrderRetries     = 20
+	estimateInterval    = time.Second
+	startTimeTolerance  = 500 * time.Millisecond // two words on one start differ by less
 )
 
 // Core is what this package needs of the core.
@@ -76,71 +76,71 @@
 	// calls Agreed asks for Shares itself.
 	OnSharesChange func()
 
-	agreed zone.Plan // the plan that is known here
-	acts   zone.Plan // with what this mixer adds by its own evidence
+	agreedPlan    zone.Plan // the plan that is known here
+	effectivePlan zone.Plan // with what this mixer adds by its own evidence
 
-	leads     bool
-	keeper    *zone.Planner
-	gauge     *zone.CapacityEstimator
-	power     map[string]zone.Capacity
-	gaugedAt  time.Duration
-	steps     map[string]*step
-	proposing bool
+	leads             bool
+	planner           *zone.Planner
+	capacityEstimator *zone.CapacityEstimator
+	capacities        map[string]zone.Capacity
+	estimatedAt       time.Duration
+	steps             map[string]*returnStep
+	proposing         bool
 
-	credit []float64 // checks that are due, by zone
+	checkCredit []float64 // checks that are due, by zone
 }
 
-// step is a step of a return: when its nodes had started as it began.
-type step struct {
+// returnStep is a returnStep of a return: when its nodes had started as it began.
+type returnStep struct {
 	seq     int
 	started map[string]time.Duration
 }
 
 // New takes part from Start on. The survey sees what nodes checks. It has the survey tell it of each judgement.
 func New(core Core, a Accord, f Fleet, nodes broker.Prober, s *survey.Survey, c Config, log zerolog.Logger) *Controller {
-	st := &Controller{core: core, accord: a, fleet: f, nodes: nodes, survey: s, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, 11)), credit: make([]float64, len(c.Zones))}
-	for i := range st.credit {
-		st.credit[i] = st.rng.Float64()
+	st := &Controller{core: core, accord: a, fleet: f, nodes: nodes, survey: s, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, 11)), checkCredit: make([]float64, len(c.Zones))}
+	for i := range st.checkCredit {
+		st.checkCredit[i] = st.rng.Float64()
 	}
-	s.OnJudgement = st.look
-	s.Stand = func(z string) (zone.Stand, uint64) { return st.acts.StatusOf(z), st.agreed.Seq }
+	s.OnJudgement = st.handleJudgement
+	s.Stand = func(z string) (zone.Stand, uint64) { return st.effectivePlan.StatusOf(z), st.agreedPlan.Seq }
 	return st
 }
 
 // Start begins, on the core's goroutine.
-func (s *Controller) Start() { s.core.After(checkPace, s.check) }
+func (s *Controller) Start() { s.core.After(checkInterval, s.checkZones) }
 
 // SetAgreedPlan takes the plan that this mixer knows to be agreed; "": there is none.
 func (s *Controller) SetAgreedPlan(text string) {
-	p, err := parse(text)
+	p, err := parsePlan(text)
 	if err != nil {
 		s.log.Error().Err(err).Msg("zones: a plan can't be read") // by a program that is not ours
 		return
 	}
-	if p.Seq < s.agreed.Seq {
+	if p.Seq < s.agreedPlan.Seq {
 		return
 	}
-	s.agreed = p
-	s.act()
+	s.agreedPlan = p
+	s.updateEffectivePlan()
 }
 
-func parse(text string) (p zone.Plan, err error) {
+func parsePlan(text string) (p zone.Plan, err error) {
 	if text != "" {
 		err = json.UnmarshalFromString(text, &p)
 	}
 	return p, err
 }
 
-// act works out what this mixer acts on, and reports whether a share is another one.
-func (s *Controller) act() (changed bool) {
+// updateEffectivePlan works out what this mixer acts on, and reports whether a share is another one.
+func (s *Controller) updateEffectivePlan() (changed bool) {
 	own, _ := s.survey.LatestJudgement()
-	was := s.acts
-	s.acts = s.agreed.WithOwnEvidence(own)
+	was := s.effectivePlan
+	s.effectivePlan = s.agreedPlan.WithOwnEvidence(own)
 	for _, z := range s.c.Zones {
-		if a, b := was.StatusOf(z), s.acts.StatusOf(z); a.Share != b.Share {
+		if a, b := was.StatusOf(z), s.effectivePlan.StatusOf(z); a.Share != b.Share {
 			changed = true
-			s.log.Info().Str("zone", z).Float64("from", a.Share).Float64("to", b.Share).Str("phase", b.Phase.String()).Uint64("plan", s.agreed.Seq).
-				Bool("alone", s.agreed.StatusOf(z).Share != b.Share).Str("why", b.Why).Msg("zones: this mixer's share")
+			s.log.Info().Str("zone", z).Float64("from", a.Share).Float64("to", b.Share).Str("phase", b.Phase.String()).Uint64("plan", s.agreedPlan.Seq).
+				Bool("alone", s.agreedPlan.StatusOf(z).Share != b.Share).Str("why", b.Why).Msg("zones: this mixer's share")
 		}
 	}
 	return changed
@@ -151,7 +151,7 @@
 func (s *Controller) Shares() []float64 {
 	list := make([]float64, len(s.c.Zones))
 	for i, z := range s.c.Zones {
-		list[i] = s.acts.StatusOf(z).Share
+		list[i] = s.effectivePlan.StatusOf(z).Share
 	}
 	if !slices.ContainsFunc(list, func(x float64) bool { return x < 1 }) {
 		return nil
@@ -159,35 +159,35 @@
 	return list
 }
 
-// look is called after each judgement.
-func (s *Controller) look(leads bool) {
-	if s.act() && s.OnSharesChange != nil {
+// handleJudgement is called after each judgement.
+func (s *Controller) handleJudgement(leads bool) {
+	if s.updateEffectivePlan() && s.OnSharesChange != nil {
 		s.OnSharesChange()
 	}
 	if leads != s.leads {
-		s.leads, s.keeper, s.gauge, s.power, s.steps = leads, zone.NewPlanner(s.c.Zone), zone.NewCapacityEstimator(), nil, map[string]*step{}
-		s.gaugedAt = -gaugePace
+		s.leads, s.planner, s.capacityEstimator, s.capacities, s.steps = leads, zone.NewPlanner(s.c.Zone), zone.NewCapacityEstimator(), nil, map[string]*returnStep{}
+		s.estimatedAt = -estimateInterval
 	}
 	if !leads || s.proposing {
 		return
 	}
 	now := s.core.Now()
-	p, err := s.latest()
+	p, err := s.planAtLeader()
 	if err != nil {
 		return
 	}
 	j, _ := s.survey.LatestJudgement()
-	if now-s.gaugedAt >= gaugePace {
-		s.gaugedAt = now
-		s.power = s.gauge.Update(now, p, j, s.survey.Loads(), s.told(p))
+	if now-s.estimatedAt >= estimateInterval {
+		s.estimatedAt = now
+		s.capacities = s.capacityEstimator.Update(now, p, j, s.survey.Loads(), s.nodeStats(p))
 	}
-	if next, another := s.keeper.Next(now, p, j, s.power); another {
+	if next, another := s.planner.Next(now, p, j, s.capacities); another {
 		s.propose(p, next, func(error) {}) // what was not agreed is decided anew at the next look
 	}
 }
 
-// latest is the plan that is agreed, as the leader knows it.
-func (s *Controller) latest() (zone.Plan, error) { return parse(s.accord.AgreedState().Plan) }
+// planAtLeader is the plan that is agreed, as the leader knows it.
+func (s *Controller) planAtLeader() (zone.Plan, error) { return parsePlan(s.accord.AgreedState().Plan) }
 
 // propose has a plan agreed.
 func (s *Controller) propose(was, next zone.Plan, done func(error)) {
@@ -221,7 +221,7 @@
 
 func (s *Controller) order(name, order, why string, try int, done func(error)) {
 	o := zone.ParseOrder(order)
-	p, err := s.latest()
+	p, err := s.planAtLeader()
 	switch {
 	case err != nil:
 	case o == 0:
@@ -234,21 +234,21 @@
 		err = fmt.Errorf("%s is not left", name)
 	case o == zone.OrderLeave && !slices.ContainsFunc(s.c.Zones, func(z string) bool { return z != name && p.StatusOf(z).Share > 0 }):
 		err = errors.New("no zone would be left")
-	case s.proposing && try >= orderTries:
+	case s.proposing && try >= maxOrderRetries:
 		err = errors.New("another plan is being agreed; ask again")
 	case s.proposing:
-		s.core.After(orderAgain, func() { s.order(name, order, why, try+1, done) })
+		s.core.After(orderRetryInterval, func() { s.order(name, order, why, try+1, done) })
 		return
 	}
 	if err != nil {
 		done(err)
 		return
 	}
-	s.propose(p, s.keeper.ApplyOrder(s.core.Now(), p, name, o, why), done)
+	s.propose(p, s.planner.ApplyOrder(s.core.Now(), p, name, o, why), done)
 }
 
-// told is what the list tells of the zones' nodes.
-func (s *Controller) told(p zone.Plan) map[string]zone.NodeStats {
+// nodeStats is what the list tells of the zones' nodes.
+func (s *Controller) nodeStats(p zone.Plan) map[string]zone.NodeStats {
 	now := s.core.Now()
 	list, warm, starts := make([]zone.NodeStats, len(s.c.Zones)), make([]float64, len(s.c.Zones)), make([]map[string]time.Duration, len(s.c.Zones))
 	s.core.EachNode(func(m broker.ListedNode) {
@@ -273,55 +273,55 @@
 			n.WarmShare = warm[i] / float64(n.Running)
 		}
 		n.Only = s.core.Only(i)
-		n.Restarts = s.fell(z, p.StatusOf(z), starts[i])
+		n.Restarts = s.countRestarts(z, p.StatusOf(z), starts[i])
 		out[z] = n
 	}
 	return out
 }
 
-// fell counts the nodes of a zone that started anew since its step of a return began.
-func (s *Controller) fell(z string, now zone.Stand, starts map[string]time.Duration) (n int) {
+// countRestarts counts the nodes of a zone that started anew since its step of a return began.
+func (s *Controller) countRestarts(z string, now zone.Stand, starts map[string]time.Duration) (n int) {
 	if now.Phase != zone.Returning {
 		delete(s.steps, z)
 		return 0
 	}
 	at := s.steps[z]
 	if at == nil || at.seq != now.Step {
-		s.steps[z] = &step{now.Step, starts}
+		s.steps[z] = &returnStep{now.Step, starts}
 		return 0
 	}
 	for id, started := range starts {
-		if was, known := at.started[id]; known && started > was+sameStart {
+		if was, known := at.started[id]; known && started > was+startTimeTolerance {
 			n++
 		}
 	}
 	return n
 }
 
-// check has nodes of zones that are left checked, and of those that have fallen silent: the
+// checkZones has nodes of zones that are left checked, and of those that have fallen silent: the
 // module soon sends nothing there, and what is seen of checks is all that tells how they are.
 // The mixers of a zone divide them; one that leaves a zone by its own word checks for itself.
-func (s *Controller) check() {
-	s.core.After(checkPace, s.check)
+func (s *Controller) checkZones() {
+	s.core.After(checkInterval, s.checkZones)
 	for i, z := range s.c.Zones {
-		left := s.acts.StatusOf(z).Share == 0
+		left := s.effectivePlan.StatusOf(z).Share == 0
 		if !left && !s.survey.Silent(i) {
 			continue
 		}
-		rate := checkRate
+		rate := leftZoneCheckRate
 		if !left {
-			rate = silentRate
+			rate = silentZoneCheckRate
 		}
-		if !left || s.agreed.StatusOf(z).Share == 0 {
+		if !left || s.agreedPlan.StatusOf(z).Share == 0 {
 			rate /= float64(max(1, s.fleet.ZoneMemberCount()))
 		}
-		for s.credit[i] += rate * checkPace.Seconds(); s.credit[i] >= 1; s.credit[i]-- {
-			s.checkOne(i)
+		for s.checkCredit[i] += rate * checkInterval.Seconds(); s.checkCredit[i] >= 1; s.checkCredit[i]-- {
+			s.checkRandomNode(i)
 		}
 	}
 }
 
-func (s *Controller) checkOne(in int) {
+func (s *Controller) checkRandomNode(in int) {
 	var list []broker.ListedNode
 	s.core.EachNode(func(m broker.ListedNode) {
 		if m.Zone == in && m.State == decide.Running {
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -20,14 +20,14 @@
 
 const ms = time.Millisecond
 
-// stage is one mixer that may lead, with two zones of three nodes, on a clock of its own. Plans
+// testMixer is one mixer that may lead, with two zones of three nodes, on a clock of its own. Plans
 // are agreed after a while, or not.
-type stage struct {
-	now    time.Duration
-	events queue.Queue
-	leads  bool
-	fails  bool // nothing is agreed
-	state  version.State
+type testMixer struct {
+	now          time.Duration
+	events       queue.Queue
+	leads        bool
+	rejectsPlans bool // nothing is agreed
+	state        version.State
 	listed.Nodes
 	dark   map[int]bool
 	checks [2]int // by zone
@@ -35,8 +35,8 @@
 	st     *Controller
 }
 
-func newStage(manual bool) *stage {
-	x := &stage{now: time.Hour, leads: true, dark: map[int]bool{}}
+func newTestMixer(manual bool) *testMixer {
+	x := &testMixer{now: time.Hour, leads: true, dark: map[int]bool{}}
 	for _, id := range []string{"a1", "a2", "a3", "b1", "b2", "b3"} {
 		m := broker.ListedNode{}
 		m.ID, m.State, m.Zone = id, decide.Running, int(id[0]-'a')
@@ -51,14 +51,14 @@
 	return x
 }
 
-func (x *stage) Now() time.Duration               { return x.now }
-func (x *stage) After(d time.Duration, fn func()) { x.events.Add(x.now+d, fn) }
-func (x *stage) Lag() time.Duration               { return 0 }
-func (x *stage) Only(int) float64                 { return 0 }
-func (x *stage) ZoneMemberCount() int             { return 1 }
-func (x *stage) Send(string, []byte)              {}
-func (x *stage) AgreedState() version.State       { return x.state }
-func (x *stage) Leader() string {
+func (x *testMixer) Now() time.Duration               { return x.now }
+func (x *testMixer) After(d time.Duration, fn func()) { x.events.Add(x.now+d, fn) }
+func (x *testMixer) Lag() time.Duration               { return 0 }
+func (x *testMixer) Only(int) float64                 { return 0 }
+func (x *testMixer) ZoneMemberCount() int             { return 1 }
+func (x *testMixer) Send(string, []byte)              {}
+func (x *testMixer) AgreedState() version.State       { return x.state }
+func (x *testMixer) Leader() string {
 	if x.leads {
 		return "n0"
 	}
@@ -66,9 +66,9 @@
 }
 
 // SetZonePlan is the voters.
-func (x *stage) SetZonePlan(seq uint64, plan, why string, done func(error)) {
+func (x *testMixer) SetZonePlan(seq uint64, plan, why string, done func(error)) {
 	x.After(80*ms, func() {
-		if x.fails {
+		if x.rejectsPlans {
 			done(errors.New("no majority"))
 			return
 		}
@@ -82,7 +82,7 @@
 }
 
 // Probe is the nodes.
-func (x *stage) Probe(n broker.Node, done func(decide.Outcome)) {
+func (x *testMixer) Probe(n broker.Node, done func(decide.Outcome)) {
 	at := x.ListedNode(n.ID).Zone
 	x.checks[at]++
 	if x.dark[at] {
@@ -93,7 +93,7 @@
 }
 
 // run has each node get parts as its zone's share has it.
-func (x *stage) run(d time.Duration) {
+func (x *testMixer) run(d time.Duration) {
 	for end := x.now + d; x.now < end; {
 		x.events.Run(&x.now, 50*ms, nil)
 		shares := x.st.Shares()
@@ -110,7 +110,7 @@
 	}
 }
 
-func (x *stage) until(t *testing.T, what string, ok func() bool) {
+func (x *testMixer) waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := x.now + 40*time.Second; !ok(); x.run(50 * ms) {
 		if x.now > end {
@@ -119,25 +119,25 @@
 	}
 }
 
-func (x *stage) has(want ...float64) func() bool {
+func (x *testMixer) hasShares(want ...float64) func() bool {
 	return func() bool { return cmp.Equal(x.st.Shares(), want) }
 }
 
-// TestLeftAndReturnedTo, through a time in which nothing is agreed and a change of leader: what a
+// TestZoneIsLeftAndReturnedTo, through a time in which nothing is agreed and a change of leader: what a
 // mixer sends never grows but by the agreed steps.
-func TestLeftAndReturnedTo(t *testing.T) {
-	x := newStage(false)
+func TestZoneIsLeftAndReturnedTo(t *testing.T) {
+	x := newTestMixer(false)
 	x.run(10 * time.Second)
 	if x.state.PlanSeq != 0 || x.checks != [2]int{} {
 		t.Fatalf("while all is well: plan %s, checks %v", x.state.Plan, x.checks)
 	}
-	x.dark[1], x.fails = true, true
-	x.until(t, "b is left by this mixer's own word", x.has(1, 0))
+	x.dark[1], x.rejectsPlans = true, true
+	x.waitUntil(t, "b is left by this mixer's own word", x.hasShares(1, 0))
 	if x.state.PlanSeq != 0 {
 		t.Errorf("agreed without the voters: %s", x.state.Plan)
 	}
-	x.fails = false
-	x.until(t, "it is agreed", func() bool { return strings.Contains(x.state.Plan, `"share":0`) })
+	x.rejectsPlans = false
+	x.waitUntil(t, "it is agreed", func() bool { return strings.Contains(x.state.Plan, `"share":0`) })
 	x.run(time.Second) // until silence of before counts no more
 	before := x.checks
 	x.run(10 * time.Second)
@@ -151,31 +151,31 @@
 			seen = append(seen, s[1])
 		}
 	}
-	x.until(t, "it is half back", func() bool { watch(); return len(seen) > 3 })
+	x.waitUntil(t, "it is half back", func() bool { watch(); return len(seen) > 3 })
 	x.leads = false
 	x.run(5 * time.Second)
 	if s := x.st.Shares(); s == nil || s[1] != seen[len(seen)-1] {
 		t.Errorf("with nobody to lead the share goes from %v to %v", seen, s)
 	}
 	x.leads = true // another one, in effect: it remembers nothing
-	x.until(t, "it is back", func() bool { watch(); return x.st.Shares() == nil })
+	x.waitUntil(t, "it is back", func() bool { watch(); return x.st.Shares() == nil })
 	if diff := cmp.Diff([]float64{0, 0.05, 0.12, 0.25, 0.45, 0.7}, seen); diff != "" {
 		t.Errorf("steps: %s", diff)
 	}
 }
 
-// TestOrders wait for a plan that is being agreed, and are held to by a machine that may not
+// TestOperatorOrders wait for a plan that is being agreed, and are held to by a machine that may not
 // decide by itself.
-func TestOrders(t *testing.T) {
-	x := newStage(true)
+func TestOperatorOrders(t *testing.T) {
+	x := newTestMixer(true)
 	x.run(3 * time.Second)
 	x.dark[1] = true
 	x.run(6 * time.Second)
-	if x.state.PlanSeq != 0 || !x.has(1, 0)() {
+	if x.state.PlanSeq != 0 || !x.hasShares(1, 0)() {
 		t.Errorf("plan %s, shares %v", x.state.Plan, x.st.Shares())
 	}
 	x.dark[1] = false
-	x.until(t, "b is used again, as nothing was agreed", func() bool { return x.st.Shares() == nil })
+	x.waitUntil(t, "b is used again, as nothing was agreed", func() bool { return x.st.Shares() == nil })
 	var got []string
 	order := func(zone, word string) {
 		x.st.Order(zone, word, "a test", func(err error) {
@@ -197,17 +197,17 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if !x.has(1, 0)() || !x.st.acts.StatusOf("a").Held {
-		t.Errorf("%+v", x.st.acts)
+	if !x.hasShares(1, 0)() || !x.st.effectivePlan.StatusOf("a").Held {
+		t.Errorf("%+v", x.st.effectivePlan)
 	}
 	order("b", "return")
-	x.until(t, "b is back", func() bool { return x.st.Shares() == nil })
+	x.waitUntil(t, "b is back", func() bool { return x.st.Shares() == nil })
 	old := x.state.Plan
 	order("b", "leave")
-	x.until(t, "b is left again", x.has(1, 0))
+	x.waitUntil(t, "b is left again", x.hasShares(1, 0))
 	x.st.SetAgreedPlan(old)
 	x.st.SetAgreedPlan("{")
-	if !x.has(1, 0)() {
+	if !x.hasShares(1, 0)() {
 		t.Errorf("an older plan, or one that is none, is acted on: %v", x.st.Shares())
 	}
 }
