--- a/internal/fleet/link/codec.go
+++ b/internal/fleet/link/codec.go
@@ -1,6 +1,7 @@
-// Package link carries what mixers say to each other: datagrams, and full exchanges
-// over connections. The decisions are member's; here are the encoding, the keys, the
-// snapshot and the core's timers.
+// Package link carries the messages among the mixers of a fleet: datagrams, and full exchanges
+// over connections. The decisions are made by package member; this package has the encoding,
+// the keys that authenticate messages, the snapshot file and the timers on the core's
+// goroutine.
 package link
 
 import (
@@ -19,9 +20,9 @@
 	"kiteloft/internal/fleet/member"
 )
 
-// What is said is a protobuf message behind a header: one byte for the formatVersion, four that
-// name the key, sixteen of the message's HMAC-SHA256. Fields that a program does not
-// know are passed over, so that older and newer ones live together.
+// A packet is a protobuf message behind a header: one byte for the format version, four
+// that identify the key, and sixteen of the message's HMAC-SHA256. Unknown fields are
+// skipped, so that older and newer programs can run in one fleet. Sizes are in bytes.
 const (
 	formatVersion = 1
 	keyIDSize     = 4
@@ -29,12 +30,12 @@
 	headerSize    = 1 + keyIDSize + digestSize
 	maxDatagram   = 4 << 10
 	maxFrame      = 4 << 20
-	maxNameSize   = 128
+	maxNameSize   = 128 // of a member's id, zone, address or key
 	minKeySize    = 16
-	maxRecords    = 8192
+	maxRecords    = 8192 // member records in one packet
 )
 
-// Field numbers. They are never used again for something else.
+// Field numbers of a packet. They are never reused for another purpose.
 const (
 	fFleet protowire.Number = iota + 1
 	fKind
@@ -52,32 +53,32 @@
 	fAnswer
 )
 
-// Kinds of the link's own, beside member's.
+// Kinds of packets that this package adds to member's.
 const (
-	kindViewRequest  member.Kind = 64 // an operator's tool asks for the view
-	kindViewResponse member.Kind = 65
-	kindMessage      member.Kind = 66 // of whoever else among the fleet talks over the link
+	kindViewRequest  member.Kind = 64 // an operator's tool requests the view, or sends the request in the payload
+	kindViewResponse member.Kind = 65 // the response to it
+	kindMessage      member.Kind = 66 // a message to one member, see Fleet.Send
 )
 
-// Keys sign and check what is said. The first signs; all are accepted, so that a key can
-// be changed while the fleet runs: add the new one at the end everywhere, then put it
-// first everywhere, then drop the old one.
+// Keys sign and verify packets. The first key signs; all are accepted, so that a key can be
+// changed while the fleet runs: add the new one at the end everywhere, then put it first
+// everywhere, then remove the old one.
 type Keys []Key
 
-// Key is one of them.
+// Key is one shared secret of the fleet.
 type Key struct {
 	secret []byte
-	id     [keyIDSize]byte // tells which key signed, without a try
+	id     [keyIDSize]byte // identifies the signing key, so that the others need not be tried
 }
 
-// NewKey returns a key of a secret.
+// NewKey returns the key for a secret.
 func NewKey(secret []byte) Key {
 	sum := sha256.Sum256(append([]byte("kiteloft key "), secret...))
 	return Key{secret, [keyIDSize]byte(sum[:])}
 }
 
-// ReadKeys reads a key file: a key a line, 16 bytes at least; empty lines and those that
-// begin with # don't count.
+// ReadKeys reads a key file: one or two keys, one a line, of at least 16 bytes each; empty
+// lines and those that begin with # are skipped.
 func ReadKeys(path string) (Keys, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,26 +100,28 @@
 	return keys, nil
 }
 
+// digest returns the truncated HMAC-SHA256 of a packet's body.
 func (k Key) digest(body []byte) []byte {
 	h := hmac.New(sha256.New, k.secret)
-	_, _ = h.Write([]byte{formatVersion}) // never fails
+	_, _ = h.Write([]byte{formatVersion}) // a hash never returns an error
 	_, _ = h.Write(body)
 	return h.Sum(nil)[:digestSize]
 }
 
+// seal puts the header before a packet's body, signed with the first key.
 func (k Keys) seal(body []byte) []byte {
 	b := append([]byte{formatVersion}, k[0].id[:]...)
 	return append(append(b, k[0].digest(body)...), body...)
 }
 
-// Errors of what came.
+// Reasons for which a received packet is dropped. Their texts are keys of log lines.
 var (
 	errUnknownKey = errors.New("signed with no key of ours")
 	errMalformed  = errors.New("can't be read")
 	errOtherFleet = errors.New("of another fleet")
 )
 
-// open checks what came and returns the message's bytes.
+// open verifies a received packet's header and returns its body.
 func (k Keys) open(b []byte) ([]byte, error) {
 	if len(b) < headerSize || b[0] != formatVersion {
 		return nil, errMalformed
@@ -131,12 +134,12 @@
 	return nil, errUnknownKey
 }
 
-// packet is a message with what the link adds.
+// packet is a member message with what this package adds.
 type packet struct {
 	member.Message
 	fleet     string
-	sendCount uint64 // of what this instance has said
-	answer    []byte // a word, or what an operator's tool asks and hears
+	sendCount uint64 // numbers the packets that this instance of the process has sent
+	answer    []byte // payload of a message, or of an operator's request or its response
 }
 
 func boolToUint(b bool) uint64 {
@@ -148,7 +151,7 @@
 
 func millis(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-// encode writes a packet.
+// encode returns the packet as protobuf.
 func (p packet) encode() []byte {
 	b := fields.AppendString(nil, fFleet, p.fleet)
 	b = fields.AppendUint(b, fKind, uint64(p.Kind))
@@ -182,11 +185,12 @@
 	return fields.AppendBytes(b, fAnswer, p.answer)
 }
 
+// durationOfMillis converts milliseconds to a duration, limited to what it can hold.
 func durationOfMillis(x uint64) time.Duration {
 	return time.Duration(min(x, uint64(math.MaxInt64/int64(time.Millisecond)))) * time.Millisecond
 }
 
-// decode reads a packet. What it returns is bounded by the bytes that came.
+// decode parses a packet. The size of the result is bounded by the bytes received.
 func decode(b []byte) (p packet, err error) {
 	sound := true
 	name := func(v []byte) string {
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -16,38 +16,40 @@
 )
 
 const (
-	exchangeTimeout    = time.Second // for a full exchange, from the dial to the answer
-	inboundIdleTimeout = 5 * time.Second
-	maxSenders         = 4096 // whose counts are remembered
-	replayWindow       = 64   // datagrams of one sender that may overtake each other
-	reportInterval     = 10 * time.Second
-	maxPortAttempts    = 20
+	exchangeTimeout    = time.Second      // for a full exchange, from the dial to the reply
+	inboundIdleTimeout = 5 * time.Second  // for an inbound connection that carries exchanges or requests only
+	maxSenders         = 4096             // senders whose latest packet numbers are remembered
+	replayWindow       = 64               // packet numbers of one sender within which datagrams may arrive out of order
+	reportInterval     = 10 * time.Second // between two log lines on dropped datagrams
+	maxPortAttempts    = 20               // for a port that is free for both TCP and UDP
 )
 
-// Core is what this package needs of the core. All of it runs on the core's goroutine.
+// Core is what this package needs of the core: its clock and timers. All methods run on the
+// core's goroutine.
 type Core interface {
 	transport.Poster
 	Now() time.Duration
 	After(d time.Duration, fn func())
 }
 
-// Config is how a mixer takes part in a fleet.
+// Config is a mixer's configuration of its fleet membership.
 type Config struct {
-	Fleet    string // its name
+	Fleet    string // name of the fleet
 	ID, Zone string
-	Listen   string // for datagrams and connections alike
-	Announce string // where others reach us; "": where we listen
+	Listen   string // address for both datagrams and connections
+	Announce string // address at which others reach this mixer; "": Listen
 	Keys     Keys
 	Seeds    []string
-	Via      map[string]string // by member: where we reach it, in place of what it announces
-	Snapshot string            // file; "": none
+	Via      map[string]string // by member: address to use in place of the announced one
+	Snapshot string            // path of the snapshot file; "": none
 	Period   time.Duration
 	Forget   time.Duration
 	Expected int
 	Seed     uint64
 }
 
-// Fleet is a mixer's part in a fleet.
+// Fleet is a mixer's membership in its fleet. Its methods and callbacks run on the core's
+// goroutine.
 type Fleet struct {
 	core          Core
 	c             Config
@@ -58,34 +60,35 @@
 	log           zerolog.Logger
 	snapshotFile  *keep.File
 	sendCount     uint64
-	senders       map[uint64]*sender // by instance
-	dropCounts    map[string]int     // datagrams that were dropped, by why
+	senders       map[uint64]*sender // by instance of the process
+	dropCounts    map[string]int     // dropped packets by reason
 	reportedAt    time.Duration
-	reportedDrops int              // of the bad ones, how many the log has told of
+	reportedDrops int              // the sum of dropCounts in the last log line
 	peers         map[string]*peer // by member
 
-	// OnChange is called after each look at the fleet, with how many mixers live and what
-	// this one may use of what all share.
+	// OnChange is called when the number of live mixers or this mixer's share of the fleet-wide
+	// allowances has changed.
 	OnChange func(live int, share float64)
-	// News is called with what others announce, and how long ago they did.
+	// News is called with each announcement of another member and its age.
 	News func(key string, body []byte, age time.Duration)
-	// HandleMessage is called with what others said to us alone.
+	// HandleMessage is called with each message that a member sent to this mixer alone.
 	HandleMessage func(from string, body []byte)
-	// HandleRequest is called with what an operator's tool asks beside the view.
+	// HandleRequest is called with a request of an operator's tool other than the one for the
+	// view. answer sends the response.
 	HandleRequest func(body []byte, answer func([]byte))
-	// Stop is called if this process may not go on.
+	// Stop is called with the reason if this process must not continue.
 	Stop  func(why string)
 	live  int
 	share float64
 }
 
-// sender is what we remember of one process: which of its datagrams have come.
+// sender records which datagrams of one process have been received.
 type sender struct {
 	last uint64
-	seen uint64 // a bit for each of the latest, the last one lowest
+	seen uint64 // a bitmap of the latest packet numbers; the lowest bit is last
 }
 
-// markSeen notes a datagram's number and reports whether it is new.
+// markSeen records a datagram's packet number and reports whether it is new.
 func (s *sender) markSeen(n uint64) bool {
 	switch {
 	case n > s.last:
@@ -103,12 +106,12 @@
 	return true
 }
 
-// New takes part in a fleet from Start on. It listens at once, so that an address that
-// is taken is found before clients are served.
+// New returns a membership that begins with Start. It listens at once, so that an address in
+// use is found before clients are served.
 func New(core Core, net *transport.Net, c Config, log zerolog.Logger) (*Fleet, error) {
 	f := &Fleet{core: core, c: c, net: net, log: log, senders: map[uint64]*sender{}, dropCounts: map[string]int{}, peers: map[string]*peer{}}
-	// Datagrams come where connections do, also where the port is left to the system: then
-	// another one is taken where the first is free for one kind only.
+	// Datagrams and connections use the same port. If the system chooses it, another is tried
+	// when the first is free for one protocol only.
 	at, err := netip.ParseAddrPort(c.Listen)
 	if err != nil {
 		return nil, err
@@ -121,7 +124,7 @@
 		if f.packets, err = transport.ListenPackets(core, f.c.Listen, maxDatagram, f.handleDatagram); err == nil {
 			break
 		}
-		_ = f.streams.Close() // the first error counts
+		_ = f.streams.Close() // the first error is returned
 		if at.Port() != 0 || tries == maxPortAttempts {
 			return nil, err
 		}
@@ -132,7 +135,7 @@
 	return f, nil
 }
 
-// Start begins, on the core's goroutine.
+// Start begins the membership. It runs on the core's goroutine.
 func (f *Fleet) Start() {
 	var old snapshot
 	if f.c.Snapshot != "" {
@@ -162,7 +165,7 @@
 	}
 }
 
-// report says what was dropped, and why.
+// report logs how many packets were dropped so far, by reason, if there are more than before.
 func (f *Fleet) report() {
 	f.reportedAt = f.core.Now()
 	if n := int(f.packets.Dropped()); n > f.dropCounts["too large, or too many"] {
@@ -182,42 +185,42 @@
 	}
 }
 
-// Machine is this mixer's view; it is read on the core's goroutine.
+// Machine returns this mixer's membership state, to be read on the core's goroutine only.
 func (f *Fleet) Machine() *member.Machine { return f.machine }
 
-// Announce tells all others something.
+// Announce spreads a value under a key to all members.
 func (f *Fleet) Announce(key string, body []byte) {
 	f.machine.Announce(f.core.Now(), key, body)
 	f.applyOutput()
 }
 
-// Mine reports whether a duty is this mixer's now, and whether anybody can be named who
-// has it.
+// Mine reports whether this mixer owns a duty now, and whether an owner is known at all: this
+// mixer sees a quorum of the members, and one of them owns the duty.
 func (f *Fleet) Mine(key string) (mine, owned bool) {
 	mine, _ = f.machine.Mine(f.core.Now(), "", key)
 	whole, _ := f.machine.HasQuorum(f.core.Now())
 	return mine, whole && f.machine.Owner("", key) != ""
 }
 
-// Rank is how many members come before this mixer for a duty.
+// Rank returns how many members precede this mixer in the order of succession to a duty.
 func (f *Fleet) Rank(key string) int { return f.machine.Rank("", key) }
 
-// Listen is where this mixer hears others.
+// Listen returns the address at which this mixer receives from others.
 func (f *Fleet) Listen() string { return f.c.Listen }
 
-// Owner names who has a duty in a zone; "": nobody can be named.
+// Owner returns the owner of a duty in a zone; "": none is known.
 func (f *Fleet) Owner(zone, key string) string { return f.machine.Owner(zone, key) }
 
-// MineIn reports whether a duty in a zone is this mixer's now.
+// MineIn reports whether this mixer owns a duty in a zone now.
 func (f *Fleet) MineIn(zone, key string) bool {
 	mine, _ := f.machine.Mine(f.core.Now(), zone, key)
 	return mine
 }
 
-// Zone is this mixer's.
+// Zone returns this mixer's zone.
 func (f *Fleet) Zone() string { return f.c.Zone }
 
-// ZoneMemberCount is how many mixers of our zone are there, this one among them.
+// ZoneMemberCount returns how many live mixers this mixer's zone has, itself included.
 func (f *Fleet) ZoneMemberCount() (n int) {
 	for _, e := range f.machine.View() {
 		if e.Zone == f.c.Zone && (e.State == member.Alive || e.Self) {
@@ -227,17 +230,18 @@
 	return n
 }
 
-// LiveMembers names the mixers that are there.
+// LiveMembers returns the names of the live mixers, this one included.
 func (f *Fleet) LiveMembers() []string { return f.machine.LiveMembers() }
 
-// Leave says that this mixer ends, and stops listening.
+// Leave tells the members that this mixer leaves, and stops listening.
 func (f *Fleet) Leave() {
 	f.machine.Leave(f.core.Now())
 	f.applyOutput()
-	_ = f.streams.Close() // the process ends
+	_ = f.streams.Close() // the process is ending
 }
 
-// dialAddress is where we reach somebody.
+// dialAddress returns the address to use for a member: the one configured in Via, or the
+// announced one.
 func (f *Fleet) dialAddress(t member.Target) string {
 	if addr := f.c.Via[t.ID]; addr != "" && t.ID != f.c.ID {
 		return addr
@@ -245,12 +249,13 @@
 	return t.Addr
 }
 
+// sealMessage returns a message as a signed packet with the next packet number.
 func (f *Fleet) sealMessage(msg member.Message, body ...byte) []byte {
 	f.sendCount++
 	return f.c.Keys.seal(packet{Message: msg, fleet: f.c.Fleet, sendCount: f.sendCount, answer: body}.encode())
 }
 
-// applyOutput carries out what the machine wants.
+// applyOutput carries out what the membership state machine has requested.
 func (f *Fleet) applyOutput() {
 	out := f.machine.TakeOutput()
 	for _, e := range out.Send {
@@ -293,7 +298,7 @@
 	}
 }
 
-// openPacket checks what came.
+// openPacket verifies and decodes a received packet.
 func (f *Fleet) openPacket(b []byte) (packet, error) {
 	body, err := f.c.Keys.open(b)
 	if err != nil {
@@ -306,6 +311,7 @@
 	return p, err
 }
 
+// handleDatagram is called with each datagram received.
 func (f *Fleet) handleDatagram(_ netip.AddrPort, b []byte) {
 	p, err := f.openPacket(b)
 	if err == nil && !f.isNew(p) {
@@ -316,19 +322,18 @@
 		return
 	}
 	if f.machine == nil {
-		return // not begun yet
+		return // before Start
 	}
 	f.machine.Receive(f.core.Now(), p.Message)
 	f.applyOutput()
 }
 
-// isNew guards against datagrams that are said again, by the network or by somebody who
-// kept them.
+// isNew guards against datagrams that are repeated by the network or replayed by an attacker.
 func (f *Fleet) isNew(p packet) bool {
 	s := f.senders[p.Instance]
 	if s == nil {
 		if len(f.senders) >= maxSenders {
-			clear(f.senders) // guards memory; the machine itself bears old words
+			clear(f.senders) // bounds memory; the membership state machine tolerates old messages
 		}
 		s = &sender{}
 		f.senders[p.Instance] = s
@@ -338,11 +343,12 @@
 
 // ---- full exchanges ----
 
+// frame puts the length of a packet before it, as on a connection.
 func frame(b []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...)
 }
 
-// unframe takes one frame off what has come; nil: it is not whole.
+// unframe takes one frame off the received bytes; a nil body means that it is incomplete.
 func unframe(b []byte) (body, rest []byte, err error) {
 	if len(b) < 4 {
 		return nil, b, nil
@@ -357,8 +363,8 @@
 	return b[4 : 4+n], b[4+n:], nil
 }
 
-// eachPacket hands on the packets that are whole in what has come, and returns what is left. It
-// ends at the first that can't be used, or that take refuses.
+// eachPacket passes the complete packets of the received bytes to take and returns the
+// remaining bytes. It stops at the first packet that is invalid or that take rejects.
 func (f *Fleet) eachPacket(in []byte, take func(p packet) bool) (rest []byte, sound bool) {
 	for {
 		body, rest, err := unframe(in)
@@ -376,7 +382,7 @@
 	}
 }
 
-// outboundExchange is a full exchange that we began.
+// outboundExchange is a full exchange that this mixer began.
 type outboundExchange struct {
 	f    *Fleet
 	to   member.Target
@@ -443,17 +449,19 @@
 // Ended implements transport.Handler.
 func (d *outboundExchange) Ended(transport.End) { d.done = true }
 
-// inbound is a connection that others have opened, for exchanges or for a talk.
+// inbound is a connection that another process has opened, for exchanges, messages or
+// requests.
 type inbound struct {
 	f              *Fleet
 	conn           *transport.Conn
 	in             []byte
 	idleTimerSet   bool
 	lastReceivedAt time.Duration
-	from           string // who talks to us on it; "": nobody does
+	from           string // the member that sends messages on it; "": none
 }
 
-// closeIfIdle closes a connection on which nothing has come for long.
+// closeIfIdle closes a connection on which nothing was received for its idle timeout, or
+// checks again later.
 func (s *inbound) closeIfIdle() {
 	most := inboundIdleTimeout
 	if s.from != "" {
@@ -480,9 +488,10 @@
 	}
 }
 
+// handlePacket handles one packet and reports whether it was acceptable.
 func (s *inbound) handlePacket(p packet) bool {
 	if s.f.machine == nil {
-		return false // not begun yet
+		return false // before Start
 	}
 	switch p.Kind {
 	case member.SyncRequest:
@@ -498,6 +507,7 @@
 	return true
 }
 
+// answerRequest answers an operator's tool, with the view if the request is empty.
 func (s *inbound) answerRequest(question []byte) {
 	answer := func(text []byte) {
 		s.conn.Write(frame(s.f.c.Keys.seal(packet{Message: member.Message{Kind: kindViewResponse, From: s.f.c.ID}, fleet: s.f.c.Fleet, answer: text}.encode())))
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestUnknownFieldsAreSkipped: fields that we don't know are passed over.
+// TestUnknownFieldsAreSkipped guards a fleet with newer programs, which send fields that this
+// one does not know.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	b := fields.AppendBytes(fields.AppendUint(sample().encode(), 900, 5), 901, []byte("new"))
 	b = protowire.AppendFixed64(protowire.AppendTag(b, 902, protowire.Fixed64Type), 1)
@@ -47,7 +48,7 @@
 	one, two := NewKey([]byte("the first key, long")), NewKey([]byte("the second key, long"))
 	steps := []Keys{{one}, {one, two}, {two, one}, {two}}
 	for i, k := range steps {
-		for j := max(0, i-1); j <= min(i+1, len(steps)-1); j++ { // neighbours in the change live together
+		for j := max(0, i-1); j <= min(i+1, len(steps)-1); j++ { // adjacent steps run in one fleet
 			if _, err := steps[j].open(k.seal([]byte("words"))); err != nil {
 				t.Errorf("step %d to step %d: %v", i, j, err)
 			}
--- a/internal/fleet/link/snapshot.go
+++ b/internal/fleet/link/snapshot.go
@@ -14,14 +14,16 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// snapshot is what a mixer finds of the fleet when it starts again.
+// snapshot is the file from which a restarted mixer knows its generation and the members to
+// contact.
 type snapshot struct {
 	Name       string        `json:"name"`
-	Generation uint32        `json:"generation"` // of our last start
+	Generation uint32        `json:"generation"` // of this mixer's last start
 	Members    []knownMember `json:"members"`
-	Sum        string        `json:"sum"` // of all else
+	Sum        string        `json:"sum"` // checksum of all other fields
 }
 
+// knownMember is a member that was alive when the snapshot was written.
 type knownMember struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
@@ -36,8 +38,8 @@
 	return fmt.Sprintf("%016x", xxh3.HashString(text))
 }
 
-// loadSnapshot reads a snapshot. One that can't be used is set aside, and the mixer starts
-// without.
+// loadSnapshot reads a snapshot file. A file that is corrupt or belongs to another mixer is
+// renamed with the suffix .bad, and the mixer starts without a snapshot.
 func loadSnapshot(path, name string, log zerolog.Logger) (s snapshot) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -58,13 +60,13 @@
 	return snapshot{}
 }
 
-// text is the snapshot's file.
+// text returns the snapshot as JSON with its checksum.
 func (s snapshot) text() ([]byte, error) {
 	s.Sum = s.checksum()
 	return json.Marshal(s)
 }
 
-// snapshotOf is what is kept of a view.
+// snapshotOf returns the snapshot of a membership state.
 func snapshotOf(name string, m *member.Machine) snapshot {
 	s := snapshot{Name: name, Generation: m.Self().Incarnation.Generation}
 	for _, e := range m.View() {
--- a/internal/fleet/link/talk.go
+++ b/internal/fleet/link/talk.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	peerIdleTimeout    = 30 * time.Second        // a talk in which nothing is said ends
-	peerStallTimeout   = 1500 * time.Millisecond // nothing heard for so long after we spoke: another connection is tried
-	maxWaitingMessages = 128                     // words that wait for a connection
-	dialRetryInterval  = 300 * time.Millisecond  // after a dial that failed
-	maxPeers           = 1024                    // members whose talk is remembered
+	peerIdleTimeout    = 30 * time.Second        // for a connection that carries messages
+	peerStallTimeout   = 1500 * time.Millisecond // without a message from the member after we sent one: another connection is tried
+	maxWaitingMessages = 128                     // messages that wait for a connection to one member
+	dialRetryInterval  = 300 * time.Millisecond  // between two dials of one member
+	maxPeers           = 1024                    // members whose peer is kept
 )
 
-// peer is what we say to one member, in order, over one connection: the one that we
-// opened, or the one on which it last spoke to us. Words may be lost with a connection.
+// peer sends messages to one member, in order, over one connection: the one that this mixer
+// opened, or the one on which the member last sent to it. Messages can be lost with a
+// connection.
 type peer struct {
 	f               *Fleet
 	id              string
 	conn            *transport.Conn
 	dialing         bool
 	waiting         [][]byte
-	unansweredSince time.Duration // when we first spoke without having heard since; 0: we have heard
-	nextDialAt      time.Duration // not dialed again before
+	unansweredSince time.Duration // time of the first message sent since the member was last heard; 0: none
+	nextDialAt      time.Duration
 }
 
-// outbound is a connection that we opened for a talk.
+// outbound is a connection that this mixer opened for messages to a peer.
 type outbound struct {
 	t    *peer
 	conn *transport.Conn
 	in   []byte
 }
 
+// peer returns the peer for a member, created on first use.
 func (f *Fleet) peer(id string) *peer {
 	t := f.peers[id]
 	if t == nil {
 		if len(f.peers) >= maxPeers {
-			for old, t := range f.peers { // guards memory: a talk can be begun again
+			for old, t := range f.peers { // bounds memory; a peer without a connection can be created again
 				if t.conn == nil && !t.dialing {
 					delete(f.peers, old)
 				}
@@ -50,16 +52,16 @@
 	return t
 }
 
-// Send tells one member something, over a connection. It may be lost; what is said to one
-// member on one connection comes in order.
+// Send sends a message to one member over a connection. The message can be lost; messages on
+// one connection arrive in order.
 func (f *Fleet) Send(to string, body []byte) {
 	if f.machine == nil || to == f.c.ID {
 		return
 	}
 	t, now := f.peer(to), f.core.Now()
 	b := frame(f.sealMessage(member.Message{Kind: kindMessage, From: f.c.ID, To: to, Instance: f.machine.Self().Instance}, body...))
-	// Guards against a connection that is open and carries nothing: one that was cut stays
-	// so, and what waits in it would come when it means nothing any more.
+	// Guards against a connection that is open but delivers nothing. A broken path would stay
+	// broken, and what is buffered on it would arrive when it is obsolete.
 	if t.conn != nil && t.unansweredSince > 0 && now-t.unansweredSince > peerStallTimeout {
 		old := t.conn
 		t.conn, t.unansweredSince = nil, 0
@@ -108,6 +110,7 @@
 	}
 }
 
+// setConn uses a connection and sends the waiting messages on it.
 func (t *peer) setConn(conn *transport.Conn) {
 	t.conn, t.unansweredSince = conn, 0
 	list := t.waiting
@@ -117,7 +120,8 @@
 	}
 }
 
-// handleMessage takes a word that somebody said, on a connection of its own or on ours.
+// handleMessage handles a received message. conn is the inbound connection that it came on, or
+// nil if it came on the peer's own.
 func (f *Fleet) handleMessage(p packet, conn *transport.Conn) {
 	t := f.peer(p.From)
 	t.unansweredSince = 0
--- a/internal/fleet/link/view.go
+++ b/internal/fleet/link/view.go
@@ -10,7 +10,7 @@
 	"kiteloft/internal/fleet/member"
 )
 
-// MemberStatus is a member as a mixer's view has it.
+// MemberStatus is one member as seen by a mixer.
 type MemberStatus struct {
 	ID         string   `json:"id"`
 	Zone       string   `json:"zone"`
@@ -20,22 +20,22 @@
 	Ready      bool     `json:"ready"`
 	Generation uint32   `json:"generation"`
 	Turn       uint32   `json:"turn"`
-	SinceMS    int64    `json:"since_ms"` // for how long it has been so
-	HeardMS    int64    `json:"heard_ms"` // since the last round trip with it; -1: there was none
+	SinceMS    int64    `json:"since_ms"` // time in this state
+	HeardMS    int64    `json:"heard_ms"` // time since the last round trip with it; -1: there was none
 	DoubtedBy  []string `json:"doubted_by,omitempty"`
 }
 
-// View is what a mixer says of the fleet.
+// View is a mixer's view of the fleet.
 type View struct {
 	Fleet    string         `json:"fleet"`
 	Mixer    string         `json:"mixer"`
 	Live     int            `json:"live"`
-	Share    float64        `json:"share"` // of what all share
+	Share    float64        `json:"share"` // of the fleet-wide allowances
 	Isolated bool           `json:"isolated"`
 	Members  []MemberStatus `json:"members"`
 }
 
-// View is this mixer's view now.
+// View returns this mixer's current view.
 func (f *Fleet) View() View {
 	now := f.core.Now()
 	v := View{Fleet: f.c.Fleet, Mixer: f.c.ID, Live: f.machine.Alive(), Share: f.machine.Share(now), Isolated: f.machine.Isolated()}
@@ -53,15 +53,17 @@
 	return v
 }
 
+// describe returns the view as JSON.
 func (f *Fleet) describe() []byte {
 	text, err := json.Marshal(f.View())
 	if err != nil {
-		f.log.Error().Err(err).Msg("the fleet's view could not be encoded") // a defect
+		f.log.Error().Err(err).Msg("the fleet's view could not be encoded") // only by a programming error
 	}
 	return text
 }
 
-// AskView asks a mixer for its view, as an operator's tool does.
+// AskView requests a mixer's view over the network, for an operator's tool. It returns an
+// error after the timeout.
 func AskView(addr, fleet string, keys Keys, timeout time.Duration) (v View, err error) {
 	text, err := Ask(addr, fleet, keys, nil, timeout)
 	if err != nil {
@@ -70,13 +72,14 @@
 	return v, json.Unmarshal(text, &v)
 }
 
-// Ask asks a mixer a question, as an operator's tool does; none is for its view.
+// Ask sends a request to a mixer over the network, for an operator's tool, and returns the
+// response. An empty question requests the view.
 func Ask(addr, fleet string, keys Keys, question []byte, timeout time.Duration) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = conn.Close() }() // read whole
+	defer func() { _ = conn.Close() }() // the response was read to its end
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
