--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -1,8 +1,8 @@
-// Package roll has the mixers of a fleet tell each other what discovery told them. A few
-// mixers in each zone watch discovery, and all others hear from them: what it costs
-// discovery stays the same as the fleet grows, and a node that leaves, leaves for all at
-// once. What is believed is version's to say; here are the words, and who watches. It does
-// no I/O of its own; all of it runs on the core's goroutine.
+// Package roll shares discovery's list of stock nodes among the mixers of a fleet. A few
+// mixers in each zone watch discovery, and all others receive its changes from them. The load
+// on discovery stays the same as the fleet grows, and a node that leaves does so for all
+// mixers at once. Package version merges the reports; this package has the messages and
+// decides who watches. It does no I/O of its own; all of it runs on the core's goroutine.
 package roll
 
 import (
@@ -22,10 +22,10 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	watchersPerZone    = 2 // duties in a zone; one mixer may have both
+	watchersPerZone    = 2 // duties in a zone; one mixer may own both
 	checkInterval      = time.Second
-	syncInterval       = 2 * time.Second // between two questions whether we believe what a watcher believes
-	watcherTimeout     = 5 * time.Second // no word of a watcher's for so long: we watch ourselves
+	syncInterval       = 2 * time.Second // mean time between two comparisons with a watcher
+	watcherTimeout     = 5 * time.Second // without a message from a watcher, after which this mixer watches discovery itself
 	watchDutyPrefix    = "watch/"
 	entryKeyPrefix     = "roll/"
 	maxLinesPerMessage = 400 // lines in one word
@@ -38,7 +38,7 @@
 	UpdateNodeList(l broker.List)
 }
 
-// Fleet is what it needs of the talk among mixers.
+// Fleet is what this package needs of the communication among mixers; see link.Fleet.
 type Fleet interface {
 	Send(to string, body []byte)
 	Announce(key string, body []byte)
@@ -47,13 +47,13 @@
 	Zone() string
 }
 
-// Directory is our own watch of discovery.
+// Directory is this mixer's own watch of discovery.
 type Directory interface {
 	broker.Directory
 	Publish(l discovery.List)
 }
 
-// Sharer implements broker.Directory.
+// Sharer shares the node list with the other mixers. It implements broker.Directory.
 type Sharer struct {
 	core           Core
 	fleet          Fleet
@@ -63,15 +63,16 @@
 	log            zerolog.Logger
 	rng            *rand.Rand
 	nodeView       *version.NodeView
-	enabled        bool // the module wants to follow the list
-	watching       bool // we watch discovery ourselves
-	watcherHeardAt time.Duration
+	enabled        bool          // the module wants to follow the list
+	watching       bool          // this mixer watches discovery
+	watcherHeardAt time.Duration // when the last message of a watcher came; 0: none did
 	nextSyncAt     time.Duration
-	withheldReason string
+	withheldReason string // why entries missing from discovery's list are not removed yet
 	started        bool
 }
 
-// message is what two mixers say to each other alone.
+// message is sent from one mixer to another: a request to compare the lists by digest, or the
+// response with the lines that the receiver may lack.
 type message struct {
 	Ask      bool       `json:"ask,omitempty"`
 	Digest   uint64     `json:"digest"`
@@ -79,7 +80,8 @@
 	Lines    []nodeLine `json:"lines,omitempty"`
 }
 
-// nodeLine is a line as it travels: not when it was told, but how long ago.
+// nodeLine is a node's entry in a message. It has the age of the report and not its time, as
+// mixers share no clock.
 type nodeLine struct {
 	ID      string       `json:"i"`
 	Started int64        `json:"s,omitempty"`
@@ -88,18 +90,18 @@
 	AgeMS   int64        `json:"a,omitempty"`
 }
 
-// New stands between the core and its own watch of discovery.
+// New returns a Sharer between the core and this mixer's own watch of discovery.
 func New(core Core, fleet Fleet, dir Directory, name string, zones []string, seed uint64, log zerolog.Logger) *Sharer {
 	return &Sharer{core: core, fleet: fleet, dir: dir, name: name, zones: zones, log: log, rng: rand.New(rand.NewPCG(seed, 11)), nodeView: version.NewNodeView()}
 }
 
-// Start begins, on the core's goroutine.
+// Start begins the exchange with other mixers. It runs on the core's goroutine.
 func (r *Sharer) Start() {
 	r.started = true
 	r.check()
 }
 
-// Hold has what lists merely leave out not believed, or again.
+// Hold sets whether nodes missing from discovery's list are kept for as long as it is set.
 func (r *Sharer) Hold(on bool) { r.nodeView.Hold = on }
 
 // Watch implements broker.Directory.
@@ -117,7 +119,7 @@
 	r.reportFollowing()
 }
 
-// reportFollowing tells the module that it follows the list, though by others.
+// reportFollowing tells the module that it follows the list, through other mixers.
 func (r *Sharer) reportFollowing() {
 	r.core.After(0, func() { r.core.UpdateNodeList(broker.List{Version: r.nodeView.Revision()}) })
 }
@@ -125,12 +127,13 @@
 // Read implements broker.Directory.
 func (r *Sharer) Read() { r.dir.Read() }
 
-// shouldWatch reports whether we are to watch discovery: it is our duty, or we hear from nobody
-// whose it is.
+// shouldWatch reports whether this mixer is to watch discovery: it owns a watch duty, or it
+// hears from no watcher.
 func (r *Sharer) shouldWatch() bool {
 	return r.ownsWatchDuty() || !r.started || r.watcherHeardAt == 0 || r.core.Now()-r.watcherHeardAt > watcherTimeout
 }
 
+// ownsWatchDuty reports whether this mixer owns a watch duty of its zone.
 func (r *Sharer) ownsWatchDuty() bool {
 	for k := range watchersPerZone {
 		if r.fleet.MineIn(r.fleet.Zone(), watchDutyPrefix+strconv.Itoa(k)) {
@@ -140,6 +143,8 @@
 	return false
 }
 
+// check runs at each checkInterval: it removes nodes whose removal is due, starts or stops the
+// watch, and compares the list with a watcher's.
 func (r *Sharer) check() {
 	now := r.core.Now()
 	r.publish(r.nodeView.DropOverdue(now))
@@ -160,7 +165,8 @@
 	r.core.After(checkInterval, r.check)
 }
 
-// pickWatcher is one of those who watch, of our own zone more often than of another.
+// pickWatcher returns a random watcher, in three of four cases one of this mixer's own zone;
+// "": this mixer itself, or none is known.
 func (r *Sharer) pickWatcher() string {
 	zone := r.fleet.Zone()
 	if len(r.zones) > 0 && r.rng.IntN(4) == 0 {
@@ -175,13 +181,14 @@
 func (r *Sharer) send(to string, w message) {
 	text, err := json.Marshal(w)
 	if err != nil {
-		r.log.Error().Err(err).Msg("lists: a word could not be encoded") // a defect
+		r.log.Error().Err(err).Msg("lists: a word could not be encoded") // only by a programming error
 		return
 	}
 	r.fleet.Send(to, text)
 }
 
-// Filter is handed each list of our own watch, and returns what is believed.
+// Filter takes a list from this mixer's own watch, announces the changes that others can't
+// know yet, and returns what the module is to use.
 func (r *Sharer) Filter(l discovery.List) discovery.List {
 	now := r.core.Now()
 	lines := make([]version.NodeEntry, 0, len(l.Members))
@@ -195,12 +202,14 @@
 		}
 	}
 	for i, x := range changed {
-		// What was told before it came, was told to all: the earlier time counts.
+		// A report that came from discovery before the watch delivered it is as old as
+		// discovery says.
 		if x.Told == now && l.Told > 0 {
 			x.Told, changed[i].Told = l.Told, l.Told
 		}
-		// What a list merely leaves out is for who reads it. What others can't know yet, we say.
-		// Who has just begun finds much in its first list that only it did not know.
+		// A node only missing from the list is not announced, as each reader judges that
+		// itself. Other changes are, except by a mixer that has just started: its first list
+		// has many changes that are new only to itself.
 		if (x.Life != version.NodeGone || !isMissing(lines, x.ID)) && (!l.Complete || r.watcherHeardAt > 0 || r.ownsWatchDuty()) {
 			r.announce(now, x)
 		}
@@ -214,6 +223,7 @@
 	return out
 }
 
+// isMissing reports whether no entry has the id.
 func isMissing(lines []version.NodeEntry, id string) bool {
 	for _, x := range lines {
 		if x.ID == id {
@@ -223,27 +233,27 @@
 	return true
 }
 
-// announce says a line to all.
+// announce spreads an entry to all mixers.
 func (r *Sharer) announce(now time.Duration, x version.NodeEntry) {
 	if !r.started {
 		return
 	}
 	body, err := json.Marshal(nodeLineOf(now, x))
 	if err != nil {
-		r.log.Error().Err(err).Msg("lists: a line could not be encoded") // a defect
+		r.log.Error().Err(err).Msg("lists: a line could not be encoded") // only by a programming error
 		return
 	}
 	r.fleet.Announce(entryKeyPrefix+x.ID, body)
 }
 
-// publish hands on what is believed since somebody else said it.
+// publish passes entries that changed by other mixers' reports to the module.
 func (r *Sharer) publish(list []version.NodeEntry) {
 	if len(list) > 0 {
 		r.dir.Publish(discovery.List{Revision: r.nodeView.Revision(), Members: r.discoveryEntries(list)})
 	}
 }
 
-// News takes what others announced so long ago.
+// News handles an announcement of another mixer of the given age.
 func (r *Sharer) News(key string, body []byte, age time.Duration) {
 	if !strings.HasPrefix(key, entryKeyPrefix) {
 		return
@@ -256,12 +266,13 @@
 	r.applyLines([]nodeLine{x})
 }
 
+// applyLines merges reports of other mixers and publishes the changes.
 func (r *Sharer) applyLines(list []nodeLine) {
 	now := r.core.Now()
 	var changed []version.NodeEntry
 	for _, x := range list {
 		if x.ID == "" || x.Life > version.NodeGone {
-			continue // by a newer program
+			continue // sent by a newer program
 		}
 		if nodeEntry, ok := r.nodeView.ApplyReport(now, x.nodeEntry(now)); ok {
 			changed = append(changed, nodeEntry)
@@ -270,7 +281,8 @@
 	r.publish(changed)
 }
 
-// HandleMessage takes what another mixer says to us: whether it believes what we believe.
+// HandleMessage handles a message of another mixer: a request to compare lists, or the
+// response to one. Messages that can't be decoded are ignored.
 func (r *Sharer) HandleMessage(from string, body []byte) {
 	var w message
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -292,7 +304,7 @@
 		r.watcherHeardAt = now
 	}
 	r.applyLines(w.Lines)
-	// It may not know what we know.
+	// The lists still differ: send what the other mixer lacks.
 	if len(w.Lines) > 0 && r.nodeView.Digest() != w.Digest {
 		theirs := map[string]nodeLine{}
 		for _, x := range w.Lines {
@@ -310,11 +322,12 @@
 	}
 }
 
+// discoveryEntries converts entries of the node view to those of discovery.
 func (r *Sharer) discoveryEntries(list []version.NodeEntry) (out []discovery.Entry) {
 	for _, x := range list {
 		var e discovery.Entry
 		if err := json.Unmarshal([]byte(x.Data), &e); err != nil || e.ID != x.ID {
-			continue // by a program that writes entries otherwise
+			continue // written by a program with another format
 		}
 		e.Phase, e.Told = phases[x.Life], x.Told
 		out = append(out, e)
@@ -322,8 +335,10 @@
 	return out
 }
 
+// phases are discovery's names of version.Life, in its order.
 var phases = [...]string{"active", "leaving", "left"}
 
+// nodeEntryOf converts an entry of discovery to one of the node view.
 func nodeEntryOf(e discovery.Entry) version.NodeEntry {
 	x := version.NodeEntry{ID: e.ID, Started: e.UpSinceMS}
 	for i, p := range phases {
@@ -332,11 +347,12 @@
 		}
 	}
 	e.Phase = phases[0]
-	text, _ := json.Marshal(e) // of strings and numbers
+	text, _ := json.Marshal(e) // has strings and numbers only, so that it can't fail
 	x.Data = string(text)
 	return x
 }
 
+// nodeLineOf converts an entry for a message.
 func nodeLineOf(now time.Duration, x version.NodeEntry) nodeLine {
 	s := nodeLine{ID: x.ID, Started: x.Started, Life: x.Life, Data: x.Data}
 	if x.Told > 0 {
@@ -345,6 +361,7 @@
 	return s
 }
 
+// nodeEntry converts a received line; its age gives the time on this mixer's clock.
 func (s nodeLine) nodeEntry(now time.Duration) version.NodeEntry {
 	x := version.NodeEntry{ID: s.ID, Started: s.Started, Life: s.Life, Data: s.Data}
 	if x.Life != version.NodeActive {
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -16,17 +16,17 @@
 
 const ms = time.Millisecond
 
-// fleet is mixers on one clock, with one discovery.
+// fleet simulates mixers on one clock with one discovery.
 type fleet struct {
 	rng    *rand.Rand
 	now    time.Duration
 	events queue.Queue
 	mixers []*mixer
 	list   discovery.List
-	calls  int // that discovery has answered
+	calls  int // answers of discovery
 }
 
-// mixer is one of them, as its core, its fleet and its watch of discovery.
+// mixer simulates the core, the fleet and the discovery watch of one Sharer.
 type mixer struct {
 	f             *fleet
 	name          string
@@ -36,8 +36,8 @@
 	deaf          bool // discovery does not answer it
 	watching      bool
 	turn          int
-	seen          int64                    // the revision that its watch has
-	inactiveSince map[string]time.Duration // since when a node is no running one for it
+	seen          int64                    // latest revision that its watch has delivered
+	inactiveSince map[string]time.Duration // by node: when the core was first told that it is not active
 }
 
 var zones = []string{"a", "b", "c"}
@@ -53,7 +53,7 @@
 		f.mixers = append(f.mixers, m)
 	}
 	for _, m := range f.mixers {
-		m.Publish(m.roll.Filter(f.list)) // what it was started with
+		m.Publish(m.roll.Filter(f.list)) // the list at its start
 		m.seen = f.list.Revision
 		m.roll.Start()
 		m.roll.Watch(true)
@@ -63,7 +63,7 @@
 
 func (f *fleet) run(d time.Duration) { f.events.Run(&f.now, d, nil) }
 
-// watchers counts, by zone, who watches discovery.
+// watchers returns how many mixers watch discovery, and the highest number in one zone.
 func (f *fleet) watchers() (n int, most int) {
 	by := map[string]int{}
 	for _, m := range f.mixers {
@@ -76,7 +76,7 @@
 	return n, most
 }
 
-// changePhase changes a node on the list; all whose watch is under way hear of it.
+// changePhase changes a node's phase in discovery, which tells all who watch within 200 ms.
 func (f *fleet) changePhase(i int, phase string) {
 	f.list.Revision++
 	f.list.Members[i].Phase = phase
@@ -132,7 +132,7 @@
 	}
 }
 
-// Owner is the living mixer of the zone that a hash picks, or of another zone.
+// Owner picks a live mixer of the zone by hash, or one of another zone if there is none.
 func (m *mixer) Owner(zone, key string) string {
 	best, owner, near := uint64(0), "", false
 	for _, x := range m.f.mixers {
@@ -168,7 +168,7 @@
 
 func (m *mixer) Read() {}
 
-// Publish is what the core is told.
+// Publish records what the core is told.
 func (m *mixer) Publish(l discovery.List) {
 	for _, e := range l.Members {
 		if _, knew := m.inactiveSince[e.ID]; !knew && e.Phase != "active" {
@@ -177,8 +177,9 @@
 	}
 }
 
-// TestDiscoveryLoadIsIndependentOfFleetSize: two mixers a zone watch it at any size, and all believe
-// what those were told. Where they die, or discovery does not answer them, others go on.
+// TestDiscoveryLoadIsIndependentOfFleetSize: at any size two mixers a zone watch discovery,
+// and all mixers learn of each change from them. When all watchers die at once, others take
+// over.
 func TestDiscoveryLoadIsIndependentOfFleetSize(t *testing.T) {
 	asked := map[int]int{}
 	for _, size := range []int{3, 9, 300} {
@@ -232,7 +233,8 @@
 	}
 }
 
-// TestMixersCutOffFromDiscoveryLearnFromOthers: discovery answers only one of nine; what it is told, all know.
+// TestMixersCutOffFromDiscoveryLearnFromOthers: discovery answers only one of nine mixers, and
+// all learn of the change.
 func TestMixersCutOffFromDiscoveryLearnFromOthers(t *testing.T) {
 	f := newFleet(9)
 	f.run(15 * time.Second)
