--- a/internal/fleet/survey/codec.go
+++ b/internal/fleet/survey/codec.go
@@ -10,8 +10,8 @@
 	"kiteloft/internal/fleet/zone"
 )
 
-// A report travels as a protobuf message, so that older and newer programs live together.
-// Field numbers are never used again for something else.
+// Field numbers of a report, a protobuf message. Unknown fields are skipped, so that older and
+// newer programs can run in one fleet; numbers are never reused for another purpose.
 const (
 	fMixer protowire.Number = iota + 1
 	fZone
@@ -20,8 +20,8 @@
 	fEvidence
 )
 
-// Of the evidence on one zone. The counts follow each other from fCounts on, the numbers of
-// nodes from fNodes on.
+// Field numbers of the evidence on one zone. The counts follow each other from fCounts on, the
+// numbers of nodes from fNodes on.
 const (
 	fName protowire.Number = iota + 1
 	fSilentFor
@@ -30,20 +30,22 @@
 	fNodes  protowire.Number = 30
 )
 
-// counts are in the order of their fields; new ones come last.
+// counts returns the counts in the order of their field numbers; new ones are added at the
+// end.
 func counts(e *zone.Evidence) []*uint32 {
 	return []*uint32{&e.InTime, &e.Late, &e.Unanswered, &e.Refused, &e.Failed, &e.Unconnected, &e.Overdue}
 }
 
-// nodes likewise.
+// nodes returns the numbers of nodes in the order of their field numbers; new ones are added
+// at the end.
 func nodes(e *zone.Evidence) []*uint16 {
 	return []*uint16{&e.Nodes, &e.BadNodes, &e.TransitioningNodes}
 }
 
 const (
-	maxNameSize  = 64 // name, in bytes
+	maxNameSize  = 64 // in bytes
 	maxZones     = 64
-	maxPartCount = 1 << 24 // in a second: whatever is over that is none of ours
+	maxPartCount = 1 << 24 // in a second; a higher count is not plausible
 )
 
 var errMalformedReport = errors.New("no report")
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -1,7 +1,7 @@
-// Package survey gathers what this mixer sees of the stock nodes of each zone, tells it once
-// a second to the leader of the voters, and judges: at the leader what all saw, at any
-// other mixer what it saw itself. What is made of it is zone's to say. It does no I/O of
-// its own; all of it runs on the core's goroutine.
+// Package survey records what this mixer observes of the stock nodes of each zone, reports it
+// once a second to the leader of the voters, and judges the zones: the leader by the reports
+// of all mixers, any other mixer by its own observations. Package zone has the rules. This
+// package does no I/O of its own; all of it runs on the core's goroutine.
 package survey
 
 import (
@@ -20,15 +20,15 @@
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	reportInterval       = time.Second            // between two reports
-	judgeInterval        = 200 * time.Millisecond // between two judgements
-	inTimeShare          = 0.25                   // share of a class's aim within which an answer is in time: later ones are given up on, or copied
-	unansweredFactor     = 4                      // times what answers usually take, after which one called off was a silent one
-	typicalLatencyWindow = 50                     // answers that make what is usual
-	silenceThreshold     = 300 * time.Millisecond
-	minPartsOfBadNode    = 2                   // parts of a node, most of them in vain, that make it a bad one
-	checkAnswerValidity  = 2 * time.Second     // since a node answered a check, within which what it was called off from was late, not lost
-	maxSilence           = 20 * reportInterval // silent nodes are remembered for so long
+	reportInterval       = time.Second
+	judgeInterval        = 200 * time.Millisecond
+	inTimeShare          = 0.25                   // of a class's latency target, within which an answer is in time: later parts are abandoned or hedged
+	unansweredFactor     = 4                      // times the typical latency, after which a cancelled attempt counts as unanswered
+	typicalLatencyWindow = 50                     // answers in the moving average of the latency
+	silenceThreshold     = 300 * time.Millisecond // without an answer to parts that are due, after which a zone is silent
+	minPartsOfBadNode    = 2                      // of which more than half failed
+	checkAnswerValidity  = 2 * time.Second        // after a node answered a check, during which its cancelled attempts count as late and not as unanswered
+	maxSilence           = 20 * reportInterval    // for which silent nodes are remembered
 )
 
 // Core is what this package needs of the core.
@@ -40,15 +40,15 @@
 	Lag() time.Duration
 }
 
-// Fleet is what it needs of the talk among mixers.
+// Fleet is what this package needs of the communication among mixers.
 type Fleet interface {
 	Send(to string, body []byte)
 }
 
-// Voters say who leads; "": nobody is known to.
+// Voters names the leader of the voters; "": none is known.
 type Voters interface{ Leader() string }
 
-// Survey is a mixer's part. It implements broker.Observer.
+// Survey records, reports and judges for one mixer. It implements broker.Observer.
 type Survey struct {
 	core       Core
 	fleet      Fleet
@@ -65,28 +65,31 @@
 	reportStore      *zone.ReportStore
 	judge            *zone.Judge
 	judgement        zone.Judgement
-	verdictChangedAt map[string]time.Duration // when a zone's verdict last did
-	receivedReports  int                      // taken from others
+	verdictChangedAt map[string]time.Duration // by zone
+	receivedReports  int                      // from other mixers
 
-	// OnJudgement is called after each judgement, with whether this mixer leads; Stand is how the
-	// fleet stands to a zone, by the plan of a number. Nil: nothing is made of it.
+	// OnJudgement is called after each judgement with whether this mixer leads. Stand returns
+	// the share planned for a zone and the number of the plan. Both may be nil.
 	OnJudgement func(leads bool)
 	Stand       func(zone string) (zone.Stand, uint64)
 }
 
-// observations is what was observations of a zone's nodes since the last report, and since the last word.
+// observations is what was observed of a zone's nodes since the last report, and since the
+// last answer.
 type observations struct {
 	zone.Evidence
 	nodes           map[string]*nodeTally
 	checkAnsweredAt map[string]time.Duration // by node: when it last answered a check
-	dueSinceAnswer  uint32
-	lastAnswerAt    time.Duration // when a node of it last said something
-	typicalLatency  time.Duration // that an answer takes; 0: none is known
+	dueSinceAnswer  uint32                   // parts due since the last answer
+	lastAnswerAt    time.Duration            // when any node of the zone last answered
+	typicalLatency  time.Duration            // moving average of answers; 0: none yet
 }
 
+// nodeTally counts the parts of one node since the last report.
 type nodeTally struct{ parts, unsuccessful int }
 
-// New gathers evidence. Zones are those of the settings, as nodes name them by number.
+// New returns a Survey. The order of zones is that of the settings, whose positions are the
+// zone numbers of nodes.
 func New(core Core, fleet Fleet, voters Voters, name, home string, zones []string, warmupTime time.Duration, log zerolog.Logger) *Survey {
 	s := &Survey{core: core, fleet: fleet, voters: voters, name: name, home: home, zones: zones, warmupTime: warmupTime, log: log,
 		reportStore: zone.NewReportStore(), judge: zone.NewJudge(), verdictChangedAt: map[string]time.Duration{}}
@@ -96,7 +99,7 @@
 	return s
 }
 
-// Start begins, on the core's goroutine.
+// Start begins reporting and judging. It runs on the core's goroutine.
 func (s *Survey) Start() {
 	for i, x := range s.observations {
 		x.lastAnswerAt, s.verdictChangedAt[s.zones[i]] = s.core.Now(), s.core.Now()
@@ -105,7 +108,8 @@
 	s.core.After(judgeInterval, s.evaluate)
 }
 
-// observationsOf is what was seen observationsOf a node's zone; nil: the node is not listed any more.
+// observationsOf returns the observations of a node's zone; nil: the node is not listed any
+// more.
 func (s *Survey) observationsOf(m broker.ListedNode) *observations {
 	if m.ID == "" || m.Zone < 0 || m.Zone >= len(s.observations) {
 		return nil
@@ -113,7 +117,7 @@
 	return s.observations[m.Zone]
 }
 
-// Observe implements broker.Observer: an attempt has ended, or a check of a node.
+// Observe implements broker.Observer: it records how an attempt or a check of a node ended.
 func (s *Survey) Observe(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
 	x, late := s.observationsOf(m), took > time.Duration(inTimeShare*float64(aim))
 	if x == nil {
@@ -138,12 +142,12 @@
 		x.Unconnected++
 		heard = false
 	case decide.TimedOut, decide.Cancelled:
-		// One that a copy elsewhere has answered was out for less: it counts if others would
-		// have been answered by then.
+		// An attempt cancelled because a copy elsewhere was answered was out for less than its
+		// limit. It counts if other nodes would have answered by then.
 		if !late && (x.typicalLatency == 0 || took < unansweredFactor*x.typicalLatency) {
-			return // called off before anything could be said of it
+			return // cancelled too early to tell anything of the node
 		}
-		// One that answers checks is slow, not silent: a copy was quicker.
+		// A node that answers checks is slow and not silent: a copy was quicker.
 		if at, spoke := x.checkAnsweredAt[m.ID]; o == decide.Cancelled && spoke && s.core.Now()-at < checkAnswerValidity {
 			x.RecordAnswer(took, false)
 		} else {
@@ -151,7 +155,7 @@
 		}
 		heard = false
 	default:
-		return // it was never sent
+		return // never sent
 	}
 	if x.dueSinceAnswer++; heard {
 		x.lastAnswerAt, x.dueSinceAnswer = s.core.Now(), 0
@@ -166,9 +170,9 @@
 	}
 }
 
-// observeCheck takes the end of a check. Of a zone that is in use, parts tell more than a check that
-// was answered, as a node that is slow at its work may do that at once; of others, checks are
-// all there is.
+// observeCheck records the result of a check. For a zone in use an answered check doesn't
+// count as an answered part, as a node that is slow at its work may answer checks at once; for
+// a zone without parts, checks are the only evidence.
 func (s *Survey) observeCheck(m broker.ListedNode, o decide.Outcome, took, aim time.Duration) {
 	left, x := false, s.observationsOf(m)
 	if x == nil {
@@ -187,8 +191,8 @@
 	}
 }
 
-// ObservedProber are nodes' checks, of which this mixer sees those that it makes itself. What another
-// has found is no evidence of ours: it may reach what we don't.
+// ObservedProber passes the results of this mixer's own checks of nodes to a Survey. Results
+// of other mixers are no evidence, as they may reach nodes that this mixer doesn't.
 type ObservedProber struct {
 	*Survey
 	Nodes         broker.Prober
@@ -204,7 +208,7 @@
 	})
 }
 
-// sendReport tells the leader what was seen.
+// sendReport sends the evidence since the last report to the leader.
 func (s *Survey) sendReport() {
 	s.core.After(reportInterval, s.sendReport)
 	now := s.core.Now()
@@ -235,7 +239,7 @@
 		clear(x.nodes)
 		maps.DeleteFunc(x.checkAnsweredAt, func(_ string, at time.Duration) bool { return now-at > checkAnswerValidity })
 		if e.SilentFor > maxSilence {
-			x.dueSinceAnswer, x.lastAnswerAt = 0, now // so long ago says nothing of now
+			x.dueSinceAnswer, x.lastAnswerAt = 0, now // an older silence tells nothing of the present
 		}
 	}
 	s.reportStore.Put(now, r)
@@ -244,7 +248,7 @@
 	}
 }
 
-// HandleMessage takes another mixer's report. Whoever does not lead has no use for it.
+// HandleMessage handles another mixer's report. It is ignored unless this mixer leads.
 func (s *Survey) HandleMessage(from string, body []byte) {
 	r, err := decode(body)
 	if err != nil || r.Mixer != from || s.voters.Leader() != s.name {
@@ -254,11 +258,12 @@
 	s.reportStore.Put(s.core.Now(), r)
 }
 
+// evaluate judges the zones and logs changes of verdicts at the leader.
 func (s *Survey) evaluate() {
 	s.core.After(judgeInterval, s.evaluate)
 	now, leads := s.core.Now(), s.voters.Leader() == s.name
 	if leads != s.leads {
-		// What is held of others is of when we led last, or begins now.
+		// Reports held from an earlier leadership are outdated.
 		s.leads, s.reportStore, s.judge, s.judgement = leads, zone.NewReportStore(), zone.NewJudge(), zone.Judgement{}
 		s.notifyJudgement()
 		return
@@ -289,44 +294,47 @@
 	}
 }
 
-// LatestJudgement is the latest judgement, and whether it is by the evidence of all.
+// LatestJudgement returns the latest judgement; whole reports whether it is by the reports of
+// all mixers.
 func (s *Survey) LatestJudgement() (j zone.Judgement, whole bool) { return s.judgement, s.leads }
 
-// Silent reports whether parts were sent to a zone's nodes of late, and no word has come from
-// any of them since.
+// Silent reports whether parts were sent to a zone and none of its nodes has answered for
+// silenceThreshold.
 func (s *Survey) Silent(zone int) bool {
 	x := s.observations[zone]
 	return x.dueSinceAnswer > 0 && s.core.Now()-x.lastAnswerAt > silenceThreshold
 }
 
-// Loads is what is sent to each zone, in parts a second: by all at the leader, else by us.
+// Loads returns the parts a second sent to each zone: by all mixers at the leader, else by
+// this one.
 func (s *Survey) Loads() map[string]float64 { return s.reportStore.Loads(s.core.Now()) }
 
-// ZoneStatus is a zone as a mixer judges it.
+// ZoneStatus is a zone as judged by a mixer.
 type ZoneStatus struct {
 	Zone    string   `json:"zone"`
 	Verdict string   `json:"verdict"`
 	SinceMS int64    `json:"since_ms"`
 	Why     string   `json:"why,omitempty"`
-	Cuts    []string `json:"cuts,omitempty"` // zones whose mixers see it worse than others do
-	// What is sent there, by the plan and, at a mixer that the zone is dark to, by its own word.
+	Cuts    []string `json:"cuts,omitempty"` // zones whose mixers see it in a worse state than others do
+	// The plan for the zone, with what this mixer adds by its own evidence if it finds the
+	// zone dark.
 	Phase   string  `json:"phase,omitempty"`
 	Share   float64 `json:"share"`
-	Held    bool    `json:"held,omitempty"` // by an operator's word
+	Held    bool    `json:"held,omitempty"` // by an operator's order
 	Because string  `json:"because,omitempty"`
 }
 
-// View is what a mixer judges, and by whose evidence.
+// View is a mixer's judgement of all zones and the evidence it is based on.
 type View struct {
 	Mixer  string       `json:"mixer"`
-	Whole  bool         `json:"whole"` // by the whole fleet's evidence, as this mixer leads; else by its own
+	Whole  bool         `json:"whole"` // by the reports of the whole fleet, as this mixer leads; else by its own evidence
 	Shared bool         `json:"all_slow"`
-	Off    []string     `json:"off,omitempty"` // mixers whose own word does not count
-	Plan   uint64       `json:"plan"`          // its number; 0: there was none yet
+	Off    []string     `json:"off,omitempty"` // mixers whose evidence does not count
+	Plan   uint64       `json:"plan"`          // number of the plan; 0: none yet
 	Zones  []ZoneStatus `json:"zones"`
 }
 
-// View is this mixer's, now.
+// View returns this mixer's current view.
 func (s *Survey) View() View {
 	now := s.core.Now()
 	v := View{Mixer: s.name, Whole: s.leads, Shared: s.judgement.Shared, Off: s.judgement.Off}
@@ -349,11 +357,11 @@
 	return v
 }
 
-// Describe is the view as text.
+// Describe returns the view as JSON.
 func (s *Survey) Describe() []byte {
 	text, err := json.Marshal(s.View())
 	if err != nil {
-		s.log.Error().Err(err).Msg("zones: a view could not be encoded") // a defect
+		s.log.Error().Err(err).Msg("zones: a view could not be encoded") // only by a programming error
 	}
 	return text
 }
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// run has each mixer send each node a part every 50 ms, which ends as do says.
+// run has each mixer send each node a part every 50 ms; do returns its outcome.
 func (p *pair) run(d time.Duration, do func(by string, m broker.ListedNode) (decide.Outcome, time.Duration)) {
 	end := p.now + d
 	for p.now < end {
@@ -84,7 +84,9 @@
 	return out
 }
 
-// TestLeaderJudgesByAllReports, and the other what it saw itself.
+// TestLeaderJudgesByAllReports: the leader judges by the reports of both mixers, the other by
+// its own observations. A zone that only one mixer can't reach is not dark, and a new leader
+// starts without the reports held before.
 func TestLeaderJudgesByAllReports(t *testing.T) {
 	p := newPair()
 	p.run(10*time.Second, sound)
@@ -131,7 +133,7 @@
 	}
 }
 
-// TestOutcomesAreCounted of what becomes of parts.
+// TestOutcomesAreCounted checks which count each outcome of an attempt adds to.
 func TestOutcomesAreCounted(t *testing.T) {
 	p := newPair()
 	s, m := p.mixers[1].s, p.mixers[1].Nodes[0]
