--- a/internal/fleet/link/codec.go
+++ b/internal/fleet/link/codec.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		if len(line) < minKeySize {
-			return nil, fmt.Errorf("%s: line %d: a key has %d bytes at least", path, i+1, minKeySize)
+			return nil, fmt.Errorf("%s: line %d: a key needs at least %d bytes", path, i+1, minKeySize)
 		}
 		keys = append(keys, NewKey([]byte(line)))
 	}
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -281,7 +281,7 @@
 		}
 	}
 	if out.Stop != "" && f.Stop != nil {
-		f.log.Error().Str("why", out.Stop).Msg("fleet: this process may not go on")
+		f.log.Error().Str("why", out.Stop).Msg("fleet: this process must not continue")
 		f.Stop(out.Stop)
 	}
 	if live, share := f.machine.Alive(), f.machine.Share(f.core.Now()); f.OnChange != nil && (live != f.live || share != f.share) {
@@ -355,7 +355,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(b))
 	if n > maxFrame {
-		return nil, nil, fmt.Errorf("an exchange of %d bytes", n)
+		return nil, nil, fmt.Errorf("frame of %d bytes is too large", n)
 	}
 	if len(b) < 4+n {
 		return nil, b, nil
--- a/internal/fleet/link/snapshot.go
+++ b/internal/fleet/link/snapshot.go
@@ -47,7 +47,7 @@
 	}
 	if err == nil {
 		if err = json.Unmarshal(text, &s); err == nil && (s.Name != name || s.Sum != s.checksum()) {
-			err = errors.New("its sum is wrong, or it is another mixer's")
+			err = errors.New("checksum mismatch, or the snapshot of another mixer")
 		}
 		if err == nil {
 			return s
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -165,8 +165,8 @@
 	r.core.After(checkInterval, r.check)
 }
 
-// pickWatcher returns a random watcher, in three of four cases one of this mixer's own zone;
-// "": this mixer itself, or none is known.
+// pickWatcher returns a random watcher, in three of four cases one of this mixer's own zone
+// and else one of a random zone. "": the choice is this mixer itself, or none is known.
 func (r *Sharer) pickWatcher() string {
 	zone := r.fleet.Zone()
 	if len(r.zones) > 0 && r.rng.IntN(4) == 0 {
@@ -181,7 +181,7 @@
 func (r *Sharer) send(to string, w message) {
 	text, err := json.Marshal(w)
 	if err != nil {
-		r.log.Error().Err(err).Msg("lists: a word could not be encoded") // only by a programming error
+		r.log.Error().Err(err).Msg("lists: a message could not be encoded") // only by a programming error
 		return
 	}
 	r.fleet.Send(to, text)
@@ -202,8 +202,8 @@
 		}
 	}
 	for i, x := range changed {
-		// A report that came from discovery before the watch delivered it is as old as
-		// discovery says.
+		// Discovery told all mixers of the change before it arrived here: the earlier time
+		// counts.
 		if x.Told == now && l.Told > 0 {
 			x.Told, changed[i].Told = l.Told, l.Told
 		}
--- a/internal/fleet/survey/codec.go
+++ b/internal/fleet/survey/codec.go
@@ -48,7 +48,7 @@
 	maxPartCount = 1 << 24 // in a second; a higher count is not plausible
 )
 
-var errMalformedReport = errors.New("no report")
+var errMalformedReport = errors.New("malformed zone report")
 
 func encode(r zone.Report) []byte {
 	b := fields.AppendString(nil, fMixer, r.Mixer)
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -28,7 +28,7 @@
 	silenceThreshold     = 300 * time.Millisecond // without an answer to parts that are due, after which a zone is silent
 	minPartsOfBadNode    = 2                      // of which more than half failed
 	checkAnswerValidity  = 2 * time.Second        // after a node answered a check, during which its cancelled attempts count as late and not as unanswered
-	maxSilence           = 20 * reportInterval    // for which silent nodes are remembered
+	maxSilence           = 20 * reportInterval    // after which the silence of a zone is forgotten
 )
 
 // Core is what this package needs of the core.
@@ -263,7 +263,7 @@
 	s.core.After(judgeInterval, s.evaluate)
 	now, leads := s.core.Now(), s.voters.Leader() == s.name
 	if leads != s.leads {
-		// Reports held from an earlier leadership are outdated.
+		// What is held of others dates from an earlier leadership, or begins now.
 		s.leads, s.reportStore, s.judge, s.judgement = leads, zone.NewReportStore(), zone.NewJudge(), zone.Judgement{}
 		s.notifyJudgement()
 		return
