--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -14,9 +14,9 @@
 
 const ms = time.Millisecond
 
-// crew is mixers on one clock that doubt one node, as the module does: after each finding
+// cluster is mixers on one clock that doubt one node, as the module does: after each finding
 // they ask again 3.75 to 6.25 s later.
-type crew struct {
+type cluster struct {
 	t      *testing.T
 	now    time.Duration
 	events queue.Queue
@@ -30,19 +30,19 @@
 }
 
 type mixer struct {
-	*crew
-	i      int
-	p      *Probes
-	dead   bool
-	cut    bool // hears nobody, is not heard
-	paused []func()
-	stands bool // it stands still
+	*cluster
+	i        int
+	p        *Probes
+	dead     bool
+	isolated bool // hears nobody, is not heard
+	paused   []func()
+	isPaused bool // it stands still
 }
 
-func newCrew(t *testing.T, size int, seed uint64) *crew {
-	c := &crew{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 1))}
+func newCluster(t *testing.T, size int, seed uint64) *cluster {
+	c := &cluster{t: t, now: time.Hour, rng: rand.New(rand.NewPCG(seed, 1))}
 	for i := range size {
-		m := &mixer{crew: c, i: i}
+		m := &mixer{cluster: c, i: i}
 		m.p = New(m, m, m)
 		c.all = append(c.all, m)
 		m.After(time.Duration(c.rng.IntN(1000))*ms, m.doubt)
@@ -64,7 +64,7 @@
 	m.events.Add(m.now+d, func() {
 		switch {
 		case m.dead:
-		case m.stands:
+		case m.isPaused:
 			m.paused = append(m.paused, fn)
 		default:
 			fn()
@@ -73,13 +73,13 @@
 }
 
 func (m *mixer) Node(id string) (broker.Node, bool) { return broker.Node{ID: id}, true }
-func (m *mixer) Mine(string) (mine, owned bool)     { return !m.cut && m.owner == m.i, !m.cut }
+func (m *mixer) Mine(string) (mine, owned bool)     { return !m.isolated && m.owner == m.i, !m.isolated }
 func (m *mixer) Rank(string) int                    { return (m.i - m.owner + len(m.all)) % len(m.all) }
 
 func (m *mixer) Announce(key string, body []byte) {
 	said := m.now
 	for _, o := range m.all {
-		if o != m && !m.cut && !o.cut {
+		if o != m && !m.isolated && !o.isolated {
 			o.After(time.Duration(5+m.rng.IntN(95))*ms, func() { o.p.News(key, body, o.now-said) })
 		}
 	}
@@ -96,9 +96,9 @@
 }
 
 func (m *mixer) pause(d time.Duration) {
-	m.stands = true
+	m.isPaused = true
 	m.events.Add(m.now+d, func() {
-		m.stands = false
+		m.isPaused = false
 		for _, fn := range m.paused {
 			m.After(0, fn)
 		}
@@ -106,11 +106,11 @@
 	})
 }
 
-func (c *crew) run(d time.Duration) { c.events.Run(&c.now, d, nil) }
+func (c *cluster) run(d time.Duration) { c.events.Run(&c.now, d, nil) }
 
-// holds asserts the promise on the checks since a time: none for longer than two intervals,
+// assertCheckRate asserts the promise on the checks since a time: none for longer than two intervals,
 // and seven in any three.
-func (c *crew) holds(what string, since time.Duration) {
+func (c *cluster) assertCheckRate(what string, since time.Duration) {
 	c.t.Helper()
 	list := c.checks[slices.IndexFunc(c.checks, func(at time.Duration) bool { return at >= since }):]
 	for i, at := range list {
@@ -126,16 +126,16 @@
 	}
 }
 
-// TestOneAtATime has a silent node checked by one mixer at a time, also when the one whose
+// TestOneMixerChecksAtATime has a silent node checked by one mixer at a time, also when the one whose
 // duty it is dies, another one stands still, and it takes a while until all know who is next.
-func TestOneAtATime(t *testing.T) {
+func TestOneMixerChecksAtATime(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 9, 40} {
 		for seed := range uint64(20) {
-			c := newCrew(t, size, seed)
+			c := newCluster(t, size, seed)
 			c.run(12 * time.Second)
 			since := c.now
 			c.run(30 * time.Second)
-			c.holds(fmt.Sprintf("%d mixers, seed %d", size, seed), since)
+			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d", size, seed), since)
 			if size < 5 {
 				continue
 			}
@@ -144,19 +144,19 @@
 			c.all[c.owner+2].pause(4 * time.Second)
 			c.events.Add(c.now+1500*ms, func() { c.owner++ })
 			c.run(30 * time.Second)
-			c.holds(fmt.Sprintf("%d mixers, seed %d, one dead and one standing", size, seed), since)
+			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d, one dead and one standing", size, seed), since)
 			since = c.now
 			c.all[c.owner].pause(10 * time.Second) // and nobody takes over
 			c.run(30 * time.Second)
-			c.holds(fmt.Sprintf("%d mixers, seed %d, the owner standing", size, seed), since)
+			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d, the owner standing", size, seed), since)
 		}
 	}
 }
 
-// TestWhoIsCutOffChecksAlone: it neither waits for an owner nor tells what it finds.
-func TestWhoIsCutOffChecksAlone(t *testing.T) {
-	c := newCrew(t, 5, 1)
-	c.all[3].cut = true
+// TestIsolatedMixerChecksAlone: it neither waits for an owner nor tells what it finds.
+func TestIsolatedMixerChecksAlone(t *testing.T) {
+	c := newCluster(t, 5, 1)
+	c.all[3].isolated = true
 	c.run(60 * time.Second)
 	n := 0
 	for _, by := range c.by {
@@ -169,15 +169,15 @@
 	}
 	before := c.told
 	c.sound = true
-	c.run(6300*ms + alone)
+	c.run(6300*ms + noOwnerTimeout)
 	if c.told-before < 5 {
 		t.Errorf("%d of 5 know that the node is sound", c.told-before)
 	}
 }
 
-// TestAnothersGoodWordIsTrustedOnce: a node that another reaches and we don't is checked from here.
-func TestAnothersGoodWordIsTrustedOnce(t *testing.T) {
-	c := newCrew(t, 2, 1)
+// TestRepeatedDoubtIsCheckedLocally: a node that another reaches and we don't is checked from here.
+func TestRepeatedDoubtIsCheckedLocally(t *testing.T) {
+	c := newCluster(t, 2, 1)
 	c.sound = true
 	c.run(time.Second + 200*ms)
 	first := len(c.checks)
