--- a/internal/fleet/keep/keep.go
+++ b/internal/fleet/keep/keep.go
@@ -13,17 +13,17 @@
 
 // File is a small file that is replaced as a whole.
 type File struct {
-	path  string
-	what  string // in log lines: "the fleet's snapshot"
-	log   zerolog.Logger
-	next  chan []byte
-	put   []byte
-	fails bool
+	path        string
+	description string // in log lines: "the fleet's snapshot"
+	log         zerolog.Logger
+	next        chan []byte
+	lastPut     []byte
+	failing     bool
 }
 
 // New keeps a file from now on.
-func New(path, what string, log zerolog.Logger) *File {
-	f := &File{path: path, what: what, log: log, next: make(chan []byte, 1)}
+func New(path, description string, log zerolog.Logger) *File {
+	f := &File{path: path, description: description, log: log, next: make(chan []byte, 1)}
 	go f.run()
 	return f
 }
@@ -31,10 +31,10 @@
 // Put hands in the file's text. Only one goroutine may; of those that wait, the latest
 // counts.
 func (f *File) Put(text []byte) {
-	if slices.Equal(text, f.put) {
+	if slices.Equal(text, f.lastPut) {
 		return
 	}
-	f.put = text
+	f.lastPut = text
 	select {
 	case <-f.next: // an older one that was not written yet
 	default:
@@ -46,12 +46,12 @@
 	for text := range f.next {
 		err := Write(f.path, text)
 		switch {
-		case err != nil && !f.fails:
-			f.log.Warn().Err(err).Str("file", f.path).Msg(f.what + " can't be written")
-		case err == nil && f.fails:
-			f.log.Info().Str("file", f.path).Msg(f.what + " is written again")
+		case err != nil && !f.failing:
+			f.log.Warn().Err(err).Str("file", f.path).Msg(f.description + " can't be written")
+		case err == nil && f.failing:
+			f.log.Info().Str("file", f.path).Msg(f.description + " is written again")
 		}
-		f.fails = err != nil
+		f.failing = err != nil
 	}
 }
 
--- a/internal/fleet/keep/keep_test.go
+++ b/internal/fleet/keep/keep_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestAFileIsReplacedWhole(t *testing.T) {
+func TestWriteReplacesAtomically(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.json")
 	for _, text := range []string{"old", "new"} {
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestALoopNeverWaitsForTheDisk hands in more than a disk that stands still can take.
-func TestALoopNeverWaitsForTheDisk(t *testing.T) {
+// TestPutDoesNotBlock hands in more than a disk that stands still can take.
+func TestPutDoesNotBlock(t *testing.T) {
 	f := &File{next: make(chan []byte, 1)} // nobody reads: the disk stands still
 	for i := range 100 {
 		f.Put([]byte(strconv.Itoa(i)))
