--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -77,9 +77,9 @@
 	// view. answer sends the response.
 	HandleRequest func(body []byte, answer func([]byte))
 	// Stop is called with the reason if this process must not continue.
-	Stop  func(why string)
-	live  int
-	share float64
+	Stop           func(why string)
+	live           int
+	allowanceShare float64
 }
 
 // sender records which datagrams of one process have been received.
@@ -284,9 +284,9 @@
 		f.log.Error().Str("why", out.Stop).Msg("fleet: this process must not continue")
 		f.Stop(out.Stop)
 	}
-	if live, share := f.machine.Alive(), f.machine.Share(f.core.Now()); f.OnChange != nil && (live != f.live || share != f.share) {
-		f.live, f.share = live, share
-		f.OnChange(live, share)
+	if live, allowanceShare := f.machine.Alive(), f.machine.Share(f.core.Now()); f.OnChange != nil && (live != f.live || allowanceShare != f.allowanceShare) {
+		f.live, f.allowanceShare = live, allowanceShare
+		f.OnChange(live, allowanceShare)
 	}
 	if len(out.Changes) > 0 && f.snapshotFile != nil {
 		text, err := snapshotOf(f.c.ID, f.machine).text()
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -28,16 +28,16 @@
 
 // mixer simulates the core, the fleet and the discovery watch of one Sharer.
 type mixer struct {
-	f             *fleet
-	name          string
-	zone          string
-	roll          *Sharer
-	dead          bool
-	deaf          bool // discovery does not answer it
-	watching      bool
-	turn          int
-	seen          int64                    // latest revision that its watch has delivered
-	inactiveSince map[string]time.Duration // by node: when the core was first told that it is not active
+	f        *fleet
+	name     string
+	zone     string
+	roll     *Sharer
+	dead     bool
+	deaf     bool // discovery does not answer it
+	watching bool
+	turn     int
+	seen     int64                    // latest revision that its watch has delivered
+	knew     map[string]time.Duration // by node: when the core was first told that it is not active
 }
 
 var zones = []string{"a", "b", "c"}
@@ -48,7 +48,7 @@
 		f.list.Members = append(f.list.Members, discovery.Entry{ID: fmt.Sprintf("s-%02d", i), HostPort: "127.0.0.1:1", Phase: "active", UpSinceMS: 1})
 	}
 	for i := range size {
-		m := &mixer{f: f, name: fmt.Sprintf("n%d", i), zone: zones[i%3], inactiveSince: map[string]time.Duration{}}
+		m := &mixer{f: f, name: fmt.Sprintf("n%d", i), zone: zones[i%3], knew: map[string]time.Duration{}}
 		m.roll = New(m, m, m, m.name, zones, uint64(i), zerolog.Nop())
 		f.mixers = append(f.mixers, m)
 	}
@@ -171,8 +171,8 @@
 // Publish records what the core is told.
 func (m *mixer) Publish(l discovery.List) {
 	for _, e := range l.Members {
-		if _, knew := m.inactiveSince[e.ID]; !knew && e.Phase != "active" {
-			m.inactiveSince[e.ID] = m.f.now
+		if _, knew := m.knew[e.ID]; !knew && e.Phase != "active" {
+			m.knew[e.ID] = m.f.now
 		}
 	}
 }
@@ -196,7 +196,7 @@
 			f.changePhase(i, "leaving")
 			f.run(2 * time.Second)
 			for _, m := range f.mixers {
-				at, knew := m.inactiveSince[f.list.Members[i].ID]
+				at, knew := m.knew[f.list.Members[i].ID]
 				if !knew || at-told > 2*time.Second {
 					t.Fatalf("%d mixers: %s does not know after %v that node %d leaves", size, m.name, f.now-told, i)
 				}
@@ -223,7 +223,7 @@
 			t.Errorf("%d mixers: %d watch after %d died, %d in one zone", size, n, killed, most)
 		}
 		for _, m := range f.mixers {
-			if _, knew := m.inactiveSince[f.list.Members[30].ID]; !m.dead && !knew {
+			if _, knew := m.knew[f.list.Members[30].ID]; !m.dead && !knew {
 				t.Errorf("%d mixers: %s does not know %v after those who watched died", size, m.name, f.now-told)
 			}
 		}
@@ -249,7 +249,7 @@
 	f.changePhase(7, "leaving")
 	f.run(2 * time.Second)
 	for _, m := range f.mixers {
-		if _, knew := m.inactiveSince["s-07"]; !knew {
+		if _, knew := m.knew["s-07"]; !knew {
 			t.Errorf("%s does not know what %s was told", m.name, one)
 		}
 	}
