--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -20,20 +20,20 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
+	decoder, encoder := wire.NewDecoder(in), wire.NewEncoder(out)
 	modules := map[int]*decide.StateMachine{}
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("reading a batch: %w", err)
 		}
-		if err := step(modules, batch, enc); err != nil {
+		if err := stepInstances(modules, batch, encoder); err != nil {
 			return err
 		}
-		if err := enc.End(); err != nil {
+		if err := encoder.End(); err != nil {
 			return err
 		}
 	}
@@ -41,35 +41,35 @@
 
 // step hands each instance all its events of the batch at once, instances in
 // the order in which they first appear.
-func step(modules map[int]*decide.StateMachine, b wire.Batch, enc *wire.Encoder) error {
+func stepInstances(modules map[int]*decide.StateMachine, batch wire.Batch, encoder *wire.Encoder) error {
 	events := map[int][]decide.Event{}
 	var order []int
-	for _, it := range b.Items {
-		if _, seen := events[it.Instance]; !seen {
-			order = append(order, it.Instance)
-			events[it.Instance] = nil
+	for _, item := range batch.Items {
+		if _, seen := events[item.Instance]; !seen {
+			order = append(order, item.Instance)
+			events[item.Instance] = nil
 		}
-		switch it.Kind {
+		switch item.Kind {
 		case wire.KindSpawn:
-			modules[it.Instance] = decide.New(it.Settings, it.Seed)
-			events[it.Instance] = nil
+			modules[item.Instance] = decide.New(item.Settings, item.Seed)
+			events[item.Instance] = nil
 		case wire.KindDestroy:
-			delete(modules, it.Instance)
-			events[it.Instance] = nil
+			delete(modules, item.Instance)
+			events[item.Instance] = nil
 		case wire.KindEvent:
-			if modules[it.Instance] == nil {
-				return fmt.Errorf("event %T for instance %d, which does not run", it.Event, it.Instance)
+			if modules[item.Instance] == nil {
+				return fmt.Errorf("event %T for instance %d, which does not run", item.Event, item.Instance)
 			}
-			events[it.Instance] = append(events[it.Instance], it.Event)
+			events[item.Instance] = append(events[item.Instance], item.Event)
 		}
 	}
 	for _, id := range order {
-		m := modules[id]
-		if m == nil {
+		module := modules[id]
+		if module == nil {
 			continue
 		}
-		for _, a := range m.Step(b.Clock, events[id]) {
-			if err := enc.Write(id, a); err != nil {
+		for _, action := range module.Step(batch.Clock, events[id]) {
+			if err := encoder.Write(id, action); err != nil {
 				return fmt.Errorf("instance %d: %w", id, err)
 			}
 		}
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func build(t *testing.T) string {
+func buildBenchlink(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "benchlink")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -21,7 +21,7 @@
 	`"worth":1}],"family_info":{"class_floor":[1],"need_by_class":[1],"per_call":4,"positions":1,"span":1},` +
 	`"caps":{"cancel":true,"second_copies":true,"max_attempts":3}}`
 
-func TestBuiltAdapterCarriesAQueryThrough(t *testing.T) {
+func TestBuiltAdapterAnswersQuery(t *testing.T) {
 	start := func(i string) string {
 		return "SPAWN\t" + i + "\t7\t" + settings + "\nSYNC\t" + i + "\twarm_copy\t1\t0\n" +
 			"NEW_REQUEST\t" + i + "\t00000000000000a0\t0\t-\t-\t4\t-\t1\t-1\t1\t0\n" +
@@ -31,7 +31,7 @@
 		"CLOCK\t1\nTABLE\t0\t1\nENTRY\ts:1\t0\t0\t0\tRunning\t1\t-\n" + start("4") + start("2") +
 		"DESTROY\t2\n" + "SPAWN\t2\t8\t" + settings + "\nYOUR_TURN\n" +
 		"CLOCK\t1.1\nCOMPLETED\t4\t00000000000000a1\t0\ts:1\t1\t0.1\t1\t-\nYOUR_TURN\n"
-	cmd := exec.Command(build(t))
+	cmd := exec.Command(buildBenchlink(t))
 	cmd.Stdin = strings.NewReader(in)
 	out, err := cmd.Output()
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 func TestBuiltAdapterStopsOnMalformedInput(t *testing.T) {
-	cmd := exec.Command(build(t))
+	cmd := exec.Command(buildBenchlink(t))
 	cmd.Stdin = strings.NewReader("CLOCK\t1\nWAKEUP\t0\nYOUR_TURN\n")
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
