--- a/cmd/loft/faults.go
+++ b/cmd/loft/faults.go
@@ -23,7 +23,7 @@
 }
 
 // span of time in which one mixer held one member for the same.
-type held struct {
+type stateInterval struct {
 	from, to time.Duration
 	state    string
 }
@@ -31,8 +31,8 @@
 // views turns a run's changes into what each mixer held of each member, and when. What
 // stands in the first change's From held before it; nothing is drawn of members of whom a
 // mixer never said anything.
-func views(r faults.Run) map[[2]string][]held {
-	out := map[[2]string][]held{}
+func observedStates(r faults.Run) map[[2]string][]stateInterval {
+	out := map[[2]string][]stateInterval{}
 	for _, c := range r.Changes {
 		key := [2]string{c.By, c.Member}
 		list := out[key]
@@ -41,23 +41,23 @@
 			begun = list[n-1].to
 		}
 		if c.At > begun && (len(list) > 0 || c.From != c.To) {
-			list = append(list, held{begun, c.At, c.From})
+			list = append(list, stateInterval{begun, c.At, c.From})
 		}
-		out[key] = append(list, held{c.At, c.At, c.To})
+		out[key] = append(list, stateInterval{c.At, c.At, c.To})
 	}
 	for key, list := range out {
 		list[len(list)-1].to = r.Length
 		for i := range list[:len(list)-1] {
 			list[i].to = list[i+1].from
 		}
-		out[key] = slices.DeleteFunc(list, func(h held) bool { return h.to <= h.from })
+		out[key] = slices.DeleteFunc(list, func(h stateInterval) bool { return h.to <= h.from })
 	}
 	return out
 }
 
 // downs are the spans in which each mixer did not run, or stood still.
-func downs(r faults.Run) (list [][]held) {
-	list = make([][]held, len(r.Mixers))
+func downIntervals(r faults.Run) (list [][]stateInterval) {
+	list = make([][]stateInterval, len(r.Mixers))
 	since := make([]time.Duration, len(r.Mixers))
 	dead := make([]bool, len(r.Mixers))
 	for _, m := range r.Moments {
@@ -69,22 +69,22 @@
 			dead[m.Mixer], since[m.Mixer] = true, m.At
 		case faults.Start:
 			if dead[m.Mixer] {
-				list[m.Mixer] = append(list[m.Mixer], held{since[m.Mixer], m.At, "not there"})
+				list[m.Mixer] = append(list[m.Mixer], stateInterval{since[m.Mixer], m.At, "not there"})
 			}
 			dead[m.Mixer] = false
 		case faults.Pause:
-			list[m.Mixer] = append(list[m.Mixer], held{m.At, min(m.At+m.For, r.Length), "stands still"})
+			list[m.Mixer] = append(list[m.Mixer], stateInterval{m.At, min(m.At+m.For, r.Length), "stands still"})
 		}
 	}
 	for i, is := range dead {
 		if is {
-			list[i] = append(list[i], held{since[i], r.Length, "not there"})
+			list[i] = append(list[i], stateInterval{since[i], r.Length, "not there"})
 		}
 	}
 	return list
 }
 
-var heldAs = map[string]color.Color{
+var stateColors = map[string]color.Color{
 	"alive": color.NRGBA{R: 0x9c, G: 0xc8, B: 0xa4, A: 0xff}, "doubted": color.NRGBA{R: 0xf0, G: 0xb0, B: 0x30, A: 0xff},
 	"gone": color.NRGBA{R: 0xc0, G: 0x30, B: 0x28, A: 0xff}, "left": color.NRGBA{R: 0x60, G: 0x70, B: 0xc0, A: 0xff},
 	"not there": color.NRGBA{A: 0xc0}, "stands still": color.NRGBA{A: 0x60},
@@ -92,7 +92,7 @@
 
 // drawRun draws a band for each mixer, a line in it for each member, and over each band
 // when its mixer was not there or stood still.
-func drawRun(r faults.Run) (figure, error) {
+func plotRun(r faults.Run) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds from the start"
 	n := len(r.Mixers)
@@ -107,7 +107,7 @@
 		p.Add(poly)
 		return nil
 	}
-	seen, down := views(r), downs(r)
+	seen, down := observedStates(r), downIntervals(r)
 	ticks := make([]plot.Tick, 0, n)
 	for i, by := range r.Mixers {
 		base := float64(n-1-i) * band
@@ -115,13 +115,13 @@
 		for j, m := range r.Mixers {
 			low := base + float64(n-1-j)
 			for _, h := range seen[[2]string{by, m}] {
-				if err := box(h.from, h.to, low, low+0.8, heldAs[h.state]); err != nil {
+				if err := box(h.from, h.to, low, low+0.8, stateColors[h.state]); err != nil {
 					return figure{}, err
 				}
 			}
 		}
 		for _, h := range down[i] {
-			if err := box(h.from, h.to, base-0.3, base+float64(n)+0.3, heldAs[h.state]); err != nil {
+			if err := box(h.from, h.to, base-0.3, base+float64(n)+0.3, stateColors[h.state]); err != nil {
 				return figure{}, err
 			}
 		}
@@ -139,7 +139,7 @@
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, r.Length.Seconds(), -1, float64(n)*band
-	return svgOf("What each mixer held of each other one", p, plotWidth, vg.Length(max(9, 2*n))*vg.Centimeter)
+	return renderSVGSized("What each mixer held of each other one", p, plotWidth, vg.Length(max(9, 2*n))*vg.Centimeter)
 }
 
 // Run writes the page.
@@ -148,15 +148,15 @@
 	if err != nil {
 		return err
 	}
-	fig, err := drawRun(r)
+	fig, err := plotRun(r)
 	if err != nil {
 		return fmt.Errorf("plotting: %w", err)
 	}
 	var b bytes.Buffer
-	if err := runTemplate.Execute(&b, map[string]any{"Run": r, "Plot": fig, "Views": tally(r)}); err != nil {
+	if err := runTemplate.Execute(&b, map[string]any{"Run": r, "Plot": fig, "Views": countViews(r)}); err != nil {
 		return err
 	}
-	if err := writeWhole(c.Out, b.Bytes()); err != nil {
+	if err := writeFileAtomically(c.Out, b.Bytes()); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: %d mixers, %d faults, %d changes of views\n", c.Out, len(r.Mixers), len(r.Moments), len(r.Changes))
@@ -164,14 +164,14 @@
 }
 
 // tally counts, by mixer, how often it held any other one for what.
-func tally(r faults.Run) (rows []tallied) {
+func countViews(r faults.Run) (rows []viewCounts) {
 	for _, by := range r.Mixers {
-		row := tallied{By: by}
+		row := viewCounts{By: by}
 		for _, c := range r.Changes {
 			switch {
 			case c.By != by:
 			case c.Member == by:
-				row.CutOff += one(c.To == "doubted")
+				row.CutOff += boolToInt(c.To == "doubted")
 			case c.To == "doubted":
 				row.Doubted++
 			case c.To == "gone":
@@ -183,12 +183,12 @@
 	return rows
 }
 
-type tallied struct {
+type viewCounts struct {
 	By                    string
 	Doubted, Gone, CutOff int
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/cmd/loft/faults_test.go
+++ b/cmd/loft/faults_test.go
@@ -12,7 +12,7 @@
 	"kiteloft/internal/standin/faults"
 )
 
-func run3() faults.Run {
+func threeMixerRun() faults.Run {
 	s := time.Second
 	return faults.Run{Mixers: []string{"n0", "n1", "n2"}, Length: 10 * s,
 		Moments: []faults.Moment{{Do: faults.Start}, {Do: faults.Start, Mixer: 1}, {At: 2 * s, Do: faults.Pause, Mixer: 1, For: s},
@@ -21,16 +21,16 @@
 			{At: 7 * s, By: "n0", Member: "n2", From: "doubted", To: "gone"}, {At: 8 * s, By: "n1", Member: "n1", From: "alive", To: "doubted"}}}
 }
 
-func TestWhatEachHeldOfWhomAndWhen(t *testing.T) {
+func TestObservedStatesAndDownIntervals(t *testing.T) {
 	s := time.Second
-	want := map[[2]string][]held{
+	want := map[[2]string][]stateInterval{
 		{"n0", "n2"}: {{s, 6 * s, "alive"}, {6 * s, 7 * s, "doubted"}, {7 * s, 10 * s, "gone"}},
 		{"n1", "n1"}: {{0, 8 * s, "alive"}, {8 * s, 10 * s, "doubted"}},
 	}
-	if diff := cmp.Diff(want, views(run3()), cmp.AllowUnexported(held{})); diff != "" {
+	if diff := cmp.Diff(want, observedStates(threeMixerRun()), cmp.AllowUnexported(stateInterval{})); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([][]held{nil, {{2 * s, 3 * s, "stands still"}}, {{4 * s, 10 * s, "not there"}}}, downs(run3()), cmp.AllowUnexported(held{})); diff != "" {
+	if diff := cmp.Diff([][]stateInterval{nil, {{2 * s, 3 * s, "stands still"}}, {{4 * s, 10 * s, "not there"}}}, downIntervals(threeMixerRun()), cmp.AllowUnexported(stateInterval{})); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -38,11 +38,11 @@
 func TestFaultsReport(t *testing.T) {
 	dir := t.TempDir()
 	path, page := filepath.Join(dir, "run.json"), filepath.Join(dir, "run.html")
-	if err := run3().Write(path); err != nil {
+	if err := threeMixerRun().Write(path); err != nil {
 		t.Fatal(err)
 	}
-	code, out, errOut := loft(t, "faults", "report", path, "-o", page)
-	if code != exitFound || !strings.Contains(out, "3 mixers, 5 faults, 4 changes") {
+	code, out, errOut := runLoft(t, "faults", "report", path, "-o", page)
+	if code != exitOK || !strings.Contains(out, "3 mixers, 5 faults, 4 changes") {
 		t.Fatalf("%d, %s, %s", code, out, errOut)
 	}
 	text, err := os.ReadFile(page)
@@ -52,7 +52,7 @@
 	if err := os.WriteFile(path, []byte(`{"mixers":[]`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, errOut := loft(t, "faults", "report", path, "-o", page); code != exitUsage || !strings.Contains(errOut, "run.json") {
+	if code, _, errOut := runLoft(t, "faults", "report", path, "-o", page); code != exitUsage || !strings.Contains(errOut, "run.json") {
 		t.Errorf("a spoilt record: %d, %s", code, errOut)
 	}
 }
--- a/cmd/loft/fleet.go
+++ b/cmd/loft/fleet.go
@@ -24,29 +24,29 @@
 }
 
 // usualCounts are the columns where none are asked for.
-var usualCounts = []kinds.Kind{kinds.Taken, kinds.Served, kinds.Short, kinds.RefusedNoHope, kinds.RefusedPartLost,
+var defaultCounts = []kinds.Kind{kinds.Taken, kinds.Served, kinds.Short, kinds.RefusedNoHope, kinds.RefusedPartLost,
 	kinds.RefusedTimeUp, kinds.Failed, kinds.ByOffset, kinds.OffsetAvoided, kinds.NextBestHolder, kinds.LateCopy, kinds.ForcedCopy,
 	kinds.ToCold, kinds.OK, kinds.Full, kinds.TimedOut, kinds.ConnectFailed, kinds.Dialed, kinds.OpenLinks,
 	kinds.Probes, kinds.DirectoryCalls, kinds.DirectoryFailed, kinds.ListBytes, kinds.ListAgeMillis, kinds.LagMicros,
 	kinds.CPUMicros}
 
 // mostLine is the longest line of a log that is looked at.
-const mostLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // fleet is the sum over mixers, by second.
-type fleet struct {
-	seconds map[int64]*second
-	damaged int // lines that say they are counts and can't be read
+type countSums struct {
+	seconds   map[int64]*secondSum
+	malformed int // lines that say they are counts and can't be read
 }
 
-type second struct {
+type secondSum struct {
 	sum    kinds.Set
 	mixers int // that wrote a line for it
 }
 
-func (f *fleet) read(r io.Reader) error {
+func (f *countSums) readLog(r io.Reader) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		line := in.Bytes()
 		start := bytes.IndexByte(line, '{') // whoever keeps the log may write a time before it
@@ -55,18 +55,18 @@
 		}
 		var fields map[string]any
 		if err := jsoniter.Unmarshal(line[start:], &fields); err != nil {
-			f.damaged++
+			f.malformed++
 			continue
 		}
 		ms, ok := fields["at_ms"].(float64)
 		if !ok || fields["message"] != "counts" {
-			f.damaged++
+			f.malformed++
 			continue
 		}
 		at := int64(ms) / 1000
 		s := f.seconds[at]
 		if s == nil {
-			s = &second{}
+			s = &secondSum{}
 			f.seconds[at] = s
 		}
 		s.mixers++
@@ -83,7 +83,7 @@
 
 // Run prints a line a second: sums over all mixers, peaks as the most of any.
 func (c *fleetCmd) Run(out io.Writer) error {
-	columns := usualCounts
+	columns := defaultCounts
 	if len(c.Kind) > 0 {
 		columns = nil
 		for _, name := range c.Kind {
@@ -98,35 +98,35 @@
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	f := fleet{seconds: map[int64]*second{}}
+	f := countSums{seconds: map[int64]*secondSum{}}
 	for _, path := range files {
-		if err := f.file(path); err != nil {
+		if err := f.readFile(path); err != nil {
 			return err
 		}
 	}
 	if len(f.seconds) == 0 {
-		return fmt.Errorf("%s: %w: no line of counts in %d logs", c.Dir, errNothing, len(files))
+		return fmt.Errorf("%s: %w: no line of counts in %d logs", c.Dir, errNoMatch, len(files))
 	}
-	f.table(out, columns)
-	if f.damaged > 0 {
-		fmt.Fprintf(out, "%d lines of counts could not be read\n", f.damaged)
+	f.writeTable(out, columns)
+	if f.malformed > 0 {
+		fmt.Fprintf(out, "%d lines of counts could not be read\n", f.malformed)
 	}
 	return nil
 }
 
-func (f *fleet) file(path string) error {
+func (f *countSums) readFile(path string) error {
 	r, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	defer r.Close()
-	if err := f.read(r); err != nil {
+	if err := f.readLog(r); err != nil {
 		return fmt.Errorf("fleet: %s: %w", path, err)
 	}
 	return nil
 }
 
-func (f *fleet) table(out io.Writer, columns []kinds.Kind) {
+func (f *countSums) writeTable(out io.Writer, columns []kinds.Kind) {
 	order := slices.Sorted(maps.Keys(f.seconds))
 	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)
 	head := []string{"second", "mixers"}
--- a/cmd/loft/loft_test.go
+++ b/cmd/loft/loft_test.go
@@ -20,7 +20,7 @@
 
 // traces writes a directory of segments: quick queries at s-1, and some that waited
 // for s-2 to stand still, the worst of them retried.
-func traces(t *testing.T, lost ...tracing.Loss) string {
+func writeTraces(t *testing.T, lost ...tracing.Loss) string {
 	t.Helper()
 	dir := t.TempDir()
 	w, err := segments.NewWriter(dir, "n0", 1<<20, 10)
@@ -57,7 +57,7 @@
 	return dir
 }
 
-func loft(t *testing.T, args ...string) (code int, out, errOut string) {
+func runLoft(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var o, e strings.Builder
 	code = run(args, &o, &e)
@@ -65,7 +65,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	dir := traces(t, tracing.Loss{Class: 1, Always: 7})
+	dir := writeTraces(t, tracing.Loss{Class: 1, Always: 7})
 	id := tracing.KeyedTrace("t", "19").String()
 	tests := []struct {
 		name string
@@ -80,11 +80,11 @@
 		{name: "list of a reason", args: "trace list -d DIR --kept slow", want: []string{"q09", "q19", "q29", "q39"}, not: "q08"},
 		{name: "list of a node", args: "trace list -d DIR --node s-2", want: []string{"q09", "s-2 answer"}, not: "s-1"},
 		{name: "list of the last", args: "trace list -d DIR --since 100ms", want: []string{"q37", "q39"}, not: "q36"},
-		{name: "nothing fits", args: "trace list -d DIR --class other", code: exitNothing, want: []string{"nothing fits"}},
+		{name: "nothing fits", args: "trace list -d DIR --class other", code: exitNoMatch, want: []string{"nothing fits"}},
 		{name: "slowest", args: "trace slowest -d DIR -n 2", want: []string{"q39", "q29"}, not: "q19"},
 		{name: "show by trace", args: "trace show -d DIR " + id[:10], want: []string{"2 queries", "q38", "q39", "s-2 (zona-12) first", "critical path", "99.5%  s-2 answer (slice 3)"}},
 		{name: "show by query", args: "trace show -d DIR q39", want: []string{"trace " + id}},
-		{name: "show what is not there", args: "trace show -d DIR beef", code: exitNothing, want: []string{"no trace or query"}},
+		{name: "show what is not there", args: "trace show -d DIR beef", code: exitNoMatch, want: []string{"no trace or query"}},
 		{name: "nodes", args: "trace nodes -d DIR", want: []string{"NODE", "s-2", "100.0%", "4", "s-1", "0.0%"}},
 		{name: "zones", args: "trace nodes -d DIR --by zone", want: []string{"ZONE", "zona-12", "mixco"}},
 		{name: "causes", args: "trace nodes -d DIR --by cause", want: []string{"CAUSE", "answer", "100.0%"}},
@@ -95,7 +95,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			code, out, errOut := loft(t, strings.Fields(strings.ReplaceAll(tt.args, "DIR", dir))...)
+			code, out, errOut := runLoft(t, strings.Fields(strings.ReplaceAll(tt.args, "DIR", dir))...)
 			if code != tt.code {
 				t.Errorf("exit code %d, want %d", code, tt.code)
 			}
@@ -114,10 +114,10 @@
 	}
 }
 
-func TestReportIsOneWholePage(t *testing.T) {
+func TestReportIsSelfContainedPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "page.html")
-	code, out, errOut := loft(t, "trace", "report", "-d", traces(t), "-o", path)
-	if code != exitFound {
+	code, out, errOut := runLoft(t, "trace", "report", "-d", writeTraces(t), "-o", path)
+	if code != exitOK {
 		t.Fatalf("exit code %d: %s%s", code, out, errOut)
 	}
 	b, err := os.ReadFile(path)
@@ -141,8 +141,8 @@
 }
 
 // TestDamagedFilesAreReadAsFarAsTheyGo cuts one segment and spoils another.
-func TestDamagedFilesAreReadAsFarAsTheyGo(t *testing.T) {
-	good, cut, corrupt := traces(t), traces(t), traces(t)
+func TestDamagedFilesAreReadUpToDamage(t *testing.T) {
+	good, cut, corrupt := writeTraces(t), writeTraces(t), writeTraces(t)
 	change := func(dir string, fn func([]byte) []byte) string {
 		list, err := segments.List(dir)
 		if err != nil {
@@ -159,7 +159,7 @@
 	}
 	a := change(cut, func(b []byte) []byte { return b[:len(b)-5] })
 	c := change(corrupt, func(b []byte) []byte { b[100] ^= 1; return b })
-	code, out, errOut := loft(t, "trace", "slowest", "-d", good, "-d", cut, "-d", corrupt)
+	code, out, errOut := runLoft(t, "trace", "slowest", "-d", good, "-d", cut, "-d", corrupt)
 	if code != exitDamaged || !strings.Contains(out, "q39") {
 		t.Errorf("exit code %d, printed:\n%s", code, out)
 	}
@@ -168,14 +168,14 @@
 			t.Errorf("no %q in %s", w, errOut)
 		}
 	}
-	if code, _, _ := loft(t, "trace", "list", "-d", cut); code != exitDamaged {
+	if code, _, _ := runLoft(t, "trace", "list", "-d", cut); code != exitDamaged {
 		t.Errorf("exit code %d with nothing but a cut file", code)
 	}
 }
 
 // TestFleetAddsUpMixers: sums over mixers and peaks as the greatest, by second; logs with
 // a time before each line, other lines between, one that is cut off.
-func TestFleetAddsUpMixers(t *testing.T) {
+func TestFleetSumsCountsOfMixers(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644); err != nil {
@@ -187,8 +187,8 @@
 2.000 {"level":"info","at_ms":1001200,"taken":5,"unheard_of":1,"message":"counts"}
 3.000 {"level":"info","at_ms":1002200,"message":"counts"`+"\n")
 	write("n1.log", `{"level":"info","at_ms":1000900,"taken":4,"open_links":60,"message":"counts"}`+"\n")
-	code, out, errOut := loft(t, "fleet", dir, "--kind", "taken", "--kind", "open_links")
-	if code != exitFound {
+	code, out, errOut := runLoft(t, "fleet", dir, "--kind", "taken", "--kind", "open_links")
+	if code != exitOK {
 		t.Fatalf("exit code %d: %s", code, errOut)
 	}
 	var rows [][]string
@@ -200,10 +200,10 @@
 	if diff := cmp.Diff(want, rows); diff != "" {
 		t.Errorf("table (-want +got):\n%s", diff)
 	}
-	if code, _, errOut := loft(t, "fleet", dir, "--kind", "nonsense"); code != exitUsage || !strings.Contains(errOut, "nonsense") {
+	if code, _, errOut := runLoft(t, "fleet", dir, "--kind", "nonsense"); code != exitUsage || !strings.Contains(errOut, "nonsense") {
 		t.Errorf("a count that is none: exit code %d, %q", code, errOut)
 	}
-	if code, _, _ := loft(t, "fleet", t.TempDir()); code != exitNothing {
+	if code, _, _ := runLoft(t, "fleet", t.TempDir()); code != exitNoMatch {
 		t.Errorf("a folder without logs: exit code %d", code)
 	}
 }
--- a/cmd/loft/main.go
+++ b/cmd/loft/main.go
@@ -14,13 +14,13 @@
 
 // Exit codes.
 const (
-	exitFound   = 0
-	exitNothing = 1 // nothing fits what was asked for
+	exitOK      = 0
+	exitNoMatch = 1 // nothing fits what was asked for
 	exitUsage   = 2
 	exitDamaged = 3 // a file is cut or corrupt; what could be read was shown
 )
 
-var errNothing = errors.New("nothing fits")
+var errNoMatch = errors.New("nothing fits")
 
 // cli is the command line.
 type cli struct {
@@ -65,17 +65,17 @@
 // run is the program; it returns its exit code.
 func run(args []string, out, errOut io.Writer) (code int) {
 	var c cli
-	ended := -1
+	exitCode := -1
 	parser, err := kong.New(&c, kong.Name("loft"), kong.Description("The operators' tool beside the mixers."),
-		kong.Writers(out, errOut), kong.Exit(func(n int) { ended = n }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+		kong.Writers(out, errOut), kong.Exit(func(n int) { exitCode = n }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		fmt.Fprintln(errOut, "loft:", err)
 		return exitUsage
 	}
-	kongplete.Complete(parser, kongplete.WithPredictor("dir", dirs{}))
+	kongplete.Complete(parser, kongplete.WithPredictor("dir", directoryPredictor{}))
 	ctx, err := parser.Parse(args)
-	if ended >= 0 { // help was asked for
-		return ended
+	if exitCode >= 0 { // help was asked for
+		return exitCode
 	}
 	if err != nil {
 		fmt.Fprintln(errOut, "loft:", err)
@@ -84,13 +84,13 @@
 	}
 	ctx.BindTo(out, (*io.Writer)(nil))
 	err = ctx.Run()
-	var damage *damaged
+	var damage *damagedFiles
 	switch {
 	case err == nil:
-		return exitFound
-	case errors.Is(err, errNothing):
+		return exitOK
+	case errors.Is(err, errNoMatch):
 		fmt.Fprintln(errOut, "loft:", err)
-		return exitNothing
+		return exitNoMatch
 	case errors.As(err, &damage):
 		for _, d := range damage.list {
 			fmt.Fprintln(errOut, "loft:", d)
--- a/cmd/loft/members.go
+++ b/cmd/loft/members.go
@@ -32,7 +32,7 @@
 		return fmt.Errorf("%s: %w", c.Address, err)
 	}
 	if c.JSON {
-		return lines(out, v.Members)
+		return writeJSONLines(out, v.Members)
 	}
 	fmt.Fprintf(out, "%s of %s: %d live, share %.4f, cut off: %v\n", v.Mixer, v.Fleet, v.Live, v.Share, v.Isolated)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -51,7 +51,7 @@
 }
 
 // lines writes one object a line.
-func lines[T any](out io.Writer, list []T) error {
+func writeJSONLines[T any](out io.Writer, list []T) error {
 	for _, x := range list {
 		text, err := jsoniter.Marshal(x)
 		if err != nil {
--- a/cmd/loft/read.go
+++ b/cmd/loft/read.go
@@ -17,7 +17,7 @@
 )
 
 // source is where traces are read from, and which.
-type source struct {
+type traceSource struct {
 	Dir   []string      `name:"dir" short:"d" required:"" predictor:"dir" help:"Directory of segment files, or one file; may be given for each mixer."`
 	Class string        `help:"Only queries of this class."`
 	Node  string        `help:"Only queries with an attempt at this node."`
@@ -26,21 +26,21 @@
 }
 
 // damaged are the files that could not be read whole.
-type damaged struct{ list []*segments.Damage }
+type damagedFiles struct{ list []*segments.Damage }
 
-func (d *damaged) Error() string { return fmt.Sprintf("%d damaged files", len(d.list)) }
+func (d *damagedFiles) Error() string { return fmt.Sprintf("%d damaged files", len(d.list)) }
 
 // found is what was read.
-type found struct {
-	traces []*otlp.Trace // by when they began
-	lost   []otlp.Lost
-	strays int
-	damage error // *damaged, or nil
+type traceSet struct {
+	traces     []*otlp.Trace // by when they began
+	losses     []otlp.Lost
+	straySpans int
+	damage     error // *damaged, or nil
 }
 
 // read reads all that fits. Files that are damaged are read as far as they can be.
-func (s *source) read() (f found, err error) {
-	var bad damaged
+func (s *traceSource) read() (f traceSet, err error) {
+	var bad damagedFiles
 	for _, dir := range s.Dir {
 		list := []string{dir}
 		info, err := os.Stat(dir)
@@ -53,7 +53,7 @@
 			}
 		}
 		for _, path := range list {
-			err := otlp.ReadSegment(path, f.take)
+			err := otlp.ReadSegment(path, f.addMessage)
 			var damage *segments.Damage
 			if errors.As(err, &damage) {
 				bad.list = append(bad.list, damage)
@@ -65,7 +65,7 @@
 	slices.SortStableFunc(f.traces, func(a, b *otlp.Trace) int { return a.At.Compare(b.At) })
 	if len(f.traces) > 0 {
 		latest := f.traces[len(f.traces)-1].At
-		f.traces = slices.DeleteFunc(f.traces, func(t *otlp.Trace) bool { return !s.fits(t, latest) })
+		f.traces = slices.DeleteFunc(f.traces, func(t *otlp.Trace) bool { return !s.matches(t, latest) })
 	}
 	if len(bad.list) > 0 {
 		f.damage = &bad
@@ -73,11 +73,11 @@
 	return f, nil
 }
 
-func (f *found) take(list []*otlp.Trace, lost []otlp.Lost, strays int) {
-	f.traces, f.lost, f.strays = append(f.traces, list...), append(f.lost, lost...), f.strays+strays
+func (f *traceSet) addMessage(list []*otlp.Trace, losses []otlp.Lost, straySpans int) {
+	f.traces, f.losses, f.straySpans = append(f.traces, list...), append(f.losses, losses...), f.straySpans+straySpans
 }
 
-func (s *source) fits(t *otlp.Trace, latest time.Time) bool {
+func (s *traceSource) matches(t *otlp.Trace, latest time.Time) bool {
 	return (s.Class == "" || t.Class == s.Class) &&
 		(s.Since == 0 || latest.Sub(t.At) <= s.Since) &&
 		(s.Kept == "" || slices.Contains(otlp.KeepNames(t.Keep), s.Kept)) &&
@@ -86,15 +86,15 @@
 
 // over is by how much a query was over its wanted time; one that was not served at
 // all counts until its end.
-func over(t *otlp.Trace) time.Duration { return max(0, t.End-t.Wanted) }
+func overTarget(t *otlp.Trace) time.Duration { return max(0, t.End-t.Wanted) }
 
 // bySlowness puts what was furthest over its time first.
-func bySlowness(a, b *otlp.Trace) int {
-	return cmp.Or(cmp.Compare(over(b), over(a)), cmp.Compare(b.End, a.End), a.At.Compare(b.At))
+func slowestFirst(a, b *otlp.Trace) int {
+	return cmp.Or(cmp.Compare(overTarget(b), overTarget(a)), cmp.Compare(b.End, a.End), a.At.Compare(b.At))
 }
 
 // byID finds the queries of a trace, by its id, the beginning of it, or a query's id.
-func (f *found) byID(id string) (list []*otlp.Trace) {
+func (f *traceSet) findByID(id string) (list []*otlp.Trace) {
 	id = strings.ToLower(id)
 	for _, t := range f.traces {
 		if strings.ToLower(t.WireID) == id {
@@ -111,7 +111,9 @@
 }
 
 // dirs completes directories.
-type dirs struct{}
+type directoryPredictor struct{}
 
 // Predict implements complete.Predictor.
-func (dirs) Predict(a complete.Args) []string { return complete.PredictDirs("*").Predict(a) }
+func (directoryPredictor) Predict(a complete.Args) []string {
+	return complete.PredictDirs("*").Predict(a)
+}
--- a/cmd/loft/report.go
+++ b/cmd/loft/report.go
@@ -22,32 +22,32 @@
 )
 
 const (
-	plotWidth  = 22 * vg.Centimeter
-	plotHeight = 9 * vg.Centimeter
-	mostBars   = 14 // nodes in a plot
+	plotWidth       = 22 * vg.Centimeter
+	plotHeight      = 9 * vg.Centimeter
+	maxPlottedNodes = 14 // nodes in a plot
 )
 
 type reportCmd struct {
-	source
+	traceSource
 	Out     string `short:"o" default:"traces.html" type:"path" help:"The page's file."`
 	Slowest int    `default:"15" help:"How many of the slowest queries are shown whole."`
 }
 
 // page is what the template fills in.
-type page struct {
+type reportData struct {
 	From, To string
 	Queries  int
 	Standing string // how many queries they stand for
-	Ended    []count
-	Kept     []count
+	Ended    []namedCount
+	Kept     []namedCount
 	Plots    []figure
 	Tables   []costTable
-	Slowest  []slow
+	Slowest  []slowQuery
 	Lost     string
 	Damage   string
 }
 
-type count struct {
+type namedCount struct {
 	Name string
 	N    int
 }
@@ -64,7 +64,7 @@
 
 type costRow struct{ Name, Over, Share, Queries, Attempts, Failed, P50, P99 string }
 
-type slow struct{ Title, Waterfall string }
+type slowQuery struct{ Title, Waterfall string }
 
 // Run writes the page.
 func (c *reportCmd) Run(out io.Writer) error {
@@ -73,9 +73,9 @@
 		return err
 	}
 	if len(f.traces) == 0 {
-		return cmp.Or(f.damage, errNothing)
+		return cmp.Or(f.damage, errNoMatch)
 	}
-	p, err := makePage(f, c.Slowest)
+	p, err := newReportData(f, c.Slowest)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	if err := pageTemplate.Execute(&b, p); err != nil {
 		return err
 	}
-	if err := writeWhole(c.Out, b.Bytes()); err != nil {
+	if err := writeFileAtomically(c.Out, b.Bytes()); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: %d queries\n", c.Out, len(f.traces))
@@ -92,7 +92,7 @@
 
 // writeWhole writes a page whole or not at all: one that is cut would pass for one without
 // bad news.
-func writeWhole(path string, text []byte) error {
+func writeFileAtomically(path string, text []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".loft-*")
 	if err != nil {
 		return err
@@ -107,13 +107,13 @@
 	return err
 }
 
-func makePage(f found, slowest int) (*page, error) {
+func newReportData(f traceSet, slowest int) (*reportData, error) {
 	list := f.traces
-	stands := 0.0
-	hows, kept := map[string]int{}, map[string]int{}
+	represented := 0.0
+	endings, kept := map[string]int{}, map[string]int{}
 	for _, t := range list {
-		stands += t.Weight
-		hows[otlp.HowName(t.How)]++
+		represented += t.Weight
+		endings[otlp.HowName(t.How)]++
 		names := otlp.KeepNames(t.Keep)
 		if len(names) == 0 {
 			kept["chance"]++
@@ -122,29 +122,29 @@
 			kept[n]++
 		}
 	}
-	p := &page{From: list[0].At.UTC().Format(time.DateTime), To: list[len(list)-1].At.UTC().Format(time.DateTime), Queries: len(list),
-		Standing: fmt.Sprintf("%.0f", stands), Ended: counts(hows), Kept: counts(kept)}
+	p := &reportData{From: list[0].At.UTC().Format(time.DateTime), To: list[len(list)-1].At.UTC().Format(time.DateTime), Queries: len(list),
+		Standing: fmt.Sprintf("%.0f", represented), Ended: sortedCounts(endings), Kept: sortedCounts(kept)}
 	for _, by := range []string{"node", "zone", "cause", "class"} {
-		p.Tables = append(p.Tables, tableOf(list, by))
+		p.Tables = append(p.Tables, newCostTable(list, by))
 	}
-	for _, draw := range []func([]*otlp.Trace) (figure, error){timeline, overByNode, timesByNode} {
+	for _, draw := range []func([]*otlp.Trace) (figure, error){plotDurations, plotOverTargetByNode, plotDurationsByNode} {
 		fig, err := draw(list)
 		if err != nil {
 			return nil, fmt.Errorf("plotting: %w", err)
 		}
 		p.Plots = append(p.Plots, fig)
 	}
-	bad := slices.Clone(list)
-	slices.SortStableFunc(bad, bySlowness)
-	for _, t := range bad[:min(len(bad), slowest)] {
+	slowestQueries := slices.Clone(list)
+	slices.SortStableFunc(slowestQueries, slowestFirst)
+	for _, t := range slowestQueries[:min(len(slowestQueries), slowest)] {
 		var b strings.Builder
-		waterfall(&b, t, 80)
-		p.Slowest = append(p.Slowest, slow{fmt.Sprintf("%s over, %s: %s, %s", span(over(t)), t.Class, costMost(t), t.Query.Trace), b.String()})
+		writeWaterfall(&b, t, 80)
+		p.Slowest = append(p.Slowest, slowQuery{fmt.Sprintf("%s over, %s: %s, %s", formatDuration(overTarget(t)), t.Class, longestSegment(t), t.Query.Trace), b.String()})
 	}
 	var lost strings.Builder
-	saidLost(&lost, f)
+	writeLosses(&lost, f)
 	p.Lost = lost.String()
-	if d, ok := f.damage.(*damaged); ok {
+	if d, ok := f.damage.(*damagedFiles); ok {
 		for _, x := range d.list {
 			p.Damage += x.Error() + "\n"
 		}
@@ -152,20 +152,20 @@
 	return p, nil
 }
 
-func counts(m map[string]int) (list []count) {
+func sortedCounts(m map[string]int) (list []namedCount) {
 	for name, n := range m {
-		list = append(list, count{name, n})
+		list = append(list, namedCount{name, n})
 	}
-	slices.SortFunc(list, func(a, b count) int { return cmp.Or(cmp.Compare(b.N, a.N), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(list, func(a, b namedCount) int { return cmp.Or(cmp.Compare(b.N, a.N), cmp.Compare(a.Name, b.Name)) })
 	return list
 }
 
-func tableOf(list []*otlp.Trace, by string) costTable {
-	rows, total := costs(list, by)
+func newCostTable(list []*otlp.Trace, by string) costTable {
+	rows, total := summarizeCosts(list, by)
 	t := costTable{By: by}
 	for _, r := range rows {
-		t.Rows = append(t.Rows, costRow{r.name, span(r.over), r.share(total), fmt.Sprint(r.queries), fmt.Sprint(r.attempts),
-			fmt.Sprint(r.wrong), r.quantile(0.5), r.quantile(0.99)})
+		t.Rows = append(t.Rows, costRow{r.name, formatDuration(r.overTarget), r.formatShare(total), fmt.Sprint(r.queries), fmt.Sprint(r.attempts),
+			fmt.Sprint(r.failed), r.formatQuantile(0.5), r.formatQuantile(0.99)})
 	}
 	return t
 }
@@ -176,13 +176,13 @@
 )
 
 // timeline is each query's time, by when it began.
-func timeline(list []*otlp.Trace) (figure, error) {
+func plotDurations(list []*otlp.Trace) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds from the first", "ms"
 	var good, bad plotter.XYs
 	for _, t := range list {
 		xy := plotter.XY{X: t.At.Sub(list[0].At).Seconds(), Y: float64(t.End) / 1e6}
-		if over(t) > 0 || t.Keep&tracing.NotServed != 0 {
+		if overTarget(t) > 0 || t.Keep&tracing.NotServed != 0 {
 			bad = append(bad, xy)
 		} else {
 			good = append(good, xy)
@@ -206,18 +206,18 @@
 	}
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	return svg("How long queries took", p)
+	return renderSVG("How long queries took", p)
 }
 
 // overByNode is the time over wanted that each node is charged for.
-func overByNode(list []*otlp.Trace) (figure, error) {
-	rows, _ := costs(list, "node")
+func plotOverTargetByNode(list []*otlp.Trace) (figure, error) {
+	rows, _ := summarizeCosts(list, "node")
 	p := plot.New()
 	p.Y.Label.Text = "seconds over wanted"
 	var values plotter.Values
 	var names []string
-	for _, r := range rows[:min(len(rows), mostBars)] {
-		values, names = append(values, r.over.Seconds()), append(names, r.name)
+	for _, r := range rows[:min(len(rows), maxPlottedNodes)] {
+		values, names = append(values, r.overTarget.Seconds()), append(names, r.name)
 	}
 	if len(values) > 0 {
 		bars, err := plotter.NewBarChart(values, vg.Points(18))
@@ -228,11 +228,11 @@
 		p.Add(bars)
 		p.NominalX(names...)
 	}
-	return svg("Time over wanted, by node", p)
+	return renderSVG("Time over wanted, by node", p)
 }
 
 // timesByNode is how long answered attempts took at each node.
-func timesByNode(list []*otlp.Trace) (figure, error) {
+func plotDurationsByNode(list []*otlp.Trace) (figure, error) {
 	times := map[string]plotter.Values{}
 	for _, t := range list {
 		for i := range t.Attempts {
@@ -241,12 +241,12 @@
 			}
 		}
 	}
-	rows, _ := costs(list, "node")
+	rows, _ := summarizeCosts(list, "node")
 	p := plot.New()
 	p.Y.Label.Text = "ms, answered attempts"
 	var names []string
 	for _, r := range rows {
-		if len(times[r.name]) == 0 || len(names) == mostBars {
+		if len(times[r.name]) == 0 || len(names) == maxPlottedNodes {
 			continue
 		}
 		box, err := plotter.NewBoxPlot(vg.Points(16), float64(len(names)), times[r.name])
@@ -259,12 +259,14 @@
 	if len(names) > 0 {
 		p.NominalX(names...)
 	}
-	return svg("How long nodes took to answer", p)
+	return renderSVG("How long nodes took to answer", p)
 }
 
-func svg(title string, p *plot.Plot) (figure, error) { return svgOf(title, p, plotWidth, plotHeight) }
+func renderSVG(title string, p *plot.Plot) (figure, error) {
+	return renderSVGSized(title, p, plotWidth, plotHeight)
+}
 
-func svgOf(title string, p *plot.Plot, width, height vg.Length) (figure, error) {
+func renderSVGSized(title string, p *plot.Plot, width, height vg.Length) (figure, error) {
 	w, err := p.WriterTo(width, height, "svg")
 	if err != nil {
 		return figure{}, err
--- a/cmd/loft/settings.go
+++ b/cmd/loft/settings.go
@@ -36,30 +36,30 @@
 }
 
 // ask asks a mixer. The error of an answer is an error.
-func (m fleetMember) ask(q accord.Request) (x accord.Response, err error) {
+func (m fleetMember) sendRequest(request accord.Request) (response accord.Response, err error) {
 	keys, err := link.ReadKeys(m.KeyFile)
 	if err != nil {
-		return x, err
+		return response, err
 	}
-	question, err := jsoniter.Marshal(q)
+	payload, err := jsoniter.Marshal(request)
 	if err != nil {
-		return x, err
+		return response, err
 	}
-	text, err := link.Ask(m.Address, m.Fleet, keys, question, m.Wait)
+	text, err := link.Ask(m.Address, m.Fleet, keys, payload, m.Wait)
 	if err != nil {
-		return x, fmt.Errorf("%s: %w", m.Address, err)
+		return response, fmt.Errorf("%s: %w", m.Address, err)
 	}
-	if err := jsoniter.Unmarshal(text, &x); err != nil || x.LeaseMS == 0 {
-		return x, fmt.Errorf("%s: this mixer agrees on no settings (fleet.accord)", m.Address)
+	if err := jsoniter.Unmarshal(text, &response); err != nil || response.LeaseMS == 0 {
+		return response, fmt.Errorf("%s: this mixer agrees on no settings (fleet.accord)", m.Address)
 	}
-	if x.Error != "" {
-		return x, fmt.Errorf("%s: %s", cmp.Or(x.Mixer, m.Address), x.Error)
+	if response.Error != "" {
+		return response, fmt.Errorf("%s: %s", cmp.Or(response.Mixer, m.Address), response.Error)
 	}
-	return x, nil
+	return response, nil
 }
 
 // evaluate turns a Jsonnet file into the document that mixers take, in one form.
-func evaluate(path string) (string, error) {
+func evaluateDocument(path string) (string, error) {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&jsonnet.FileImporter{JPaths: []string{filepath.Dir(path)}})
 	text, err := vm.EvaluateFile(path)
@@ -74,32 +74,32 @@
 	return string(out), err
 }
 
-var firstKey = regexp.MustCompile(`^([a-z_]+)(?:\.([^:]+)|\[\d+\])?:`)
+var errorKeyPattern = regexp.MustCompile(`^([a-z_]+)(?:\.([^:]+)|\[\d+\])?:`)
 
 // placed adds to an error on a key of a document the line of the file that names it.
-func placed(path string, err error) error {
+func withLineNumbers(path string, err error) error {
 	source, e := os.ReadFile(path)
 	if err == nil || e != nil {
 		return err
 	}
 	var list []error
 	for _, line := range strings.Split(err.Error(), "\n") {
-		at := path
-		if m := firstKey.FindStringSubmatch(line); m != nil {
+		location := path
+		if m := errorKeyPattern.FindStringSubmatch(line); m != nil {
 			for _, key := range []string{m[2], m[1]} { // the inner one is nearer
-				if i := keyAt(source, key); i > 0 {
-					at = fmt.Sprintf("%s:%d", path, i)
+				if i := lineOfKey(source, key); i > 0 {
+					location = fmt.Sprintf("%s:%d", path, i)
 					break
 				}
 			}
 		}
-		list = append(list, fmt.Errorf("%s: %s", at, line))
+		list = append(list, fmt.Errorf("%s: %s", location, line))
 	}
 	return errors.Join(list...)
 }
 
 // keyAt is the line on which a key stands as such; 0: none does.
-func keyAt(source []byte, key string) int {
+func lineOfKey(source []byte, key string) int {
 	if key == "" {
 		return 0
 	}
@@ -126,15 +126,15 @@
 }
 
 // checked evaluates a document and checks it as a mixer with these settings would.
-func checked(file, conf string) (text string, rules version.Rules, set settings.Settings, err error) {
-	if text, err = evaluate(file); err != nil {
+func checkDocument(file, conf string) (text string, rules version.Rules, set settings.Settings, err error) {
+	if text, err = evaluateDocument(file); err != nil {
 		return
 	}
 	if set, err = mixerSettings(conf); err != nil {
 		return
 	}
 	rules, err = config.Document(text, set)
-	return text, rules, set, placed(file, err)
+	return text, rules, set, withLineNumbers(file, err)
 }
 
 type settingsCheckCmd struct {
@@ -144,7 +144,7 @@
 
 // Run implements a command.
 func (c settingsCheckCmd) Run(out io.Writer) error {
-	text, _, _, err := checked(c.File, c.Config)
+	text, _, _, err := checkDocument(c.File, c.Config)
 	if err != nil {
 		return err
 	}
@@ -160,22 +160,22 @@
 
 // Run implements a command.
 func (c settingsDiffCmd) Run(out io.Writer) error {
-	text, next, set, err := checked(c.File, c.Config)
+	text, next, set, err := checkDocument(c.File, c.Config)
 	if err != nil {
 		return err
 	}
-	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
+	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
-	old, err := config.Document(x.State.InForce().Text, set)
+	old, err := config.Document(response.State.InForce().Text, set)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "against version %d:\n", x.State.InForce().Number)
+	fmt.Fprintf(out, "against version %d:\n", response.State.InForce().Number)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	n := 0
-	for _, d := range differences(x.State.InForce().Text, text) {
+	for _, d := range differences(response.State.InForce().Text, text) {
 		fmt.Fprintf(w, "  %s\t%s\t-> %s\n", d.key, d.old, d.next)
 		n++
 	}
@@ -195,7 +195,7 @@
 
 // differences are the keys in which two documents differ.
 func differences(old, next string) (list []difference) {
-	flat := func(text string) map[string]string {
+	flatten := func(text string) map[string]string {
 		out := map[string]string{}
 		var doc map[string]any
 		if text == "" || stdjson.Unmarshal([]byte(text), &doc) != nil {
@@ -212,7 +212,7 @@
 		}
 		return out
 	}
-	a, b := flat(old), flat(next)
+	a, b := flatten(old), flatten(next)
 	keys := map[string]bool{}
 	for key := range a {
 		keys[key] = true
@@ -239,20 +239,20 @@
 
 // Run implements a command.
 func (c settingsProposeCmd) Run(out io.Writer) error {
-	text, err := evaluate(c.File)
+	text, err := evaluateDocument(c.File)
 	if err != nil {
 		return err
 	}
-	return propose(out, c.Member, version.Version{Text: text, Why: c.Why, Mark: c.Mark}, c.From, func(err error) error { return placed(c.File, err) })
+	return propose(out, c.Member, version.Version{Text: text, Why: c.Why, Mark: c.Mark}, c.From, func(err error) error { return withLineNumbers(c.File, err) })
 }
 
 // propose proposes a version, again as long as nobody leads the voters.
-func propose(out io.Writer, m fleetMember, v version.Version, from *uint64, at func(error) error) error {
-	x, err := m.ask(accord.Request{Op: accord.OpShow})
+func propose(out io.Writer, m fleetMember, v version.Version, from *uint64, locateError func(error) error) error {
+	response, err := m.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
-	v.BaseNumber, v.Author = x.State.Latest, os.Getenv("USER")
+	v.BaseNumber, v.Author = response.State.Latest, os.Getenv("USER")
 	if from != nil {
 		v.BaseNumber = *from
 	}
@@ -261,14 +261,14 @@
 		_, _ = rand.Read(b[:]) // never fails
 		v.Mark = hex.EncodeToString(b[:])
 	}
-	x, err = m.ask(accord.Request{Op: accord.OpPropose, Version: v})
+	response, err = m.sendRequest(accord.Request{Op: accord.OpPropose, Version: v})
 	if err != nil {
-		if x.OutcomeUnknown {
+		if response.OutcomeUnknown {
 			return fmt.Errorf("%w (--mark %s)", err, v.Mark)
 		}
-		return at(err)
+		return locateError(err)
 	}
-	fmt.Fprintf(out, "version %d is proposed; first it is tried by %s\n", x.Number, strings.Join(x.State.New.Canaries, ", "))
+	fmt.Fprintf(out, "version %d is proposed; first it is tried by %s\n", response.Number, strings.Join(response.State.New.Canaries, ", "))
 	return nil
 }
 
@@ -281,13 +281,13 @@
 // Run implements a command. What is on its way is withdrawn; else the old document is
 // proposed as a new version.
 func (c settingsRollbackCmd) Run(out io.Writer) error {
-	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
+	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
-	st := x.State
+	st := response.State
 	if st.Phase != version.PhaseSteady && c.To == nil {
-		if _, err := c.Member.ask(accord.Request{Op: accord.OpWithdraw, Number: st.New.Number, Why: c.Why}); err != nil {
+		if _, err := c.Member.sendRequest(accord.Request{Op: accord.OpWithdraw, Number: st.New.Number, Why: c.Why}); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "version %d is withdrawn\n", st.New.Number)
@@ -317,15 +317,15 @@
 
 // Run implements a command.
 func (c settingsShowCmd) Run(out io.Writer) error {
-	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
+	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
-	v := x.State.InForce()
+	v := response.State.InForce()
 	if c.Number != nil {
 		var ok bool
-		if v, ok = x.State.Find(*c.Number); !ok {
-			return errNothing
+		if v, ok = response.State.Find(*c.Number); !ok {
+			return errNoMatch
 		}
 	}
 	fmt.Fprintf(out, "// version %d, made from %d by %s: %s\n", v.Number, v.BaseNumber, cmp.Or(v.Author, "nobody"), cmp.Or(v.Why, "no reason"))
@@ -343,11 +343,11 @@
 
 // Run implements a command.
 func (c settingsHistoryCmd) Run(out io.Writer) error {
-	x, err := c.Member.ask(accord.Request{Op: accord.OpShow})
+	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
 		return err
 	}
-	st := x.State
+	st := response.State
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "version\tfrom\tby\toutcome\twhy")
 	line := func(v version.Version, outcome string) {
@@ -373,17 +373,17 @@
 func (c settingsWaitCmd) Run(out io.Writer) error {
 	var last accord.Response
 	for until := time.Now().Add(c.Patience); ; time.Sleep(200 * time.Millisecond) {
-		x, err := c.Member.ask(accord.Request{Op: accord.OpVersions})
+		response, err := c.Member.sendRequest(accord.Request{Op: accord.OpVersions})
 		if err == nil {
-			last = x
-			if v, ok := x.State.Find(c.Number); ok && strings.HasPrefix(v.Outcome, "withdrawn") {
+			last = response
+			if v, ok := response.State.Find(c.Number); ok && strings.HasPrefix(v.Outcome, "withdrawn") {
 				return fmt.Errorf("version %d was %s", c.Number, v.Outcome)
 			}
-			if x.State.Phase == version.PhaseSteady && x.State.Old.Number > c.Number {
-				return fmt.Errorf("version %d was replaced by version %d", c.Number, x.State.Old.Number)
+			if response.State.Phase == version.PhaseSteady && response.State.Old.Number > c.Number {
+				return fmt.Errorf("version %d was replaced by version %d", c.Number, response.State.Old.Number)
 			}
-			if x.State.Phase == version.PhaseSteady && x.State.Old.Number == c.Number && len(behind(x)) == 0 {
-				fmt.Fprintf(out, "all %d mixers act on version %d\n", len(x.Holders), c.Number)
+			if response.State.Phase == version.PhaseSteady && response.State.Old.Number == c.Number && len(describeLagging(response)) == 0 {
+				fmt.Fprintf(out, "all %d mixers act on version %d\n", len(response.Holders), c.Number)
 				return nil
 			}
 		}
@@ -391,21 +391,21 @@
 			if err != nil {
 				return err
 			}
-			return fmt.Errorf("not all act on version %d (%v): %s", c.Number, last.State.Phase, strings.Join(behind(last), "; "))
+			return fmt.Errorf("not all act on version %d (%v): %s", c.Number, last.State.Phase, strings.Join(describeLagging(last), "; "))
 		}
 	}
 }
 
 // behind says of each mixer that does not act on the present stage why.
-func behind(x accord.Response) (list []string) {
-	for _, h := range x.Holders {
+func describeLagging(response accord.Response) (list []string) {
+	for _, h := range response.Holders {
 		switch {
 		case h.RefusedVersion > 0:
 			list = append(list, fmt.Sprintf("%s can't act on version %d: %s", h.Name, h.RefusedVersion, h.Why))
 		case !h.Leased:
 			list = append(list, h.Name+" is there and has no lease")
-		case h.Revision < x.State.Revision:
-			list = append(list, fmt.Sprintf("%s is at stage %d of %d, for %v at most", h.Name, h.Revision, x.State.Revision, time.Duration(h.RemainingMS)*time.Millisecond))
+		case h.Revision < response.State.Revision:
+			list = append(list, fmt.Sprintf("%s is at stage %d of %d, for %v at most", h.Name, h.Revision, response.State.Revision, time.Duration(h.RemainingMS)*time.Millisecond))
 		}
 	}
 	return list
@@ -423,22 +423,22 @@
 	if c.Local {
 		op = accord.OpLocal
 	}
-	x, err := c.Member.ask(accord.Request{Op: op})
+	response, err := c.Member.sendRequest(accord.Request{Op: op})
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return lines(out, x.Holders)
+		return writeJSONLines(out, response.Holders)
 	}
-	st := x.State
+	st := response.State
 	fmt.Fprintf(out, "version %d in force, %v, stage %d; leases of %s by %s; voters %s\n", st.InForce().Number, st.Phase, st.Revision,
-		time.Duration(x.LeaseMS)*time.Millisecond, cmp.Or(x.Leader, "nobody known"), strings.Join(x.Voters, " "))
+		time.Duration(response.LeaseMS)*time.Millisecond, cmp.Or(response.Leader, "nobody known"), strings.Join(response.Voters, " "))
 	if st.LastChange != "" {
 		fmt.Fprintln(out, "last:", st.LastChange)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "mixer\tvotes\tacts on\tstage\tsince\tlease for\trefuses")
-	for _, h := range x.Holders {
+	for _, h := range response.Holders {
 		acts := fmt.Sprint("version ", h.Version)
 		switch {
 		case !h.Leased:
@@ -465,21 +465,21 @@
 
 // Run implements a command.
 func (c voterAddCmd) Run(out io.Writer) error {
-	return c.change(out, accord.OpAddVoter, "is asked to vote")
+	return c.requestChange(out, accord.OpAddVoter, "is asked to vote")
 }
 
 type voterRemoveCmd struct{ voterCmd }
 
 // Run implements a command.
 func (c voterRemoveCmd) Run(out io.Writer) error {
-	return c.change(out, accord.OpRemoveVoter, "is to leave the voters")
+	return c.requestChange(out, accord.OpRemoveVoter, "is to leave the voters")
 }
 
-func (c voterCmd) change(out io.Writer, op, what string) error {
-	x, err := c.Member.ask(accord.Request{Op: op, Name: c.Name})
+func (c voterCmd) requestChange(out io.Writer, op, outcome string) error {
+	response, err := c.Member.sendRequest(accord.Request{Op: op, Name: c.Name})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s %s; voters now: %s\n", c.Name, what, strings.Join(x.Voters, " "))
+	fmt.Fprintf(out, "%s %s; voters now: %s\n", c.Name, outcome, strings.Join(response.Voters, " "))
 	return nil
 }
--- a/cmd/loft/settings_test.go
+++ b/cmd/loft/settings_test.go
@@ -26,24 +26,24 @@
 const mixerConfig = `{"settings":{"failure_domains":["a","b"],"caps":{"max_attempts":4,"second_copies":true,"max_open":60},
 "tenants":[{"name":"retail","allowance_per_s":40}],"rules":{"further_ratio":0.4,"further_spare":10}}}`
 
-type still struct{}
+type idleModule struct{}
 
-func (still) Step(time.Duration, []decide.Event) []decide.Action { return nil }
+func (idleModule) Step(time.Duration, []decide.Event) []decide.Action { return nil }
 
-type mute struct{}
+type discardLogger struct{}
 
-func (mute) Module(string)                        {}
-func (mute) Guard(string, string, string, string) {}
-func (mute) Storm(string, string)                 {}
+func (discardLogger) Module(string)                        {}
+func (discardLogger) Guard(string, string, string, string) {}
+func (discardLogger) Storm(string, string)                 {}
 
 // nobody checks nodes.
-type nobody struct{}
+type noopProber struct{}
 
-func (nobody) Probe(broker.Node, func(decide.Outcome)) {}
+func (noopProber) Probe(broker.Node, func(decide.Outcome)) {}
 
 // alone is a fleet of one mixer, which is its only voter. It returns where it listens,
 // and the files that the commands take.
-func alone(t *testing.T) (flags []string, conf string) {
+func startSingleMixerFleet(t *testing.T) (flags []string, conf string) {
 	t.Helper()
 	dir := t.TempDir()
 	conf = filepath.Join(dir, "config.json")
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	core := broker.New(settings.Settings{}, still{}, func() time.Duration { return time.Hour + time.Since(begun) }, mute{})
+	core := broker.New(settings.Settings{}, idleModule{}, func() time.Duration { return time.Hour + time.Since(begun) }, discardLogger{})
 	f, err := link.New(core, transport.NewNet(core, transport.Limits{Conns: 64, Backlog: 1 << 20}, nil),
 		link.Config{Fleet: "one", ID: "n0", Listen: "127.0.0.1:0", Keys: keys, Period: 100 * time.Millisecond, Forget: time.Minute, Expected: 1}, zerolog.Nop())
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	f.HandleRequest, f.HandleMessage = a.HandleRequest, a.HandleMessage
 	s := survey.New(core, f, a, "n0", "a", set.Zones, 0, zerolog.Nop())
-	st := steer.New(core, a, f, nobody{}, s, steer.Config{Zones: set.Zones, Zone: zone.Config{Manual: true}}, zerolog.Nop())
+	st := steer.New(core, a, f, noopProber{}, s, steer.Config{Zones: set.Zones, Zone: zone.Config{Manual: true}}, zerolog.Nop())
 	a.OnChange = func(x accord.ActiveRules) { st.SetAgreedPlan(x.Plan) }
 	a.Zones, a.Order = s.Describe, st.Order
 	stop := make(chan struct{})
@@ -85,7 +85,7 @@
 	t.Cleanup(func() { close(stop); <-over })
 	flags = []string{f.Listen(), "--fleet", "one", "--key-file", key}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if code, out, _ := loft(t, append([]string{"versions"}, flags...)...); code == exitFound && strings.Contains(out, "version 0") {
+		if code, out, _ := runLoft(t, append([]string{"versions"}, flags...)...); code == exitOK && strings.Contains(out, "version 0") {
 			return flags, conf
 		}
 		if time.Now().After(until) {
@@ -94,7 +94,7 @@
 	}
 }
 
-func document(t *testing.T, text string) string {
+func writeDocument(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "doc.jsonnet")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -103,11 +103,11 @@
 	return path
 }
 
-func TestSettingsFromFileToMixers(t *testing.T) {
-	flags, conf := alone(t)
+func TestSettingsCommands(t *testing.T) {
+	flags, conf := startSingleMixerFleet(t)
 	run := func(want int, words ...string) string {
 		t.Helper()
-		code, out, errOut := loft(t, words...)
+		code, out, errOut := runLoft(t, words...)
 		if code != want {
 			t.Fatalf("%v: %d, %s%s", words, code, out, errOut)
 		}
@@ -123,41 +123,41 @@
 	}
 	with := func(words ...string) []string { return append(words, flags...) }
 
-	half := document(t, "local whole = 40;\n{\n  attempts: 3,\n  allowances: { retail: whole / 2 },\n  max_open: 30,\n}\n")
-	contains(run(exitFound, "settings", "check", half, "--config", conf), "is sound", `"retail":20`)
-	contains(run(exitFound, with("settings", "diff", half, "--config", conf)...), "attempts", "-> 3", "contradict", "allowances.retail", "against version 0")
-	contains(run(exitFound, with("settings", "propose", half, "--why", "a test")...), "version 1 is proposed", "n0")
-	contains(run(exitFound, with("settings", "wait", "1", "--patience", "20s")...), "all 1 mixers act on version 1")
-	contains(run(exitFound, with("settings", "diff", half, "--config", conf)...), "nothing changes")
+	half := writeDocument(t, "local whole = 40;\n{\n  attempts: 3,\n  allowances: { retail: whole / 2 },\n  max_open: 30,\n}\n")
+	contains(run(exitOK, "settings", "check", half, "--config", conf), "is sound", `"retail":20`)
+	contains(run(exitOK, with("settings", "diff", half, "--config", conf)...), "attempts", "-> 3", "contradict", "allowances.retail", "against version 0")
+	contains(run(exitOK, with("settings", "propose", half, "--why", "a test")...), "version 1 is proposed", "n0")
+	contains(run(exitOK, with("settings", "wait", "1", "--patience", "20s")...), "all 1 mixers act on version 1")
+	contains(run(exitOK, with("settings", "diff", half, "--config", conf)...), "nothing changes")
 	contains(run(exitUsage, with("settings", "propose", half, "--why", "late", "--from", "0")...), "made from version 0, the latest is 1")
-	contains(run(exitFound, with("settings", "show")...), "version 1, made from 0", `"attempts": 3`)
-
-	less := document(t, "{ attempts: 2 }")
-	contains(run(exitFound, with("settings", "propose", less, "--why", "another")...), "version 2")
-	run(exitFound, with("settings", "wait", "2", "--patience", "20s")...)
-	contains(run(exitFound, with("settings", "rollback", "--why", "it was wrong")...), "version 3 is proposed")
-	run(exitFound, with("settings", "wait", "3", "--patience", "20s")...)
-	contains(run(exitFound, with("settings", "history")...), "in force", "replaced", "it was wrong")
-	contains(run(exitFound, with("settings", "show", "--number", "3")...), `"retail": 20`)
+	contains(run(exitOK, with("settings", "show")...), "version 1, made from 0", `"attempts": 3`)
+
+	less := writeDocument(t, "{ attempts: 2 }")
+	contains(run(exitOK, with("settings", "propose", less, "--why", "another")...), "version 2")
+	run(exitOK, with("settings", "wait", "2", "--patience", "20s")...)
+	contains(run(exitOK, with("settings", "rollback", "--why", "it was wrong")...), "version 3 is proposed")
+	run(exitOK, with("settings", "wait", "3", "--patience", "20s")...)
+	contains(run(exitOK, with("settings", "history")...), "in force", "replaced", "it was wrong")
+	contains(run(exitOK, with("settings", "show", "--number", "3")...), `"retail": 20`)
 	contains(run(exitUsage, with("settings", "wait", "2", "--patience", "1s")...), "version 2 was replaced by version 3")
-	contains(run(exitFound, with("versions")...), "version 3 in force, steady", "n0", "voters n0")
-	contains(run(exitFound, with("versions", "--json", "--local")...), `"leased":true`)
+	contains(run(exitOK, with("versions")...), "version 3 in force, steady", "n0", "voters n0")
+	contains(run(exitOK, with("versions", "--json", "--local")...), `"leased":true`)
 	contains(run(exitUsage, with("voters", "remove", "n0")...), "the only voter")
 	contains(run(exitUsage, with("voters", "add", "n7")...), "n7 is not there")
 }
 
 // TestOrdersOnZones are agreed one after another, and shown.
-func TestOrdersOnZones(t *testing.T) {
-	flags, _ := alone(t)
+func TestZoneOrders(t *testing.T) {
+	flags, _ := startSingleMixerFleet(t)
 	zones := func(want int, words ...string) string {
 		t.Helper()
-		code, out, errOut := loft(t, append(append([]string{"zones"}, words...), flags...)...)
+		code, out, errOut := runLoft(t, append(append([]string{"zones"}, words...), flags...)...)
 		if code != want {
 			t.Fatalf("%v: %d, %s%s", words, code, out, errOut)
 		}
 		return out + errOut
 	}
-	for until := time.Now().Add(10 * time.Second); !strings.Contains(zones(exitFound), "as it leads"); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); !strings.Contains(zones(exitOK), "as it leads"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("it does not judge for all")
 		}
@@ -169,13 +169,13 @@
 		shown string // then, of the zones; "": it is not looked at
 	}{
 		{"leave b --why fire", exitUsage, "a, which would have to carry its work, is unknown", ""},
-		{"leave b --anyway --why fire", exitFound, "b: plan 1 is agreed", "0.00   leaving, held (an operator: fire)"},
+		{"leave b --anyway --why fire", exitOK, "b: plan 1 is agreed", "0.00   leaving, held (an operator: fire)"},
 		{"leave a --anyway --why all", exitUsage, "no zone would be left", ""},
 		{"leave z --anyway --why which", exitUsage, "z is no zone", ""},
 		{"return a --why nothing", exitUsage, "a is not left", ""},
-		{"return b --why out", exitFound, "b: plan 2 is agreed", "0.00   returning (an operator: out)"},
-		{"hold a --why exercise", exitFound, "a: plan", "1.00   in, held (an operator: exercise)"},
-		{"free a --why over", exitFound, "a: plan", ""},
+		{"return b --why out", exitOK, "b: plan 2 is agreed", "0.00   returning (an operator: out)"},
+		{"hold a --why exercise", exitOK, "a: plan", "1.00   in, held (an operator: exercise)"},
+		{"free a --why over", exitOK, "a: plan", ""},
 	} {
 		if out := zones(s.want, strings.Fields(s.words)...); !strings.Contains(out, s.text) {
 			t.Errorf("%s: %s; want %q", s.words, out, s.text)
@@ -183,24 +183,24 @@
 		if s.shown == "" {
 			continue
 		}
-		for until := time.Now().Add(10 * time.Second); !strings.Contains(zones(exitFound), s.shown); time.Sleep(20 * time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); !strings.Contains(zones(exitOK), s.shown); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("%s: %s; want %q", s.words, zones(exitFound), s.shown)
+				t.Fatalf("%s: %s; want %q", s.words, zones(exitOK), s.shown)
 			}
 		}
 	}
-	for until := time.Now().Add(20 * time.Second); strings.Contains(zones(exitFound), "returning"); time.Sleep(100 * time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); strings.Contains(zones(exitOK), "returning"); time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("b is not returned to: %s", zones(exitFound))
+			t.Fatalf("b is not returned to: %s", zones(exitOK))
 		}
 	}
-	if out := zones(exitFound, "--json"); !strings.Contains(out, `"phase":"in"`) || strings.Contains(out, "leaving") {
+	if out := zones(exitOK, "--json"); !strings.Contains(out, `"phase":"in"`) || strings.Contains(out, "leaving") {
 		t.Error(out)
 	}
 }
 
-func TestErrorsOfADocumentNameKeyAndPlace(t *testing.T) {
-	conf := document(t, mixerConfig)
+func TestDocumentErrorsNameKeyAndLine(t *testing.T) {
+	conf := writeDocument(t, mixerConfig)
 	for _, c := range []struct{ text, want string }{
 		{"{\n  sheep: 1,\n}", "doc.jsonnet:2: sheep: unknown key"},
 		{"{\n  nodes: {\n    's-1': 'no',\n  },\n}", "doc.jsonnet:2: nodes:"},
@@ -213,13 +213,13 @@
 		{"{\n  attempts: nothing,\n}", "doc.jsonnet:2:13"},
 		{"[1]", "want an object"},
 	} {
-		path := document(t, c.text)
-		code, out, errOut := loft(t, "settings", "check", path, "--config", conf)
+		path := writeDocument(t, c.text)
+		code, out, errOut := runLoft(t, "settings", "check", path, "--config", conf)
 		if code != exitUsage || !strings.Contains(errOut, c.want) {
 			t.Errorf("%s: %d, %s%s; want %s", c.text, code, out, errOut, c.want)
 		}
 	}
-	code, _, errOut := loft(t, "versions", "127.0.0.1:1", "--fleet", "one", "--key-file", conf)
+	code, _, errOut := runLoft(t, "versions", "127.0.0.1:1", "--fleet", "one", "--key-file", conf)
 	if code != exitUsage || errOut == "" {
 		t.Error(fmt.Sprint(code, errOut))
 	}
--- a/cmd/loft/tables.go
+++ b/cmd/loft/tables.go
@@ -17,7 +17,7 @@
 )
 
 type listCmd struct {
-	source
+	traceSource
 	Limit int `default:"50" help:"How many of the latest; 0: all."`
 }
 
@@ -31,11 +31,11 @@
 	if c.Limit > 0 && len(list) > c.Limit {
 		list = list[len(list)-c.Limit:]
 	}
-	return table(out, f, list)
+	return writeTraceTable(out, f, list)
 }
 
 type slowestCmd struct {
-	source
+	traceSource
 	Limit int `short:"n" default:"20" help:"How many."`
 }
 
@@ -46,30 +46,30 @@
 		return err
 	}
 	list := slices.Clone(f.traces)
-	slices.SortStableFunc(list, bySlowness)
-	return table(out, f, list[:min(len(list), c.Limit)])
+	slices.SortStableFunc(list, slowestFirst)
+	return writeTraceTable(out, f, list[:min(len(list), c.Limit)])
 }
 
 // table writes traces, a line each.
-func table(out io.Writer, f found, list []*otlp.Trace) error {
+func writeTraceTable(out io.Writer, f traceSet, list []*otlp.Trace) error {
 	if len(list) == 0 {
-		return cmp.Or(f.damage, errNothing)
+		return cmp.Or(f.damage, errNoMatch)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "BEGAN\tTRACE\tQUERY\tMIXER\tCLASS\tENDED\tTOOK\tOVER\tATTEMPTS\tCOST MOST\tKEPT FOR")
 	for _, t := range list {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", t.At.UTC().Format("01-02 15:04:05.000"), t.Query.Trace.String()[:12], t.WireID,
-			t.Mixer, t.Class, ended(t), span(t.End), span(over(t)), len(t.Attempts)+t.Dropped.Attempts, costMost(t),
+			t.Mixer, t.Class, describeEnd(t), formatDuration(t.End), formatDuration(overTarget(t)), len(t.Attempts)+t.Dropped.Attempts, longestSegment(t),
 			cmp.Or(strings.Join(otlp.KeepNames(t.Keep), ","), fmt.Sprintf("chance (1 in %.0f)", t.Weight)))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	saidLost(out, f)
+	writeLosses(out, f)
 	return f.damage
 }
 
-func ended(t *otlp.Trace) string {
+func describeEnd(t *otlp.Trace) string {
 	s := otlp.HowName(t.How)
 	if why := otlp.CauseName(t.Why); why != "" {
 		s += " (" + why + ")"
@@ -78,10 +78,10 @@
 }
 
 // saidLost repeats what the mixers said that they could not hold.
-func saidLost(out io.Writer, f found) {
+func writeLosses(out io.Writer, f traceSet) {
 	type key struct{ mixer, class string }
 	sums := map[key]tracing.Loss{}
-	for _, l := range f.lost {
+	for _, l := range f.losses {
 		k := key{l.Mixer, l.Class}
 		s := sums[k]
 		s.Always, s.Chance, s.Unrecorded = s.Always+l.Always, s.Chance+l.Chance, s.Unrecorded+l.Unrecorded
@@ -96,31 +96,31 @@
 }
 
 // costMost names what took the longest stretch of a query's critical path.
-func costMost(t *otlp.Trace) string {
-	var most tracing.Segment
+func longestSegment(t *otlp.Trace) string {
+	var longest tracing.Segment
 	for _, s := range tracing.Critical(&t.Query) {
-		if s.To-s.From > most.To-most.From {
-			most = s
+		if s.To-s.From > longest.To-longest.From {
+			longest = s
 		}
 	}
-	if most.To == most.From {
+	if longest.To == longest.From {
 		return "-"
 	}
-	return fmt.Sprintf("%s %s", where(t, most), span(most.To-most.From))
+	return fmt.Sprintf("%s %s", describeSegment(t, longest), formatDuration(longest.To-longest.From))
 }
 
 // what are the words for what time goes to.
-var what = map[tracing.What]string{tracing.Mixer: "mixer", tracing.Connect: "connect", tracing.Write: "write", tracing.Node: "answer", tracing.Read: "read"}
+var segmentNames = map[tracing.What]string{tracing.Mixer: "mixer", tracing.Connect: "connect", tracing.Write: "write", tracing.Node: "answer", tracing.Read: "read"}
 
-func where(t *otlp.Trace, s tracing.Segment) string {
+func describeSegment(t *otlp.Trace, s tracing.Segment) string {
 	if s.Attempt < 0 {
-		return what[s.What]
+		return segmentNames[s.What]
 	}
-	return t.Attempts[s.Attempt].Node + " " + what[s.What]
+	return t.Attempts[s.Attempt].Node + " " + segmentNames[s.What]
 }
 
 // span writes a time as milliseconds, or seconds where there are many.
-func span(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	switch {
 	case d == 0:
 		return "-"
@@ -133,33 +133,33 @@
 }
 
 type nodesCmd struct {
-	source
+	traceSource
 	By string `default:"node" enum:"node,zone,cause,class" help:"What the time is summed up by: node, zone, cause or class."`
 }
 
 // row is a line of the table of costs.
-type row struct {
-	name            string
-	over            time.Duration
-	queries         int // that were over their time because of it
-	attempts, wrong int
-	times           *ddsketch.DDSketch // of its answered attempts, in milliseconds; nil: none
+type costSummary struct {
+	name             string
+	overTarget       time.Duration
+	queries          int // that were over their time because of it
+	attempts, failed int
+	latencies        *ddsketch.DDSketch // of its answered attempts, in milliseconds; nil: none
 }
 
 // share is the row's part of all the time over wanted.
-func (r *row) share(total time.Duration) string {
-	return fmt.Sprintf("%.1f%%", 100*float64(r.over)/float64(max(total, 1)))
+func (r *costSummary) formatShare(total time.Duration) string {
+	return fmt.Sprintf("%.1f%%", 100*float64(r.overTarget)/float64(max(total, 1)))
 }
 
-func (r *row) quantile(q float64) string {
-	if r.times == nil {
+func (r *costSummary) formatQuantile(q float64) string {
+	if r.latencies == nil {
 		return "-"
 	}
-	v, err := r.times.GetValueAtQuantile(q)
+	v, err := r.latencies.GetValueAtQuantile(q)
 	if err != nil {
 		return "-"
 	}
-	return span(time.Duration(v * float64(time.Millisecond)))
+	return formatDuration(time.Duration(v * float64(time.Millisecond)))
 }
 
 // Run writes the table.
@@ -168,30 +168,30 @@
 	if err != nil {
 		return err
 	}
-	rows, total := costs(f.traces, c.By)
+	rows, total := summarizeCosts(f.traces, c.By)
 	if len(rows) == 0 {
-		return cmp.Or(f.damage, errNothing)
+		return cmp.Or(f.damage, errNoMatch)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%s\tOVER\tSHARE\tQUERIES\tATTEMPTS\tFAILED\tP50\tP90\tP99\n", strings.ToUpper(c.By))
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n", r.name, span(r.over), r.share(total), r.queries, r.attempts, r.wrong,
-			r.quantile(0.5), r.quantile(0.9), r.quantile(0.99))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n", r.name, formatDuration(r.overTarget), r.formatShare(total), r.queries, r.attempts, r.failed,
+			r.formatQuantile(0.5), r.formatQuantile(0.9), r.formatQuantile(0.99))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	saidLost(out, f)
+	writeLosses(out, f)
 	return f.damage
 }
 
 // costs sums the time over wanted up, the dearest first, and in all.
-func costs(list []*otlp.Trace, by string) (rows []*row, total time.Duration) {
-	all := map[string]*row{}
-	get := func(name string) *row {
+func summarizeCosts(list []*otlp.Trace, by string) (rows []*costSummary, total time.Duration) {
+	all := map[string]*costSummary{}
+	get := func(name string) *costSummary {
 		r := all[name]
 		if r == nil {
-			r = &row{name: name}
+			r = &costSummary{name: name}
 			all[name] = r
 		}
 		return r
@@ -199,8 +199,8 @@
 	for _, t := range list {
 		charged := map[string]bool{}
 		for _, c := range tracing.Over(&t.Query) {
-			r := get(nameOf(t, c.Segment, by))
-			r.over += c.Over
+			r := get(costName(t, c.Segment, by))
+			r.overTarget += c.Over
 			total += c.Over
 			if !charged[r.name] {
 				charged[r.name] = true
@@ -209,40 +209,40 @@
 		}
 		for i := range t.Attempts {
 			a := &t.Attempts[i]
-			r := get(nameOf(t, tracing.Segment{Attempt: i, What: tracing.Node}, by))
+			r := get(costName(t, tracing.Segment{Attempt: i, What: tracing.Node}, by))
 			r.attempts++
 			switch {
 			case a.Over && otlp.OutcomeName(a.Outcome) == "ok":
-				r.sample(a.End - a.Begin)
+				r.addLatency(a.End - a.Begin)
 			case !a.Over || otlp.OutcomeName(a.Outcome) != "cancelled":
-				r.wrong++
+				r.failed++
 			}
 		}
 	}
 	rows = slices.Collect(maps.Values(all))
-	slices.SortFunc(rows, func(a, b *row) int {
-		return cmp.Or(cmp.Compare(b.over, a.over), cmp.Compare(b.attempts, a.attempts), cmp.Compare(a.name, b.name))
+	slices.SortFunc(rows, func(a, b *costSummary) int {
+		return cmp.Or(cmp.Compare(b.overTarget, a.overTarget), cmp.Compare(b.attempts, a.attempts), cmp.Compare(a.name, b.name))
 	})
 	return rows, total
 }
 
-func (r *row) sample(d time.Duration) {
-	if r.times == nil {
+func (r *costSummary) addLatency(d time.Duration) {
+	if r.latencies == nil {
 		sk, err := ddsketch.NewDefaultDDSketch(0.01)
 		if err != nil {
 			return // the accuracy is a constant within its range
 		}
-		r.times = sk
+		r.latencies = sk
 	}
-	_ = r.times.Add(float64(d) / float64(time.Millisecond)) // fails only beyond any time
+	_ = r.latencies.Add(float64(d) / float64(time.Millisecond)) // fails only beyond any time
 }
 
-func nameOf(t *otlp.Trace, s tracing.Segment, by string) string {
+func costName(t *otlp.Trace, s tracing.Segment, by string) string {
 	switch {
 	case by == "class":
 		return t.Class
 	case by == "cause":
-		return what[s.What]
+		return segmentNames[s.What]
 	case s.Attempt < 0:
 		return "(mixer)"
 	case by == "zone":
--- a/cmd/loft/waterfall.go
+++ b/cmd/loft/waterfall.go
@@ -13,7 +13,7 @@
 )
 
 type showCmd struct {
-	source
+	traceSource
 	ID    string `arg:"" help:"The trace's id, the beginning of it (4 digits or more), or a query's id."`
 	Width int    `default:"60" help:"Columns of the waterfall."`
 }
@@ -24,24 +24,24 @@
 	if err != nil {
 		return err
 	}
-	list := f.byID(c.ID)
+	list := f.findByID(c.ID)
 	if len(list) == 0 {
-		return cmp.Or(f.damage, fmt.Errorf("%w: no trace or query %q", errNothing, c.ID))
+		return cmp.Or(f.damage, fmt.Errorf("%w: no trace or query %q", errNoMatch, c.ID))
 	}
 	if i := slices.IndexFunc(list, func(t *otlp.Trace) bool { return t.Query.Trace != list[0].Query.Trace }); i >= 0 {
 		return fmt.Errorf("%q is the beginning of several traces, such as %v and %v", c.ID, list[0].Query.Trace, list[i].Query.Trace)
 	}
 	fmt.Fprintf(out, "trace %v, %d queries\n", list[0].Query.Trace, len(list))
 	for _, t := range list {
-		waterfall(out, t, max(20, c.Width))
+		writeWaterfall(out, t, max(20, c.Width))
 	}
 	return f.damage
 }
 
 // waterfall draws one query: a line for each attempt, under its part.
-func waterfall(out io.Writer, t *otlp.Trace, width int) {
+func writeWaterfall(out io.Writer, t *otlp.Trace, width int) {
 	fmt.Fprintf(out, "\n%s  query %s at %s, class %s over %s: %s after %s, wanted within %s, given up at %s\n", t.At.UTC().Format(time.RFC3339Nano),
-		t.WireID, t.Mixer, t.Class, t.Front, ended(t), span(t.End), span(t.Wanted), span(t.Deadline))
+		t.WireID, t.Mixer, t.Class, t.Front, describeEnd(t), formatDuration(t.End), formatDuration(t.Wanted), formatDuration(t.Deadline))
 	if t.Query.Version > 0 {
 		fmt.Fprintf(out, "by version %d of the settings\n", t.Query.Version)
 	}
@@ -53,27 +53,27 @@
 	if d := t.Dropped; d != (tracing.Dropped{}) {
 		fmt.Fprintf(out, "not held: %d parts, %d attempts, %d events\n", d.Parts, d.Attempts, d.Events)
 	}
-	whole := max(t.End, 1)
+	total := max(t.End, 1)
 	for i := range t.Attempts {
-		whole = max(whole, t.Attempts[i].End)
+		total = max(total, t.Attempts[i].End)
 	}
-	at := func(d time.Duration) int { return int(int64(width-1) * int64(min(max(d, 0), whole)) / int64(whole)) }
+	column := func(d time.Duration) int { return int(int64(width-1) * int64(min(max(d, 0), total)) / int64(total)) }
 	scale := []byte(strings.Repeat(" ", width))
-	if t.Wanted < whole {
-		scale[at(t.Wanted)] = 'w'
+	if t.Wanted < total {
+		scale[column(t.Wanted)] = 'w'
 	}
-	scale[at(t.End)] = 'E'
+	scale[column(t.End)] = 'E'
 	fmt.Fprintf(out, "%-44s|%s|\n", "  w wanted, E end; - connect, ~ write, = answer", scale)
 	for p := range t.Parts {
 		part := &t.Parts[p]
-		state := "in after " + span(part.End-part.Begin)
+		state := "in after " + formatDuration(part.End-part.Begin)
 		if !part.In {
 			state = "never in"
 		}
 		fmt.Fprintf(out, "step %d slice %-4d %s\n", part.Step+1, part.Shard, state)
 		for i := range t.Attempts {
 			if a := &t.Attempts[i]; int(a.Part) == p {
-				fmt.Fprintf(out, "  %-42s|%s| %s\n", label(t, a), bar(t, a, width, at), outcome(t, a))
+				fmt.Fprintf(out, "  %-42s|%s| %s\n", attemptLabel(t, a), attemptBar(t, a, width, column), attemptOutcome(t, a))
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 		if e.Part >= 0 && int(e.Part) < len(t.Parts) {
 			about = fmt.Sprintf(" slice %d", t.Parts[e.Part].Shard)
 		}
-		fmt.Fprintf(out, "event at %s: %s%s %s\n", span(e.At), otlp.EventName(e.Kind), about, e.Text)
+		fmt.Fprintf(out, "event at %s: %s%s %s\n", formatDuration(e.At), otlp.EventName(e.Kind), about, e.Text)
 	}
 	fmt.Fprintln(out, "critical path:")
 	for _, s := range tracing.Critical(&t.Query) {
@@ -91,11 +91,11 @@
 		if s.Part >= 0 {
 			about = fmt.Sprintf(" (slice %d)", t.Parts[s.Part].Shard)
 		}
-		fmt.Fprintf(out, "  %8s  %5.1f%%  %s%s\n", span(s.To-s.From), share, where(t, s), about)
+		fmt.Fprintf(out, "  %8s  %5.1f%%  %s%s\n", formatDuration(s.To-s.From), share, describeSegment(t, s), about)
 	}
 }
 
-func label(t *otlp.Trace, a *tracing.Attempt) string {
+func attemptLabel(t *otlp.Trace, a *tracing.Attempt) string {
 	s := fmt.Sprintf("%s %s", a.Node, otlp.ReasonName(a.Reason))
 	if zone := t.Zone(a); zone != "" {
 		s = fmt.Sprintf("%s (%s) %s", a.Node, zone, otlp.ReasonName(a.Reason))
@@ -107,14 +107,14 @@
 }
 
 // bar draws an attempt's stretches.
-func bar(t *otlp.Trace, a *tracing.Attempt, width int, at func(time.Duration) int) string {
+func attemptBar(t *otlp.Trace, a *tracing.Attempt, width int, column func(time.Duration) int) string {
 	b := []byte(strings.Repeat(" ", width))
 	end := a.End
 	if !a.Over {
 		end = t.End
 	}
 	fill := func(from, to time.Duration, c byte) {
-		for i := at(from); i <= at(to); i++ {
+		for i := column(from); i <= column(to); i++ {
 			b[i] = c
 		}
 	}
@@ -128,10 +128,10 @@
 	return string(b)
 }
 
-func outcome(t *otlp.Trace, a *tracing.Attempt) string {
+func attemptOutcome(t *otlp.Trace, a *tracing.Attempt) string {
 	s := "open at the end"
 	if a.Over {
-		s = otlp.OutcomeName(a.Outcome) + " after " + span(a.End-a.Begin)
+		s = otlp.OutcomeName(a.Outcome) + " after " + formatDuration(a.End-a.Begin)
 	}
 	if a.Won {
 		s += ", won"
--- a/cmd/loft/zones.go
+++ b/cmd/loft/zones.go
@@ -15,12 +15,12 @@
 )
 
 // judged asks for the fleet's judgement; whoever knows none has no zones.
-func judged(m fleetMember, op string) (v survey.View, err error) {
-	x, err := m.ask(accord.Request{Op: op})
-	if err != nil || len(x.Zones) == 0 {
+func requestZoneView(m fleetMember, op string) (v survey.View, err error) {
+	response, err := m.sendRequest(accord.Request{Op: op})
+	if err != nil || len(response.Zones) == 0 {
 		return v, err
 	}
-	if err := jsoniter.Unmarshal(x.Zones, &v); err != nil {
+	if err := jsoniter.Unmarshal(response.Zones, &v); err != nil {
 		return v, fmt.Errorf("the answer can't be read: %w", err)
 	}
 	return v, nil
@@ -39,7 +39,7 @@
 	if c.Own {
 		op = accord.OpLocalZones
 	}
-	v, err := judged(c.Member, op)
+	v, err := requestZoneView(c.Member, op)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 		return errors.New("the mixer judges no zones: an older program")
 	}
 	if c.JSON {
-		return lines(out, v.Zones)
+		return writeJSONLines(out, v.Zones)
 	}
 	by := "by its own evidence"
 	if v.Whole {
@@ -83,12 +83,12 @@
 	Why    string      `required:"" help:"One line for whoever reads the plan."`
 }
 
-func (c zoneCmd) order(out io.Writer, name, done string) error {
-	x, err := c.Member.ask(accord.Request{Op: accord.OpZoneOrder, Name: c.Zone, Order: name, Why: c.Why})
+func (c zoneCmd) sendOrder(out io.Writer, order, effect string) error {
+	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpZoneOrder, Name: c.Zone, Order: order, Why: c.Why})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: plan %d is agreed: %s\n", c.Zone, x.State.PlanSeq, done)
+	fmt.Fprintf(out, "%s: plan %d is agreed: %s\n", c.Zone, response.State.PlanSeq, effect)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 
 // Run implements a command.
 func (c zonesLeaveCmd) Run(out io.Writer) error {
-	v, err := judged(c.Member, accord.OpZones)
+	v, err := requestZoneView(c.Member, accord.OpZones)
 	if err != nil {
 		return err
 	}
@@ -108,26 +108,26 @@
 			return fmt.Errorf("%s, which would have to carry its work, is %s (%s); --anyway leaves %s all the same", l.Zone, l.Verdict, l.Why, c.Zone)
 		}
 	}
-	return c.order(out, "leave", "nothing is sent there but what only its nodes hold, until another word")
+	return c.sendOrder(out, "leave", "nothing is sent there but what only its nodes hold, until another word")
 }
 
 type zonesReturnCmd struct{ zoneCmd }
 
 // Run implements a command.
 func (c zonesReturnCmd) Run(out io.Writer) error {
-	return c.order(out, "return", "it is returned to step by step, whatever it looks like")
+	return c.sendOrder(out, "return", "it is returned to step by step, whatever it looks like")
 }
 
 type zonesHoldCmd struct{ zoneCmd }
 
 // Run implements a command.
 func (c zonesHoldCmd) Run(out io.Writer) error {
-	return c.order(out, "hold", "it stays as it is, until another word")
+	return c.sendOrder(out, "hold", "it stays as it is, until another word")
 }
 
 type zonesFreeCmd struct{ zoneCmd }
 
 // Run implements a command.
 func (c zonesFreeCmd) Run(out io.Writer) error {
-	return c.order(out, "free", "the mixers decide again, where they may")
+	return c.sendOrder(out, "free", "the mixers decide again, where they may")
 }
