--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// cluster is mixers on one clock that doubt one node, as the module does: after each finding
-// they ask again 3.75 to 6.25 s later.
+// cluster is mixers on one clock that doubt one node as the module does: 3.75 to 6.25 s after
+// each result they ask again.
 type cluster struct {
 	t      *testing.T
 	now    time.Duration
@@ -34,9 +34,9 @@
 	i        int
 	p        *Probes
 	dead     bool
-	isolated bool // hears nobody, is not heard
+	isolated bool // neither receives nor sends announcements
 	paused   []func()
-	isPaused bool // it stands still
+	isPaused bool // the process is stopped; its timers fire when it resumes
 }
 
 func newCluster(t *testing.T, size int, seed uint64) *cluster {
@@ -59,7 +59,7 @@
 
 func (m *mixer) Now() time.Duration { return m.now }
 
-// After has something done unless the mixer is dead; once it wakes, if it stands still.
+// After runs fn unless the mixer is dead; if it is paused, once it resumes.
 func (m *mixer) After(d time.Duration, fn func()) {
 	m.events.Add(m.now+d, func() {
 		switch {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Probe is of the node.
+// Probe simulates the node.
 func (m *mixer) Probe(_ broker.Node, done func(decide.Outcome)) {
 	m.checks, m.by = append(m.checks, m.now), append(m.by, m.i)
 	if m.sound {
@@ -108,8 +108,8 @@
 
 func (c *cluster) run(d time.Duration) { c.events.Run(&c.now, d, nil) }
 
-// assertCheckRate asserts the promise on the checks since a time: none for longer than two intervals,
-// and seven in any three.
+// assertCheckRate asserts on the checks since a time that no two are more than two intervals
+// (10 s) apart, and that no three intervals (15 s) have more than seven.
 func (c *cluster) assertCheckRate(what string, since time.Duration) {
 	c.t.Helper()
 	list := c.checks[slices.IndexFunc(c.checks, func(at time.Duration) bool { return at >= since }):]
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestOneMixerChecksAtATime has a silent node checked by one mixer at a time, also when the one whose
-// duty it is dies, another one stands still, and it takes a while until all know who is next.
+// TestOneMixerChecksAtATime: a silent node is checked by one mixer at a time, also when the
+// owner dies, another mixer is paused, and it takes a while until all know the next owner.
 func TestOneMixerChecksAtATime(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 9, 40} {
 		for seed := range uint64(20) {
@@ -153,7 +153,8 @@
 	}
 }
 
-// TestIsolatedMixerChecksAlone: it neither waits for an owner nor tells what it finds.
+// TestIsolatedMixerChecksAlone: a mixer that is cut off neither waits for an owner nor
+// announces its results.
 func TestIsolatedMixerChecksAlone(t *testing.T) {
 	c := newCluster(t, 5, 1)
 	c.all[3].isolated = true
@@ -175,7 +176,8 @@
 	}
 }
 
-// TestRepeatedDoubtIsCheckedLocally: a node that another reaches and we don't is checked from here.
+// TestRepeatedDoubtIsCheckedLocally: a node that another mixer reaches and this one doubts
+// again is checked from here.
 func TestRepeatedDoubtIsCheckedLocally(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	c.sound = true
