--- a/internal/fleet/keep/keep.go
+++ b/internal/fleet/keep/keep.go
@@ -1,6 +1,5 @@
-// Package keep writes what a mixer wants to find again after a restart. The file is the
-// old one or the new one, never half, and nobody waits for the disk but a goroutine of
-// the file's own.
+// Package keep writes small files that a mixer reads after a restart. A file is replaced
+// atomically, and a goroutine of its own waits for the disk, so that no caller does.
 package keep
 
 import (
@@ -14,29 +13,30 @@
 // File is a small file that is replaced as a whole.
 type File struct {
 	path        string
-	description string // in log lines: "the fleet's snapshot"
+	description string // for log lines: "the fleet's snapshot"
 	log         zerolog.Logger
 	next        chan []byte
 	lastPut     []byte
 	failing     bool
 }
 
-// New keeps a file from now on.
+// New returns a File and starts the goroutine that writes it. description names the file in
+// log lines.
 func New(path, description string, log zerolog.Logger) *File {
 	f := &File{path: path, description: description, log: log, next: make(chan []byte, 1)}
 	go f.run()
 	return f
 }
 
-// Put hands in the file's text. Only one goroutine may; of those that wait, the latest
-// counts.
+// Put hands over the file's new content and doesn't wait for the disk. Only one goroutine may
+// call it. If writes are slower than calls, the latest content is written.
 func (f *File) Put(text []byte) {
 	if slices.Equal(text, f.lastPut) {
 		return
 	}
 	f.lastPut = text
 	select {
-	case <-f.next: // an older one that was not written yet
+	case <-f.next: // older content that was not written yet
 	default:
 	}
 	f.next <- text
@@ -55,7 +55,7 @@
 	}
 }
 
-// Write replaces a file in one step.
+// Write replaces a file atomically, by a synced temporary file that is renamed.
 func Write(path string, text []byte) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	defer func() {
 		if err != nil {
-			_ = os.Remove(f.Name()) // the first error counts
+			_ = os.Remove(f.Name()) // the first error is returned
 		}
 	}()
 	if _, err = f.Write(text); err == nil {
--- a/internal/fleet/keep/keep_test.go
+++ b/internal/fleet/keep/keep_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestPutDoesNotBlock hands in more than a disk that stands still can take.
+// TestPutDoesNotBlock guards the core's goroutine against a disk that no longer answers.
 func TestPutDoesNotBlock(t *testing.T) {
-	f := &File{next: make(chan []byte, 1)} // nobody reads: the disk stands still
+	f := &File{next: make(chan []byte, 1)} // nobody reads: the disk does not answer
 	for i := range 100 {
 		f.Put([]byte(strconv.Itoa(i)))
 	}
