--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -1,8 +1,8 @@
 // Package steer has the mixers of a fleet leave a zone whose stock nodes fail, and return to
-// it, as one: at the leader of the voters it turns the judgement of all into a plan and
-// has that agreed, at every mixer it says what share of the parts each zone is to get.
-// What is decided is zone's to say, and how it is agreed accord's. It does no I/O of its
-// own; all of it runs on the core's goroutine.
+// it, together. At the leader of the voters it turns the judgement by all reports into a plan
+// and proposes it to the voters; at every mixer it tells what share of its parts each zone
+// gets. Package zone has the rules of the plan, and package accord has the voters agree on it.
+// This package does no I/O of its own; all of it runs on the core's goroutine.
 package steer
 
 import (
@@ -28,12 +28,12 @@
 
 const (
 	checkInterval       = 250 * time.Millisecond
-	leftZoneCheckRate   = 8.0                    // checks a second of the nodes of a zone that is left, by all mixers of one zone,
-	silentZoneCheckRate = 16.0                   // and of one that is silent and not left yet
-	orderRetryInterval  = 100 * time.Millisecond // while another plan is being agreed
+	leftZoneCheckRate   = 8.0                    // checks a second of the nodes of a zone that is left, by all mixers of one zone
+	silentZoneCheckRate = 16.0                   // checks a second of the nodes of a zone that is silent and not left yet
+	orderRetryInterval  = 100 * time.Millisecond // while another plan is being agreed on
 	maxOrderRetries     = 20
-	estimateInterval    = time.Second
-	startTimeTolerance  = 500 * time.Millisecond // two words on one start differ by less
+	estimateInterval    = time.Second            // between two estimates of the zones' capacities
+	startTimeTolerance  = 500 * time.Millisecond // two reports of one start of a node differ by less
 )
 
 // Core is what this package needs of the core.
@@ -44,24 +44,25 @@
 	Only(zone int) float64
 }
 
-// Accord is what it needs of what the mixers agree on.
+// Accord is what this package needs of the agreement among the voters.
 type Accord interface {
 	Leader() string
 	AgreedState() version.State
 	SetZonePlan(seq uint64, plan, why string, done func(error))
 }
 
-// Fleet says how many mixers of this one's zone are there, itself among them.
+// Fleet counts the live mixers of this mixer's zone, itself included.
 type Fleet interface{ ZoneMemberCount() int }
 
-// Config is how a mixer takes part.
+// Config is a mixer's configuration of this package.
 type Config struct {
-	Zones []string // as nodes name them by number
+	Zones []string // in the order of the zone numbers of nodes
 	Zone  zone.Config
 	Seed  uint64
 }
 
-// Controller is a mixer's part.
+// Controller controls the zones' shares of one mixer's parts, and at the leader the plan of
+// the fleet.
 type Controller struct {
 	core   Core
 	accord Accord
@@ -72,12 +73,12 @@
 	log    zerolog.Logger
 	rng    *rand.Rand
 
-	// OnSharesChange is called when this mixer's own evidence changes the shares of the zones; whoever
-	// calls Agreed asks for Shares itself.
+	// OnSharesChange is called when this mixer's own evidence changes the shares of the zones.
+	// After SetAgreedPlan the caller reads Shares itself.
 	OnSharesChange func()
 
-	agreedPlan    zone.Plan // the plan that is known here
-	effectivePlan zone.Plan // with what this mixer adds by its own evidence
+	agreedPlan    zone.Plan // the latest plan known here to be agreed on
+	effectivePlan zone.Plan // agreedPlan with what this mixer adds by its own evidence
 
 	leads             bool
 	planner           *zone.Planner
@@ -90,13 +91,15 @@
 	checkCredit []float64 // checks that are due, by zone
 }
 
-// returnStep is a returnStep of a return: when its nodes had started as it began.
+// returnStep is a step of a return to a zone, with the start times of its nodes as the step
+// began.
 type returnStep struct {
 	seq     int
 	started map[string]time.Duration
 }
 
-// New takes part from Start on. The survey sees what nodes checks. It has the survey tell it of each judgement.
+// New returns a Controller. nodes carries out checks, whose results the survey has to observe.
+// New sets the callbacks OnJudgement and Stand of the survey.
 func New(core Core, a Accord, f Fleet, nodes broker.Prober, s *survey.Survey, c Config, log zerolog.Logger) *Controller {
 	st := &Controller{core: core, accord: a, fleet: f, nodes: nodes, survey: s, c: c, log: log, rng: rand.New(rand.NewPCG(c.Seed, 11)), checkCredit: make([]float64, len(c.Zones))}
 	for i := range st.checkCredit {
@@ -107,14 +110,15 @@
 	return st
 }
 
-// Start begins, on the core's goroutine.
+// Start begins the checks. It runs on the core's goroutine.
 func (s *Controller) Start() { s.core.After(checkInterval, s.checkZones) }
 
-// SetAgreedPlan takes the plan that this mixer knows to be agreed; "": there is none.
+// SetAgreedPlan takes the plan that this mixer knows to be agreed on; "": none. A plan older
+// than the present one is ignored.
 func (s *Controller) SetAgreedPlan(text string) {
 	p, err := parsePlan(text)
 	if err != nil {
-		s.log.Error().Err(err).Msg("zones: a plan can't be read") // by a program that is not ours
+		s.log.Error().Err(err).Msg("zones: a plan can't be read") // written by another program
 		return
 	}
 	if p.Seq < s.agreedPlan.Seq {
@@ -131,7 +135,8 @@
 	return p, err
 }
 
-// updateEffectivePlan works out what this mixer acts on, and reports whether a share is another one.
+// updateEffectivePlan computes the effective plan and reports whether the share of a zone
+// changed.
 func (s *Controller) updateEffectivePlan() (changed bool) {
 	own, _ := s.survey.LatestJudgement()
 	was := s.effectivePlan
@@ -146,8 +151,8 @@
 	return changed
 }
 
-// Shares is the share of its parts that each zone is to get, by the zone's number; nil: all
-// get the whole.
+// Shares returns the share of its parts that each zone is to get, by zone number; nil: all
+// zones get all of theirs.
 func (s *Controller) Shares() []float64 {
 	list := make([]float64, len(s.c.Zones))
 	for i, z := range s.c.Zones {
@@ -159,7 +164,8 @@
 	return list
 }
 
-// handleJudgement is called after each judgement.
+// handleJudgement is called after each judgement of the survey. At the leader it updates the
+// capacities and proposes the next plan if there is one.
 func (s *Controller) handleJudgement(leads bool) {
 	if s.updateEffectivePlan() && s.OnSharesChange != nil {
 		s.OnSharesChange()
@@ -182,18 +188,18 @@
 		s.capacities = s.capacityEstimator.Update(now, p, j, s.survey.Loads(), s.nodeStats(p))
 	}
 	if next, another := s.planner.Next(now, p, j, s.capacities); another {
-		s.propose(p, next, func(error) {}) // what was not agreed is decided anew at the next look
+		s.propose(p, next, func(error) {}) // a plan that is not agreed on is decided anew at the next judgement
 	}
 }
 
-// planAtLeader is the plan that is agreed, as the leader knows it.
+// planAtLeader returns the agreed plan as the leader knows it.
 func (s *Controller) planAtLeader() (zone.Plan, error) { return parsePlan(s.accord.AgreedState().Plan) }
 
-// propose has a plan agreed.
+// propose proposes a plan to the voters, with a reason that names what changed.
 func (s *Controller) propose(was, next zone.Plan, done func(error)) {
 	text, err := json.MarshalToString(next)
 	if err != nil {
-		done(err) // a defect
+		done(err) // only by a programming error
 		return
 	}
 	why := "as before"
@@ -214,7 +220,8 @@
 	})
 }
 
-// Order carries out an operator's word on a zone, at the leader.
+// Order carries out an operator's order on a zone, at the leader. done gets nil once the plan
+// is agreed on, or the reason why it is not.
 func (s *Controller) Order(name, order, why string, done func(error)) {
 	s.order(name, order, why, 0, done)
 }
@@ -247,7 +254,7 @@
 	s.propose(p, s.planner.ApplyOrder(s.core.Now(), p, name, o, why), done)
 }
 
-// nodeStats is what the list tells of the zones' nodes.
+// nodeStats returns what the node list says about the nodes of each zone.
 func (s *Controller) nodeStats(p zone.Plan) map[string]zone.NodeStats {
 	now := s.core.Now()
 	list, warm, starts := make([]zone.NodeStats, len(s.c.Zones)), make([]float64, len(s.c.Zones)), make([]map[string]time.Duration, len(s.c.Zones))
@@ -279,7 +286,8 @@
 	return out
 }
 
-// countRestarts counts the nodes of a zone that started anew since its step of a return began.
+// countRestarts counts the nodes of a zone that restarted since the present step of the return
+// to it began.
 func (s *Controller) countRestarts(z string, now zone.Stand, starts map[string]time.Duration) (n int) {
 	if now.Phase != zone.Returning {
 		delete(s.steps, z)
@@ -298,9 +306,9 @@
 	return n
 }
 
-// checkZones has nodes of zones that are left checked, and of those that have fallen silent: the
-// module soon sends nothing there, and what is seen of checks is all that tells how they are.
-// The mixers of a zone divide them; one that leaves a zone by its own word checks for itself.
+// checkZones has nodes of left and of silent zones checked. The module sends little or nothing
+// there, so that checks are the only evidence of their state. The mixers of a zone divide the
+// checks; a mixer that left a zone by its own evidence makes them alone.
 func (s *Controller) checkZones() {
 	s.core.After(checkInterval, s.checkZones)
 	for i, z := range s.c.Zones {
@@ -333,5 +341,5 @@
 	}
 	slices.SortFunc(list, func(a, b broker.ListedNode) int { return strings.Compare(a.ID, b.ID) })
 	m := list[s.rng.IntN(len(list))]
-	s.nodes.Probe(broker.Node{ID: m.ID, Addr: m.Addr}, func(decide.Outcome) {}) // the survey sees it
+	s.nodes.Probe(broker.Node{ID: m.ID, Addr: m.Addr}, func(decide.Outcome) {}) // the survey observes the result
 }
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -20,13 +20,13 @@
 
 const ms = time.Millisecond
 
-// testMixer is one mixer that may lead, with two zones of three nodes, on a clock of its own. Plans
-// are agreed after a while, or not.
+// testMixer is one mixer that may lead, with two zones of three nodes, on a clock of its own.
+// The voters agree on its plans after a delay, or reject them.
 type testMixer struct {
 	now          time.Duration
 	events       queue.Queue
 	leads        bool
-	rejectsPlans bool // nothing is agreed
+	rejectsPlans bool // the voters agree on no plan
 	state        version.State
 	listed.Nodes
 	dark   map[int]bool
@@ -65,7 +65,7 @@
 	return "n9"
 }
 
-// SetZonePlan is the voters.
+// SetZonePlan simulates the voters.
 func (x *testMixer) SetZonePlan(seq uint64, plan, why string, done func(error)) {
 	x.After(80*ms, func() {
 		if x.rejectsPlans {
@@ -81,7 +81,7 @@
 	})
 }
 
-// Probe is the nodes.
+// Probe simulates the nodes.
 func (x *testMixer) Probe(n broker.Node, done func(decide.Outcome)) {
 	at := x.ListedNode(n.ID).Zone
 	x.checks[at]++
@@ -92,7 +92,7 @@
 	x.After(2*ms, func() { done(decide.OK) })
 }
 
-// run has each node get parts as its zone's share has it.
+// run has each node get parts by its zone's share.
 func (x *testMixer) run(d time.Duration) {
 	for end := x.now + d; x.now < end; {
 		x.events.Run(&x.now, 50*ms, nil)
@@ -123,8 +123,8 @@
 	return func() bool { return cmp.Equal(x.st.Shares(), want) }
 }
 
-// TestZoneIsLeftAndReturnedTo, through a time in which nothing is agreed and a change of leader: what a
-// mixer sends never grows but by the agreed steps.
+// TestZoneIsLeftAndReturnedTo: a dark zone is left before its plan is agreed on, and returned
+// to through a change of leader. The share grows by agreed steps only.
 func TestZoneIsLeftAndReturnedTo(t *testing.T) {
 	x := newTestMixer(false)
 	x.run(10 * time.Second)
@@ -138,7 +138,7 @@
 	}
 	x.rejectsPlans = false
 	x.waitUntil(t, "it is agreed", func() bool { return strings.Contains(x.state.Plan, `"share":0`) })
-	x.run(time.Second) // until silence of before counts no more
+	x.run(time.Second) // until the earlier silence counts no more
 	before := x.checks
 	x.run(10 * time.Second)
 	if n := x.checks[1] - before[1]; n < 75 || n > 85 || x.checks[0] != before[0] {
@@ -157,15 +157,15 @@
 	if s := x.st.Shares(); s == nil || s[1] != seen[len(seen)-1] {
 		t.Errorf("with nobody to lead the share goes from %v to %v", seen, s)
 	}
-	x.leads = true // another one, in effect: it remembers nothing
+	x.leads = true // acts as another leader, as it remembers nothing
 	x.waitUntil(t, "it is back", func() bool { watch(); return x.st.Shares() == nil })
 	if diff := cmp.Diff([]float64{0, 0.05, 0.12, 0.25, 0.45, 0.7}, seen); diff != "" {
 		t.Errorf("steps: %s", diff)
 	}
 }
 
-// TestOperatorOrders wait for a plan that is being agreed, and are held to by a machine that may not
-// decide by itself.
+// TestOperatorOrders: orders wait while another plan is being agreed on, and a controller that
+// may not decide by itself keeps to them.
 func TestOperatorOrders(t *testing.T) {
 	x := newTestMixer(true)
 	x.run(3 * time.Second)
