--- a/internal/fleet/duty/duty_test.go
+++ b/internal/fleet/duty/duty_test.go
@@ -122,7 +122,7 @@
 		}
 	}
 	if c.now-list[len(list)-1] > 10*time.Second {
-		c.t.Errorf("%s: none at the end", what)
+		c.t.Errorf("%s: no check in the last 10 s", what)
 	}
 }
 
@@ -144,11 +144,11 @@
 			c.all[c.owner+2].pause(4 * time.Second)
 			c.events.Add(c.now+1500*ms, func() { c.owner++ })
 			c.run(30 * time.Second)
-			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d, one dead and one standing", size, seed), since)
+			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d, one dead and one paused", size, seed), since)
 			since = c.now
 			c.all[c.owner].pause(10 * time.Second) // and nobody takes over
 			c.run(30 * time.Second)
-			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d, the owner standing", size, seed), since)
+			c.assertCheckRate(fmt.Sprintf("%d mixers, seed %d, the owner paused", size, seed), since)
 		}
 	}
 }
@@ -166,13 +166,13 @@
 		}
 	}
 	if n < 8 || n > 16 {
-		t.Errorf("%d checks by the one that is cut off in a minute", n)
+		t.Errorf("%d checks in a minute by the isolated mixer", n)
 	}
 	before := c.told
 	c.sound = true
 	c.run(6300*ms + noOwnerTimeout)
 	if c.told-before < 5 {
-		t.Errorf("%d of 5 know that the node is sound", c.told-before)
+		t.Errorf("%d of 5 mixers have learnt that the node is sound", c.told-before)
 	}
 }
 
@@ -186,6 +186,6 @@
 	c.all[1].doubt()
 	c.run(200 * ms)
 	if c.by[len(c.by)-1] != 1 || len(c.checks) == first {
-		t.Errorf("doubted again at once, it was checked by %v", c.by)
+		t.Errorf("doubted again at once, it was checked by %v, want mixer 1 last", c.by)
 	}
 }
--- a/internal/fleet/keep/keep_test.go
+++ b/internal/fleet/keep/keep_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	if err := Write(filepath.Join(dir, "none", "a.json"), nil); err == nil {
-		t.Error("written where nothing is")
+		t.Error("writing to a missing directory succeeded")
 	}
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
 		t.Errorf("%v, %v", left, err)
@@ -33,6 +33,6 @@
 		f.Put([]byte(strconv.Itoa(i)))
 	}
 	if got := <-f.next; string(got) != "99" {
-		t.Errorf("of those that waited, %s is left", got)
+		t.Errorf("the content left to write is %s, want the latest, 99", got)
 	}
 }
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -106,7 +106,7 @@
 		t.Error(diff)
 	}
 	if got := loadSnapshot(path, "n9", zerolog.Nop()); got.Generation != 0 {
-		t.Errorf("another mixer's: %+v", got)
+		t.Errorf("the snapshot of another mixer was loaded: %+v", got)
 	}
 	if _, err := os.Stat(path + ".bad"); err != nil {
 		t.Error(err)
@@ -123,7 +123,7 @@
 			return
 		}
 		if _, err := decode(p.encode()); err != nil {
-			t.Errorf("what was read can't be read again: %v", err)
+			t.Errorf("a decoded packet, encoded again, can't be decoded: %v", err)
 		}
 	})
 }
@@ -133,7 +133,7 @@
 	f.Add(keys.seal(sample().encode()))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if body, err := keys.open(b); err == nil && string(keys.seal(body)) != string(b) {
-			t.Error("accepted what we would not have written")
+			t.Error("opened a packet that seal does not produce")
 		}
 		_, _, _ = unframe(b)
 	})
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -105,7 +105,7 @@
 	m.Publish(m.roll.Filter(discovery.List{Revision: revision, Members: []discovery.Entry{e}}))
 }
 
-// ---- the core ----
+// ---- implements Core ----
 
 func (m *mixer) Now() time.Duration { return m.f.now }
 
@@ -113,7 +113,7 @@
 
 func (m *mixer) UpdateNodeList(broker.List) {}
 
-// ---- the talk among mixers ----
+// ---- implements Fleet ----
 
 func (m *mixer) Send(to string, body []byte) {
 	for _, x := range m.f.mixers {
@@ -149,7 +149,7 @@
 
 func (m *mixer) Zone() string { return m.zone }
 
-// ---- its watch of discovery ----
+// ---- implements Directory ----
 
 func (m *mixer) Watch(on bool) {
 	m.watching = on
@@ -198,7 +198,7 @@
 			for _, m := range f.mixers {
 				at, knew := m.knew[f.list.Members[i].ID]
 				if !knew || at-told > 2*time.Second {
-					t.Fatalf("%d mixers: %s does not know after %v that node %d leaves", size, m.name, f.now-told, i)
+					t.Fatalf("%d mixers: %s has not learnt within %v that node %d leaves", size, m.name, f.now-told, i)
 				}
 				worst = max(worst, at-told)
 			}
@@ -206,7 +206,7 @@
 		asked[size] = f.calls - before
 		t.Logf("%d mixers: %d watch; %d answers of discovery to 20 changes; all know of each after %v at most", size, n, asked[size], worst)
 
-		// All who watch die at once.
+		// All watchers die at once.
 		killed := 0
 		for _, m := range f.mixers {
 			if m.watching && killed < size-1 {
@@ -224,12 +224,12 @@
 		}
 		for _, m := range f.mixers {
 			if _, knew := m.knew[f.list.Members[30].ID]; !m.dead && !knew {
-				t.Errorf("%d mixers: %s does not know %v after those who watched died", size, m.name, f.now-told)
+				t.Errorf("%d mixers: %s has not learnt of the change %v after it, once the watchers died", size, m.name, f.now-told)
 			}
 		}
 	}
 	if asked[300] > asked[9] {
-		t.Errorf("discovery's answers grow with the fleet: %v", asked)
+		t.Errorf("the load on discovery grows with the fleet: %v", asked)
 	}
 }
 
@@ -250,7 +250,7 @@
 	f.run(2 * time.Second)
 	for _, m := range f.mixers {
 		if _, knew := m.knew["s-07"]; !knew {
-			t.Errorf("%s does not know what %s was told", m.name, one)
+			t.Errorf("%s has not learnt of the change that discovery told %s", m.name, one)
 		}
 	}
 }
--- a/internal/fleet/steer/steer_test.go
+++ b/internal/fleet/steer/steer_test.go
@@ -114,7 +114,7 @@
 	t.Helper()
 	for end := x.now + 40*time.Second; !ok(); x.run(50 * ms) {
 		if x.now > end {
-			t.Fatalf("waited in vain until %s: %s", what, x.state.Plan)
+			t.Fatalf("timed out waiting until %s: %s", what, x.state.Plan)
 		}
 	}
 }
@@ -132,9 +132,9 @@
 		t.Fatalf("while all is well: plan %s, checks %v", x.state.Plan, x.checks)
 	}
 	x.dark[1], x.rejectsPlans = true, true
-	x.waitUntil(t, "b is left by this mixer's own word", x.hasShares(1, 0))
+	x.waitUntil(t, "b is left by this mixer's own evidence", x.hasShares(1, 0))
 	if x.state.PlanSeq != 0 {
-		t.Errorf("agreed without the voters: %s", x.state.Plan)
+		t.Errorf("a plan is agreed on without the voters: %s", x.state.Plan)
 	}
 	x.rejectsPlans = false
 	x.waitUntil(t, "it is agreed", func() bool { return strings.Contains(x.state.Plan, `"share":0`) })
@@ -155,7 +155,7 @@
 	x.leads = false
 	x.run(5 * time.Second)
 	if s := x.st.Shares(); s == nil || s[1] != seen[len(seen)-1] {
-		t.Errorf("with nobody to lead the share goes from %v to %v", seen, s)
+		t.Errorf("without a leader the share changes from %v to %v", seen, s)
 	}
 	x.leads = true // acts as another leader, as it remembers nothing
 	x.waitUntil(t, "it is back", func() bool { watch(); return x.st.Shares() == nil })
@@ -208,6 +208,6 @@
 	x.st.SetAgreedPlan(old)
 	x.st.SetAgreedPlan("{")
 	if !x.hasShares(1, 0)() {
-		t.Errorf("an older plan, or one that is none, is acted on: %v", x.st.Shares())
+		t.Errorf("an older or malformed plan took effect: %v", x.st.Shares())
 	}
 }
--- a/internal/fleet/survey/survey_test.go
+++ b/internal/fleet/survey/survey_test.go
@@ -108,9 +108,9 @@
 	}
 	p.run(8*time.Second, sound)
 	if got := p.verdicts(0)["b"]; got != "sound" {
-		t.Errorf("b is %s after it is well again", got)
+		t.Errorf("b is judged %s after it has recovered", got)
 	}
-	// Only the one way is cut: the other still sees the zone well.
+	// Only n0 can't reach zone b: n1 still finds it sound.
 	p.run(6*time.Second, func(by string, m broker.ListedNode) (decide.Outcome, time.Duration) {
 		if m.Zone == 1 && by == "n0" {
 			return decide.ConnectFailed, 250 * ms
@@ -123,7 +123,7 @@
 	if v := p.mixers[1].s.View(); v.Whole || p.verdicts(1)["b"] != "sound" {
 		t.Errorf("%+v", v)
 	}
-	// Another leads: it begins with nothing of others.
+	// The leader changes: the new one starts without reports of others.
 	for _, h := range p.mixers {
 		h.leader = "n1"
 	}
@@ -151,7 +151,7 @@
 		t.Error(diff)
 	}
 	if s.observations[0].dueSinceAnswer != 2 {
-		t.Errorf("%d parts were due since the last word", s.observations[0].dueSinceAnswer)
+		t.Errorf("%d parts are due since the last answer, want 2", s.observations[0].dueSinceAnswer)
 	}
 }
 
@@ -179,7 +179,7 @@
 	t.Logf("a report on two zones takes %d bytes", len(text))
 	for i := range text {
 		if got, err := decode(text[:i]); err == nil && len(got.Zones) == 2 {
-			t.Errorf("cut at byte %d of %d, it is read as whole", i, len(text))
+			t.Errorf("truncated to %d of %d bytes, it is decoded as complete", i, len(text))
 		}
 	}
 }
