--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -74,7 +74,7 @@
 
 // record has the core's traces recorded, and taken as an exporter takes them.
 func (w *world) record(set settings.Settings) {
-	cfg := tracing.Config{Memory: 4 << 20, Spans: 200, Seed: 1}
+	cfg := tracing.Config{MemoryBytes: 4 << 20, Spans: 200, Seed: 1}
 	for _, c := range set.Module.Classes {
 		cfg.Classes = append(cfg.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline})
 	}
--- a/cmd/kiteloft/traces.go
+++ b/cmd/kiteloft/traces.go
@@ -36,7 +36,7 @@
 	if !t.On() {
 		return nil, nil
 	}
-	rc := tracing.Config{Memory: t.MemoryKB << 10, Spans: t.Spans, Seed: cfg.Seed ^ uint64(epoch.UnixNano())}
+	rc := tracing.Config{MemoryBytes: t.MemoryKB << 10, Spans: t.Spans, Seed: cfg.Seed ^ uint64(epoch.UnixNano())}
 	src := otlp.Source{Mixer: cfg.Name, Version: revision(), Epoch: epoch, Zones: cfg.Settings.Zones}
 	for _, c := range cfg.Settings.Module.Classes {
 		rc.Classes = append(rc.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, LatencyTargetPerWork: c.LatencyTargetPerWork, Deadline: c.Deadline})
--- a/cmd/kiteloft/traces_test.go
+++ b/cmd/kiteloft/traces_test.go
@@ -56,8 +56,8 @@
 				all[tr.WireID] = tr
 			}
 		})
-		var damage *segments.Damage
-		if err != nil && !(errors.As(err, &damage) && damage.Torn) { // it is being written
+		var damage *segments.DamageError
+		if err != nil && !(errors.As(err, &damage) && damage.Truncated) { // it is being written
 			t.Fatal(err)
 		}
 	}
@@ -181,7 +181,7 @@
 			wire++ // the machine's own slowness
 			continue
 		}
-		if !slices.ContainsFunc(tracing.Critical(&tr.Query), func(g tracing.Segment) bool {
+		if !slices.ContainsFunc(tracing.CriticalPath(&tr.Query), func(g tracing.Segment) bool {
 			return g.Attempt >= 0 && slices.Contains(paused[s.id], tr.Attempts[g.Attempt].Node)
 		}) {
 			t.Errorf("%s took %v; of %v, which stood still, none is on its critical path: %+v", s.id, s.took, paused[s.id], tr.Query)
@@ -223,8 +223,8 @@
 	if first.Query.Trace != second.Query.Trace || first.Query.Trace != third.Query.Trace {
 		t.Errorf("traces %v, %v and %v of one booking", first.Query.Trace, second.Query.Trace, third.Query.Trace)
 	}
-	if first.Keep&tracing.WasRepeated == 0 || second.Keep&tracing.Repeat == 0 || third.Keep&tracing.Repeat == 0 {
-		t.Errorf("kept for %v, %v and %v", otlp.KeepNames(first.Keep), otlp.KeepNames(second.Keep), otlp.KeepNames(third.Keep))
+	if first.KeepReasons&tracing.RetriedByClient == 0 || second.KeepReasons&tracing.Repeat == 0 || third.KeepReasons&tracing.Repeat == 0 {
+		t.Errorf("kept for %v, %v and %v", otlp.KeepNames(first.KeepReasons), otlp.KeepNames(second.KeepReasons), otlp.KeepNames(third.KeepReasons))
 	}
 	if second.Parent != first.Root {
 		t.Error("the second try is no child of the first")
@@ -252,8 +252,8 @@
 	b, dir := two(t, platformWire{}, silent)
 	r := (platformWire{}).ask(t, b, query{Class: "lookup", Shards: []int{1}, Deadline: 900 * time.Millisecond, ID: "mute"})
 	tr := find(t, b, dir, "mute")
-	if tr.Keep&tracing.NotServed == 0 || tr.How == tracing.Served {
-		t.Errorf("client got %s, the trace says %s", r.Kind, otlp.HowName(tr.How))
+	if tr.KeepReasons&tracing.NotServed == 0 || tr.Ending == tracing.Served {
+		t.Errorf("client got %s, the trace says %s", r.Kind, otlp.HowName(tr.Ending))
 	}
 	if len(tr.Attempts) == 0 {
 		t.Fatal("no attempt in the trace")
@@ -263,10 +263,10 @@
 			t.Errorf("attempt at %s: written %v, heard %v, may have run %v", a.Node, a.Written, a.Heard, a.MayHaveRun)
 		}
 	}
-	path := tracing.Critical(&tr.Query)
+	path := tracing.CriticalPath(&tr.Query)
 	var waited time.Duration
 	for _, s := range path {
-		if s.What == tracing.Node {
+		if s.Stage == tracing.Node {
 			waited += s.To - s.From
 		}
 	}
@@ -298,10 +298,10 @@
 		if a.Node != "s-0" || a.Connected != 0 || a.Written != 0 || a.Won {
 			t.Errorf("first attempt %+v", a)
 		}
-		if last := tr.Attempts[len(tr.Attempts)-1]; last.Node != "s-1" || !last.Won || last.Reason == tracing.First {
+		if last := tr.Attempts[len(tr.Attempts)-1]; last.Node != "s-1" || !last.Won || last.Reason == tracing.FirstAttempt {
 			t.Errorf("last attempt %+v", last)
 		}
-		if s := tracing.Critical(&tr.Query)[0]; s.What != tracing.Connect && s.What != tracing.Mixer {
+		if s := tracing.CriticalPath(&tr.Query)[0]; s.Stage != tracing.Connect && s.Stage != tracing.Mixer {
 			t.Errorf("the path begins with %+v", s)
 		}
 		return true
--- a/cmd/loft/loft_test.go
+++ b/cmd/loft/loft_test.go
@@ -32,12 +32,12 @@
 	for i := range 40 {
 		begin := time.Hour + time.Duration(i)*50*ms
 		q := &tracing.Query{Trace: tracing.KeyedTrace("t", fmt.Sprint(i/2)), Root: tracing.SpanID{byte(i + 1)}, Front: "platform", WireID: fmt.Sprintf("q%02d", i),
-			Begin: begin, Wanted: begin + 100*ms, Deadline: begin + 400*ms, End: begin + 10*ms, How: tracing.Served, Class: i % 2,
-			Parts:    []tracing.Part{{In: true, Shard: 3, Weight: 1, Begin: begin, End: begin + 10*ms}},
+			Begin: begin, TargetTime: begin + 100*ms, Deadline: begin + 400*ms, End: begin + 10*ms, Ending: tracing.Served, Class: i % 2,
+			Parts:    []tracing.Part{{Answered: true, Shard: 3, Weight: 1, Begin: begin, End: begin + 10*ms}},
 			Attempts: []tracing.Attempt{{Node: "s-1", Zone: 0, Begin: begin, Connected: begin, Written: begin + ms, Heard: begin + 9*ms, End: begin + 10*ms, Over: true, Won: true, Outcome: 1}}}
 		if i%10 == 9 {
 			took := time.Duration(150+i) * ms
-			q.End, q.Keep = begin+took, tracing.Slow
+			q.End, q.KeepReasons = begin+took, tracing.Slow
 			q.Parts[0].End = q.End
 			a := &q.Attempts[0]
 			a.Node, a.Zone, a.Heard, a.End = "s-2", 1, q.End, q.End
--- a/cmd/loft/read.go
+++ b/cmd/loft/read.go
@@ -26,7 +26,7 @@
 }
 
 // damaged are the files that could not be read whole.
-type damagedFiles struct{ list []*segments.Damage }
+type damagedFiles struct{ list []*segments.DamageError }
 
 func (d *damagedFiles) Error() string { return fmt.Sprintf("%d damaged files", len(d.list)) }
 
@@ -54,7 +54,7 @@
 		}
 		for _, path := range list {
 			err := otlp.ReadSegment(path, f.addMessage)
-			var damage *segments.Damage
+			var damage *segments.DamageError
 			if errors.As(err, &damage) {
 				bad.list = append(bad.list, damage)
 			} else if err != nil {
@@ -80,13 +80,13 @@
 func (s *traceSource) matches(t *otlp.Trace, latest time.Time) bool {
 	return (s.Class == "" || t.Class == s.Class) &&
 		(s.Since == 0 || latest.Sub(t.At) <= s.Since) &&
-		(s.Kept == "" || slices.Contains(otlp.KeepNames(t.Keep), s.Kept)) &&
+		(s.Kept == "" || slices.Contains(otlp.KeepNames(t.KeepReasons), s.Kept)) &&
 		(s.Node == "" || slices.ContainsFunc(t.Attempts, func(a tracing.Attempt) bool { return a.Node == s.Node }))
 }
 
 // over is by how much a query was over its wanted time; one that was not served at
 // all counts until its end.
-func overTarget(t *otlp.Trace) time.Duration { return max(0, t.End-t.Wanted) }
+func overTarget(t *otlp.Trace) time.Duration { return max(0, t.End-t.TargetTime) }
 
 // bySlowness puts what was furthest over its time first.
 func slowestFirst(a, b *otlp.Trace) int {
--- a/cmd/loft/report.go
+++ b/cmd/loft/report.go
@@ -113,8 +113,8 @@
 	endings, kept := map[string]int{}, map[string]int{}
 	for _, t := range list {
 		represented += t.Weight
-		endings[otlp.HowName(t.How)]++
-		names := otlp.KeepNames(t.Keep)
+		endings[otlp.HowName(t.Ending)]++
+		names := otlp.KeepNames(t.KeepReasons)
 		if len(names) == 0 {
 			kept["chance"]++
 		}
@@ -182,7 +182,7 @@
 	var good, bad plotter.XYs
 	for _, t := range list {
 		xy := plotter.XY{X: t.At.Sub(list[0].At).Seconds(), Y: float64(t.End) / 1e6}
-		if overTarget(t) > 0 || t.Keep&tracing.NotServed != 0 {
+		if overTarget(t) > 0 || t.KeepReasons&tracing.NotServed != 0 {
 			bad = append(bad, xy)
 		} else {
 			good = append(good, xy)
--- a/cmd/loft/tables.go
+++ b/cmd/loft/tables.go
@@ -60,7 +60,7 @@
 	for _, t := range list {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", t.At.UTC().Format("01-02 15:04:05.000"), t.Query.Trace.String()[:12], t.WireID,
 			t.Mixer, t.Class, describeEnd(t), formatDuration(t.End), formatDuration(overTarget(t)), len(t.Attempts)+t.Dropped.Attempts, longestSegment(t),
-			cmp.Or(strings.Join(otlp.KeepNames(t.Keep), ","), fmt.Sprintf("chance (1 in %.0f)", t.Weight)))
+			cmp.Or(strings.Join(otlp.KeepNames(t.KeepReasons), ","), fmt.Sprintf("chance (1 in %.0f)", t.Weight)))
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -70,8 +70,8 @@
 }
 
 func describeEnd(t *otlp.Trace) string {
-	s := otlp.HowName(t.How)
-	if why := otlp.CauseName(t.Why); why != "" {
+	s := otlp.HowName(t.Ending)
+	if why := otlp.CauseName(t.EndReason); why != "" {
 		s += " (" + why + ")"
 	}
 	return s
@@ -98,7 +98,7 @@
 // costMost names what took the longest stretch of a query's critical path.
 func longestSegment(t *otlp.Trace) string {
 	var longest tracing.Segment
-	for _, s := range tracing.Critical(&t.Query) {
+	for _, s := range tracing.CriticalPath(&t.Query) {
 		if s.To-s.From > longest.To-longest.From {
 			longest = s
 		}
@@ -110,13 +110,13 @@
 }
 
 // what are the words for what time goes to.
-var segmentNames = map[tracing.What]string{tracing.Mixer: "mixer", tracing.Connect: "connect", tracing.Write: "write", tracing.Node: "answer", tracing.Read: "read"}
+var segmentNames = map[tracing.Stage]string{tracing.Mixer: "mixer", tracing.Connect: "connect", tracing.Write: "write", tracing.Node: "answer", tracing.Read: "read"}
 
 func describeSegment(t *otlp.Trace, s tracing.Segment) string {
 	if s.Attempt < 0 {
-		return segmentNames[s.What]
+		return segmentNames[s.Stage]
 	}
-	return t.Attempts[s.Attempt].Node + " " + segmentNames[s.What]
+	return t.Attempts[s.Attempt].Node + " " + segmentNames[s.Stage]
 }
 
 // span writes a time as milliseconds, or seconds where there are many.
@@ -209,7 +209,7 @@
 		}
 		for i := range t.Attempts {
 			a := &t.Attempts[i]
-			r := get(costName(t, tracing.Segment{Attempt: i, What: tracing.Node}, by))
+			r := get(costName(t, tracing.Segment{Attempt: i, Stage: tracing.Node}, by))
 			r.attempts++
 			switch {
 			case a.Over && otlp.OutcomeName(a.Outcome) == "ok":
@@ -242,7 +242,7 @@
 	case by == "class":
 		return t.Class
 	case by == "cause":
-		return segmentNames[s.What]
+		return segmentNames[s.Stage]
 	case s.Attempt < 0:
 		return "(mixer)"
 	case by == "zone":
--- a/cmd/loft/waterfall.go
+++ b/cmd/loft/waterfall.go
@@ -41,11 +41,11 @@
 // waterfall draws one query: a line for each attempt, under its part.
 func writeWaterfall(out io.Writer, t *otlp.Trace, width int) {
 	fmt.Fprintf(out, "\n%s  query %s at %s, class %s over %s: %s after %s, wanted within %s, given up at %s\n", t.At.UTC().Format(time.RFC3339Nano),
-		t.WireID, t.Mixer, t.Class, t.Front, describeEnd(t), formatDuration(t.End), formatDuration(t.Wanted), formatDuration(t.Deadline))
+		t.WireID, t.Mixer, t.Class, t.Front, describeEnd(t), formatDuration(t.End), formatDuration(t.TargetTime), formatDuration(t.Deadline))
 	if t.Query.Version > 0 {
 		fmt.Fprintf(out, "by version %d of the settings\n", t.Query.Version)
 	}
-	if names := otlp.KeepNames(t.Keep); len(names) > 0 {
+	if names := otlp.KeepNames(t.KeepReasons); len(names) > 0 {
 		fmt.Fprintf(out, "kept for: %s\n", strings.Join(names, ", "))
 	} else {
 		fmt.Fprintf(out, "kept by chance; stands for %.0f queries\n", t.Weight)
@@ -59,15 +59,15 @@
 	}
 	column := func(d time.Duration) int { return int(int64(width-1) * int64(min(max(d, 0), total)) / int64(total)) }
 	scale := []byte(strings.Repeat(" ", width))
-	if t.Wanted < total {
-		scale[column(t.Wanted)] = 'w'
+	if t.TargetTime < total {
+		scale[column(t.TargetTime)] = 'w'
 	}
 	scale[column(t.End)] = 'E'
 	fmt.Fprintf(out, "%-44s|%s|\n", "  w wanted, E end; - connect, ~ write, = answer", scale)
 	for p := range t.Parts {
 		part := &t.Parts[p]
 		state := "in after " + formatDuration(part.End-part.Begin)
-		if !part.In {
+		if !part.Answered {
 			state = "never in"
 		}
 		fmt.Fprintf(out, "step %d slice %-4d %s\n", part.Step+1, part.Shard, state)
@@ -85,7 +85,7 @@
 		fmt.Fprintf(out, "event at %s: %s%s %s\n", formatDuration(e.At), otlp.EventName(e.Kind), about, e.Text)
 	}
 	fmt.Fprintln(out, "critical path:")
-	for _, s := range tracing.Critical(&t.Query) {
+	for _, s := range tracing.CriticalPath(&t.Query) {
 		share := 100 * float64(s.To-s.From) / float64(max(t.End, 1))
 		about := ""
 		if s.Part >= 0 {
@@ -100,8 +100,8 @@
 	if zone := t.Zone(a); zone != "" {
 		s = fmt.Sprintf("%s (%s) %s", a.Node, zone, otlp.ReasonName(a.Reason))
 	}
-	if a.Reason != tracing.First || otlp.ChoiceName(a.Why) != "by-offset" {
-		s += ", " + otlp.ChoiceName(a.Why)
+	if a.Reason != tracing.FirstAttempt || otlp.ChoiceName(a.NodeChoice) != "by-offset" {
+		s += ", " + otlp.ChoiceName(a.NodeChoice)
 	}
 	return s[:min(len(s), 42)]
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -547,7 +547,7 @@
 }
 
 // close removes a query, cancels its open attempts and records how it ended.
-func (c *Core) close(q *query, how tracing.How, why decide.EndReason) {
+func (c *Core) close(q *query, how tracing.Ending, why decide.EndReason) {
 	q.ended = true
 	c.audit.Ended++
 	c.countEvent(endKind(how, why), q.WireID, "")
@@ -598,7 +598,7 @@
 // finishAttempt ends an attempt and reports its outcome to the module. Won says that the
 // attempt gave the answer of its part.
 func (c *Core) finishAttempt(a *Attempt, o decide.Outcome, won bool) {
-	a.p.q.trace.AttemptOver(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
+	a.p.q.trace.EndAttempt(a.trace, c.now, tracing.Outcome(o), !o.NeverRan(), won)
 	a.ended, a.neverRan = true, o.NeverRan()
 	if c.observer != nil {
 		c.observer.Observe(c.listedNodes[a.Node.ID], o, c.now-a.sent, a.p.q.class.LatencyTarget)
--- a/internal/broker/count.go
+++ b/internal/broker/count.go
@@ -25,7 +25,7 @@
 }
 
 // endKind returns the counter for the end of a query.
-func endKind(how tracing.How, why decide.EndReason) counts.Kind {
+func endKind(how tracing.Ending, why decide.EndReason) counts.Kind {
 	switch how {
 	case tracing.Served:
 		return counts.Served
--- a/internal/otlp/decode.go
+++ b/internal/otlp/decode.go
@@ -83,12 +83,12 @@
 			strays++
 		case name == nameStep:
 			if at.integer(keyStep) == 1 {
-				cur.Step2 = cur.since(sp.GetStartTimeUnixNano())
+				cur.Step2Begin = cur.since(sp.GetStartTimeUnixNano())
 			}
 		case name == namePart:
 			p := tracing.Part{Place: int32(at.integer(keyPart)), Step: uint8(at.integer(keyStep)), Shard: int32(at.integer(keyShard)),
-				Weight: float32(at.number(keyMass)), In: at.boolean(keyIn), Begin: cur.since(sp.GetStartTimeUnixNano())}
-			if p.In {
+				Weight: float32(at.number(keyMass)), Answered: at.boolean(keyIn), Begin: cur.since(sp.GetStartTimeUnixNano())}
+			if p.Answered {
 				p.End = cur.since(sp.GetEndTimeUnixNano())
 			}
 			parts[int64(p.Place)] = int32(len(cur.Parts))
@@ -125,12 +125,12 @@
 	copy(q.Root[:], sp.GetSpanId())
 	copy(q.Parent[:], sp.GetParentSpanId())
 	q.Front, q.WireID, q.Version = at.text(keyFront), at.text(keyQuery), uint64(at.integer(keyAgreed))
-	q.Wanted, q.Deadline, q.End = at.duration(keyWanted), at.duration(keyDeadline), t.since(sp.GetEndTimeUnixNano())
-	q.How = tracing.How(max(0, hows.index(at.text(keyHow))))
-	q.Why = uint8(max(0, causes.index(at.text(keyWhy))))
+	q.TargetTime, q.Deadline, q.End = at.duration(keyWanted), at.duration(keyDeadline), t.since(sp.GetEndTimeUnixNano())
+	q.Ending = tracing.Ending(max(0, hows.index(at.text(keyHow))))
+	q.EndReason = uint8(max(0, causes.index(at.text(keyWhy))))
 	for _, v := range at.get(keyKeep).GetArrayValue().GetValues() {
 		if i := keeps.index(v.GetStringValue()); i >= 0 {
-			q.Keep |= 1 << i
+			q.KeepReasons |= 1 << i
 		}
 	}
 	q.Dropped = tracing.Dropped{Parts: int(at.integer(keyDropP)), Attempts: int(at.integer(keyDropA)), Events: int(at.integer(keyDropE))}
@@ -146,8 +146,8 @@
 }
 
 func (t *Trace) addAttempt(sp *trace.Span, at attributes, part int32) {
-	a := tracing.Attempt{Place: int32(at.integer("kiteloft.place")), Part: part, N: uint8(at.integer(keyN)),
-		Reason: tracing.Reason(max(0, reasons.index(at.text(keyReason)))), Why: uint8(max(0, choices.index(at.text(keyChoice)))),
+	a := tracing.Attempt{Place: int32(at.integer("kiteloft.place")), Part: part, Number: uint8(at.integer(keyN)),
+		Reason: tracing.Reason(max(0, reasons.index(at.text(keyReason)))), NodeChoice: uint8(max(0, choices.index(at.text(keyChoice)))),
 		Won: at.boolean(keyWon), MayHaveRun: at.boolean(keyMayRun), Cell: int32(at.integer(keyCell)), Node: at.text(keyNode),
 		Address: at.text(keyAddress), Zone: -1, Begin: t.since(sp.GetStartTimeUnixNano())}
 	if a.Over = !at.boolean(keyOpen); a.Over {
--- a/internal/otlp/encode.go
+++ b/internal/otlp/encode.go
@@ -106,7 +106,7 @@
 }
 
 // HowName is the word for the way in which a query ended.
-func HowName(h tracing.How) string { return hows.name(int(h)) }
+func HowName(h tracing.Ending) string { return hows.name(int(h)) }
 
 // CauseName is the word for the module's cause of an end.
 func CauseName(c uint8) string { return causes.name(int(c)) }
@@ -124,7 +124,7 @@
 func EventName(k tracing.EventKind) string { return events.name(int(k)) }
 
 // KeepNames are the words for the reasons for which a trace is kept.
-func KeepNames(k tracing.Keep) (list []string) {
+func KeepNames(k tracing.KeepReasons) (list []string) {
 	for i, name := range keeps {
 		if k&(1<<i) != 0 {
 			list = append(list, name)
@@ -171,26 +171,26 @@
 	}
 	if len(q.Parts) > 0 {
 		first := q.End
-		if q.Step2 > 0 {
-			first = q.Step2
+		if q.Step2Begin > 0 {
+			first = q.Step2Begin
 		}
 		step(0, q.Begin, first)
-		if q.Step2 > 0 {
-			step(1, q.Step2, q.End)
+		if q.Step2Begin > 0 {
+			step(1, q.Step2Begin, q.End)
 		}
 	}
 	for i := range q.Parts {
 		p := &q.Parts[i]
 		end := p.End
-		if !p.In {
+		if !p.Answered {
 			end = q.End
-			if p.Step == 0 && q.Step2 > 0 {
-				end = q.Step2
+			if p.Step == 0 && q.Step2Begin > 0 {
+				end = q.Step2Begin
 			}
 		}
 		sp := span(q.PartSpan(i), q.StepSpan(int(p.Step)), namePart, trace.Span_SPAN_KIND_INTERNAL, p.Begin, end)
 		sp.Attributes = []*common.KeyValue{integer(keyPart, int64(p.Place)), integer(keyStep, int64(p.Step)), integer(keyShard, int64(p.Shard)),
-			number(keyMass, float64(p.Weight)), boolean(keyIn, p.In)}
+			number(keyMass, float64(p.Weight)), boolean(keyIn, p.Answered)}
 	}
 	for i := range q.Attempts {
 		s.attempt(span, q, i)
@@ -202,23 +202,23 @@
 
 func (s Source) root(sp *trace.Span, q *tracing.Query) {
 	sp.TraceState = q.State
-	if q.Keep == 0 {
-		state := "ot=th:" + tracing.Threshold(q.Shift)
+	if q.KeepReasons == 0 {
+		state := "ot=th:" + tracing.Threshold(q.SamplingShift)
 		if q.State != "" {
 			state += "," + q.State
 		}
 		sp.TraceState = state
 	}
 	sp.Attributes = []*common.KeyValue{text(keyFront, q.Front), text(keyClass, s.class(q.Class)), text(keyQuery, q.WireID),
-		number(keyWanted, milliseconds(q.Wanted-q.Begin)), number(keyDeadline, milliseconds(q.Deadline-q.Begin)),
-		text(keyHow, hows.name(int(q.How))), number(keyWeight, q.Weight())}
+		number(keyWanted, milliseconds(q.TargetTime-q.Begin)), number(keyDeadline, milliseconds(q.Deadline-q.Begin)),
+		text(keyHow, hows.name(int(q.Ending))), number(keyWeight, q.Weight())}
 	if q.Version != 0 {
 		sp.Attributes = append(sp.Attributes, integer(keyAgreed, int64(q.Version)))
 	}
-	if q.Why != 0 {
-		sp.Attributes = append(sp.Attributes, text(keyWhy, causes.name(int(q.Why))))
+	if q.EndReason != 0 {
+		sp.Attributes = append(sp.Attributes, text(keyWhy, causes.name(int(q.EndReason))))
 	}
-	if names := KeepNames(q.Keep); len(names) > 0 {
+	if names := KeepNames(q.KeepReasons); len(names) > 0 {
 		sp.Attributes = append(sp.Attributes, list(keyKeep, names))
 	}
 	for _, d := range []struct {
@@ -229,11 +229,11 @@
 			sp.Attributes = append(sp.Attributes, integer(d.key, int64(d.n)))
 		}
 	}
-	switch q.How {
+	switch q.Ending {
 	case tracing.Served, tracing.Short, tracing.Deserted:
 	default:
-		sp.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: hows.name(int(q.How))}
-		sp.Attributes = append(sp.Attributes, text(keyError, hows.name(int(q.How))))
+		sp.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: hows.name(int(q.Ending))}
+		sp.Attributes = append(sp.Attributes, text(keyError, hows.name(int(q.Ending))))
 	}
 	for _, e := range q.Events {
 		ev := &trace.Span_Event{TimeUnixNano: s.time(e.At), Name: events.name(int(e.Kind))}
@@ -259,8 +259,8 @@
 		zone = s.Zones[a.Zone]
 	}
 	sp.Attributes = []*common.KeyValue{text(keyNode, a.Node), text(keyAddress, a.Address), text(keyZone, zone),
-		integer(keyCell, int64(a.Cell)), integer(keyN, int64(a.N)), text(keyReason, reasons.name(int(a.Reason))),
-		text(keyChoice, choices.name(int(a.Why))), boolean(keyMayRun, a.MayHaveRun), boolean(keyWon, a.Won),
+		integer(keyCell, int64(a.Cell)), integer(keyN, int64(a.Number)), text(keyReason, reasons.name(int(a.Reason))),
+		text(keyChoice, choices.name(int(a.NodeChoice))), boolean(keyMayRun, a.MayHaveRun), boolean(keyWon, a.Won),
 		integer(keyPart, int64(q.Parts[a.Part].Place)), integer("kiteloft.place", int64(a.Place))}
 	if a.Over {
 		sp.Attributes = append(sp.Attributes, text(keyOutcome, outcomes.name(int(a.Outcome))))
--- a/internal/otlp/exporter_test.go
+++ b/internal/otlp/exporter_test.go
@@ -239,7 +239,7 @@
 	}
 	defer c.Close()
 	const perSecond, seconds, memory = 500, 60, 1 << 20
-	r := tracing.New(tracing.Config{Memory: memory, Spans: 100, Seed: 3, Classes: []tracing.Class{{Name: "lookup", LatencyTarget: time.Second, Deadline: 4 * time.Second}}})
+	r := tracing.New(tracing.Config{MemoryBytes: memory, Spans: 100, Seed: 3, Classes: []tracing.Class{{Name: "lookup", LatencyTarget: time.Second, Deadline: 4 * time.Second}}})
 	e := otlp.NewExporter(source, nil, otlp.NewSender(c.URL()), zerolog.Nop())
 	lost := 0
 	take := func(now time.Duration) {
@@ -261,7 +261,7 @@
 		for shard := range 5 {
 			p := q.AddPart(now, false, shard, 0.2)
 			a := q.AddAttempt(tracing.Attempt{Part: p, Node: "s-1", Begin: now})
-			q.AttemptOver(a, now+time.Millisecond, 4, false, false)
+			q.EndAttempt(a, now+time.Millisecond, 4, false, false)
 		}
 		r.End(now+time.Millisecond, q, tracing.Refused, 1)
 		if held := r.Stats().Bytes; held > memory {
--- a/internal/otlp/fuzz_test.go
+++ b/internal/otlp/fuzz_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, tr := range list {
 		at := tr.Begin
-		for _, s := range tracing.Critical(&tr.Query) {
+		for _, s := range tracing.CriticalPath(&tr.Query) {
 			if s.From != at || s.To <= s.From {
 				t.Fatalf("a path with a gap at %v: %+v", at, s)
 			}
--- a/internal/otlp/otlp_test.go
+++ b/internal/otlp/otlp_test.go
@@ -20,16 +20,16 @@
 // sample is a query with all that a trace can hold.
 func sample() *tracing.Query {
 	return &tracing.Query{Trace: tracing.KeyedTrace("x", "y"), Root: tracing.SpanID{1}, Parent: tracing.SpanID{2}, Front: "platform", Class: 1,
-		WireID: "9b1f", Begin: time.Hour, Wanted: time.Hour + 50*ms, Deadline: time.Hour + 500*ms, End: time.Hour + 90*ms, How: tracing.Short,
-		Keep: tracing.Slow | tracing.CutShort | tracing.CopyWon, Step2: time.Hour + 40*ms,
-		Parts: []tracing.Part{{Place: 0, In: true, Shard: 3, Weight: 0.5, Begin: time.Hour, End: time.Hour + 30*ms},
-			{Place: 2, Shard: 4, Weight: 0.5, Begin: time.Hour}, {Place: 3, Step: 1, In: true, Shard: 3, Weight: 1, Begin: time.Hour + 40*ms, End: time.Hour + 90*ms}},
+		WireID: "9b1f", Begin: time.Hour, TargetTime: time.Hour + 50*ms, Deadline: time.Hour + 500*ms, End: time.Hour + 90*ms, Ending: tracing.Short,
+		KeepReasons: tracing.Slow | tracing.PartlyAnswered | tracing.CopyWon, Step2Begin: time.Hour + 40*ms,
+		Parts: []tracing.Part{{Place: 0, Answered: true, Shard: 3, Weight: 0.5, Begin: time.Hour, End: time.Hour + 30*ms},
+			{Place: 2, Shard: 4, Weight: 0.5, Begin: time.Hour}, {Place: 3, Step: 1, Answered: true, Shard: 3, Weight: 1, Begin: time.Hour + 40*ms, End: time.Hour + 90*ms}},
 		Attempts: []tracing.Attempt{{Place: 0, Part: 0, Node: "s-1", Address: "127.0.0.1:1", Zone: 1, Cell: 2, Begin: time.Hour, Connected: time.Hour + ms,
 			Written: time.Hour + 2*ms, Heard: time.Hour + 29*ms, End: time.Hour + 30*ms, Over: true, Won: true, MayHaveRun: true, Outcome: 1},
-			{Place: 2, Part: 1, Reason: tracing.Copy, N: 1, Why: 3, Node: "s-2", Zone: 0, Begin: time.Hour + 5*ms},
-			{Place: 3, Part: 2, Reason: tracing.Further, Node: "s-1", Zone: 1, Begin: time.Hour + 41*ms, End: time.Hour + 90*ms, Over: true, Outcome: 4}},
-		Events: []tracing.Event{{At: time.Hour + 3*ms, Part: -1, Kind: tracing.GuardEvent, Text: "honest: x"},
-			{At: time.Hour + 4*ms, Part: 1, Kind: tracing.NoToken}},
+			{Place: 2, Part: 1, Reason: tracing.CopyAttempt, Number: 1, NodeChoice: 3, Node: "s-2", Zone: 0, Begin: time.Hour + 5*ms},
+			{Place: 3, Part: 2, Reason: tracing.RetryAttempt, Node: "s-1", Zone: 1, Begin: time.Hour + 41*ms, End: time.Hour + 90*ms, Over: true, Outcome: 4}},
+		Events: []tracing.Event{{At: time.Hour + 3*ms, Part: -1, Kind: tracing.GuardTriggered, Text: "honest: x"},
+			{At: time.Hour + 4*ms, Part: 1, Kind: tracing.CopyDenied}},
 		Dropped: tracing.Dropped{Parts: 1, Attempts: 2}}
 }
 
@@ -61,7 +61,7 @@
 			*d -= time.Hour
 		}
 	}
-	for _, d := range []*time.Duration{&want.Begin, &want.Wanted, &want.Deadline, &want.End, &want.Step2} {
+	for _, d := range []*time.Duration{&want.Begin, &want.TargetTime, &want.Deadline, &want.End, &want.Step2Begin} {
 		shift(d)
 	}
 	for i := range want.Parts {
@@ -92,7 +92,7 @@
 // TestEverySpanHasItsParent looks at the tree as a collector sees it.
 func TestEverySpanHasItsParent(t *testing.T) {
 	q := sample()
-	q.Keep, q.Shift = 0, 4
+	q.KeepReasons, q.SamplingShift = 0, 4
 	spans := source.Encode([]*tracing.Query{q}, nil, 0).ResourceSpans[0].ScopeSpans[0].Spans
 	if len(spans) != q.Spans() {
 		t.Errorf("%d spans, counted as %d", len(spans), q.Spans())
--- a/internal/segments/segments.go
+++ b/internal/segments/segments.go
@@ -155,23 +155,23 @@
 	return paths, nil
 }
 
-// Damage is a place in a segment from which on it can't be read.
-type Damage struct {
-	Path   string
-	Offset int64
-	Torn   bool // the end is missing, as after a kill; otherwise the bytes are wrong
-	What   string
+// DamageError is a place in a segment from which on it can't be read.
+type DamageError struct {
+	Path      string
+	Offset    int64
+	Truncated bool // the end is missing, as after a kill; otherwise the bytes are wrong
+	Detail    string
 }
 
-func (d *Damage) Error() string {
+func (d *DamageError) Error() string {
 	kind := "corrupt"
-	if d.Torn {
+	if d.Truncated {
 		kind = "cut"
 	}
-	return fmt.Sprintf("%s is %s at byte %d: %s", d.Path, kind, d.Offset, d.What)
+	return fmt.Sprintf("%s is %s at byte %d: %s", d.Path, kind, d.Offset, d.Detail)
 }
 
-// Read hands the messages of a segment to take, in order. It returns a *Damage where
+// Read hands the messages of a segment to take, in order. It returns a *DamageError where
 // the rest can't be read; what came before has been handed over.
 func Read(path string, take func([]byte) error) error {
 	f, err := os.Open(path)
@@ -181,10 +181,10 @@
 	defer func() { _ = f.Close() }() // read only
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(f, head); err != nil {
-		return &Damage{Path: path, Torn: true, What: "no whole first line"}
+		return &DamageError{Path: path, Truncated: true, Detail: "no whole first line"}
 	}
 	if string(head) != magic {
-		return &Damage{Path: path, What: "no file of traces, or of a later format"}
+		return &DamageError{Path: path, Detail: "no file of traces, or of a later format"}
 	}
 	at := int64(len(magic))
 	for {
@@ -193,22 +193,22 @@
 		case err == io.EOF:
 			return nil
 		case err != nil:
-			return &Damage{Path: path, Offset: at, Torn: true, What: "a message's head is not whole"}
+			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "a message's head is not whole"}
 		}
 		n := binary.BigEndian.Uint32(h[:])
 		// Guards memory against a length that is damage.
 		if n > maxMessage {
-			return &Damage{Path: path, Offset: at, What: fmt.Sprintf("a message of %d bytes", n)}
+			return &DamageError{Path: path, Offset: at, Detail: fmt.Sprintf("a message of %d bytes", n)}
 		}
 		b := make([]byte, n)
 		if _, err := io.ReadFull(f, b); err != nil {
-			return &Damage{Path: path, Offset: at, Torn: true, What: "a message is not whole"}
+			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "a message is not whole"}
 		}
 		if crc32.Checksum(b, castagnoli) != binary.BigEndian.Uint32(h[4:]) {
-			return &Damage{Path: path, Offset: at, What: "the checksum differs"}
+			return &DamageError{Path: path, Offset: at, Detail: "the checksum differs"}
 		}
 		if err := take(b); err != nil {
-			return &Damage{Path: path, Offset: at, What: err.Error()}
+			return &DamageError{Path: path, Offset: at, Detail: err.Error()}
 		}
 		at += headSize + int64(n)
 	}
--- a/internal/segments/segments_test.go
+++ b/internal/segments/segments_test.go
@@ -28,7 +28,7 @@
 }
 
 // all reads all that can be read, and the first damage.
-func all(t *testing.T, dir string) (got []string, damage *Damage) {
+func all(t *testing.T, dir string) (got []string, damage *DamageError) {
 	t.Helper()
 	list, err := List(dir)
 	if err != nil {
@@ -90,7 +90,7 @@
 		got, damage := all(t, filepath.Dir(path))
 		want := max(0, (n-len(magic))/record)
 		ends := n >= len(magic) && (n-len(magic))%record == 0
-		if len(got) != want || (damage == nil) != ends || damage != nil && !damage.Torn {
+		if len(got) != want || (damage == nil) != ends || damage != nil && !damage.Truncated {
 			t.Errorf("cut at %d: %d messages, want %d; damage %v", n, len(got), want, damage)
 		}
 		flipped := append([]byte(nil), whole...)
--- a/internal/tracing/critical.go
+++ b/internal/tracing/critical.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// What is what a stretch of a query's time was spent on.
-type What uint8
+// Stage is what a stretch of a query's time was spent on.
+type Stage uint8
 
 // What time goes to.
 const (
-	Mixer   What = iota // the mixer itself: waiting for a server that may take the part, or for its own step
-	Connect             // waiting for a connection to the node
-	Write               // until the part's last byte was written
-	Node                // the node: from then until its answer began, or nobody waited any more
-	Read                // until the answer was whole
+	Mixer   Stage = iota // the mixer itself: waiting for a server that may take the part, or for its own step
+	Connect              // waiting for a connection to the node
+	Write                // until the part's last byte was written
+	Node                 // the node: from then until its answer began, or nobody waited any more
+	Read                 // until the answer was whole
 )
 
 // Segment is a stretch of the critical path: the chain of waits that made a query
 // take as long as it did. Segments are in order and have no gaps.
 type Segment struct {
 	From, To time.Duration
-	What     What
+	Stage    Stage
 	Part     int // index; -1: none
 	Attempt  int // index; -1: none
 }
 
-// Critical is a query's critical path. In each step it goes through the part that
+// CriticalPath is a query's critical path. In each step it goes through the part that
 // was last to come in, or through one that never came in, and there through the
 // attempts in the order in which they were waited for: an earlier attempt until the
 // next one was sent, the last until the part's end.
-func Critical(q *Query) []Segment {
+func CriticalPath(q *Query) []Segment {
 	var path []Segment
 	at := q.Begin
-	add := func(to time.Duration, what What, part, attempt int) {
+	add := func(to time.Duration, what Stage, part, attempt int) {
 		if to = min(to, q.End); to > at {
 			path = append(path, Segment{at, to, what, part, attempt})
 			at = to
@@ -56,7 +56,7 @@
 			} else if a.Over {
 				until = min(end, a.End)
 			}
-			stage := func(t time.Duration, what What) {
+			stage := func(t time.Duration, what Stage) {
 				if t > 0 {
 					add(min(t, until), what, part, n)
 				}
@@ -84,8 +84,8 @@
 func (q *Query) gate(step uint8) (part int, end time.Duration) {
 	part = -1
 	over := q.End
-	if step == 0 && q.Step2 > 0 {
-		over = q.Step2
+	if step == 0 && q.Step2Begin > 0 {
+		over = q.Step2Begin
 	}
 	missing := false
 	for i := range q.Parts {
@@ -96,11 +96,11 @@
 		// A step that was answered short did not wait for what is missing any longer
 		// than for the rest.
 		t := p.End
-		if !p.In {
+		if !p.Answered {
 			t = over
 		}
-		if part < 0 || !p.In && !missing || p.In != missing && t > end {
-			part, end, missing = i, t, !p.In
+		if part < 0 || !p.Answered && !missing || p.Answered != missing && t > end {
+			part, end, missing = i, t, !p.Answered
 		}
 	}
 	return part, end
@@ -126,25 +126,25 @@
 	return list
 }
 
-// Cost is a share of the time by which a query was over its wanted time.
-type Cost struct {
+// SegmentExcess is a share of the time by which a query was over its wanted time.
+type SegmentExcess struct {
 	Segment
 	Over time.Duration
 }
 
 // Over charges the time by which a query was over its wanted time to its critical
 // path: the longest stretches first, each at most for its own length.
-func Over(q *Query) []Cost {
-	left := q.End - q.Wanted
-	path := Critical(q)
+func Over(q *Query) []SegmentExcess {
+	left := q.End - q.TargetTime
+	path := CriticalPath(q)
 	slices.SortStableFunc(path, func(a, b Segment) int { return cmp.Compare(b.To-b.From, a.To-a.From) })
-	var list []Cost
+	var list []SegmentExcess
 	for _, s := range path {
 		if left <= 0 {
 			break
 		}
 		over := min(left, s.To-s.From)
-		list = append(list, Cost{s, over})
+		list = append(list, SegmentExcess{s, over})
 		left -= over
 	}
 	return list
--- a/internal/tracing/hold.go
+++ b/internal/tracing/hold.go
@@ -61,7 +61,7 @@
 // the kept ones degrade, level by level. Open queries stay. It tells whether there
 // is room.
 func (r *Recorder) fit(room int) bool {
-	most := r.cfg.Memory - room
+	most := r.cfg.MemoryBytes - room
 	for r.bytes > most && r.waiting.len() > 0 {
 		r.settle(r.waiting.pop())
 	}
@@ -89,7 +89,7 @@
 		switch {
 		case level == dropBoring:
 			r.thinOut(q, q.boringParts())
-		case level == dropChance && q.Keep == 0:
+		case level == dropChance && q.KeepReasons == 0:
 			r.removeAt(at)
 			r.lose(q)
 		case level == dropChildren:
@@ -121,7 +121,7 @@
 // lose counts a trace that can't be held.
 func (r *Recorder) lose(q *Query) {
 	l := &r.lost[q.Class]
-	if q.Keep != 0 {
+	if q.KeepReasons != 0 {
 		l.Always++
 	} else {
 		l.Chance++
@@ -136,7 +136,7 @@
 	for i := range q.Parts {
 		drop[i] = q.boring(int32(i))
 	}
-	for _, s := range Critical(q) {
+	for _, s := range CriticalPath(q) {
 		if s.Part >= 0 {
 			drop[s.Part] = false
 		}
--- a/internal/tracing/hold_test.go
+++ b/internal/tracing/hold_test.go
@@ -30,14 +30,14 @@
 			p := q.AddPart(now, false, shard, 0.3)
 			a := q.AddAttempt(Attempt{Part: p, Node: "a", Begin: now})
 			if shard == 2 {
-				q.AttemptOver(a, now, 0, true, false)
-				a = q.AddAttempt(Attempt{Part: p, Node: "b", Reason: Further, Begin: now})
+				q.EndAttempt(a, now, 0, true, false)
+				a = q.AddAttempt(Attempt{Part: p, Node: "b", Reason: RetryAttempt, Begin: now})
 			}
-			q.AttemptOver(a, now+time.Duration(shard)*ms/8, 1, true, true)
+			q.EndAttempt(a, now+time.Duration(shard)*ms/8, 1, true, true)
 		}
 		r.End(now+ms/2, q, Served, 0)
-		if r.bytes > r.cfg.Memory {
-			t.Fatalf("%d bytes held, %d allowed", r.bytes, r.cfg.Memory)
+		if r.bytes > r.cfg.MemoryBytes {
+			t.Fatalf("%d bytes held, %d allowed", r.bytes, r.cfg.MemoryBytes)
 		}
 		now2 := at
 		head := r.kept.peek()
@@ -97,8 +97,8 @@
 		}
 		open = append(open, q)
 	}
-	if r.bytes > r.cfg.Memory+maxAttempts {
-		t.Errorf("%d bytes held, %d allowed", r.bytes, r.cfg.Memory)
+	if r.bytes > r.cfg.MemoryBytes+maxAttempts {
+		t.Errorf("%d bytes held, %d allowed", r.bytes, r.cfg.MemoryBytes)
 	}
 	taken := 0
 	for _, q := range open {
@@ -127,7 +127,7 @@
 		take := func(n int) {
 			for _, q := range r.Take(now, n) {
 				taken++
-				if len(q.Parts) > 0 && len(Critical(q)) == 0 && q.End > q.Begin {
+				if len(q.Parts) > 0 && len(CriticalPath(q)) == 0 && q.End > q.Begin {
 					t.Fatal("a trace without a critical path")
 				}
 			}
@@ -140,9 +140,9 @@
 			"begin": func(t *rapid.T) {
 				began++
 				s := Start{Left: time.Second, Class: rapid.IntRange(0, 1).Draw(t, "class"), Repeat: rapid.Bool().Draw(t, "repeat"),
-					Content: rapid.Uint64Range(0, 5).Draw(t, "content")}
+					ContentHash: rapid.Uint64Range(0, 5).Draw(t, "content")}
 				if s.Class == 1 {
-					s.Key, s.Content = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), 0
+					s.Key, s.ContentHash = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), 0
 				}
 				if q := r.Begin(now, s); q != nil {
 					open = append(open, q)
@@ -157,8 +157,8 @@
 				for n := range rapid.IntRange(0, 3).Draw(t, "attempts") {
 					a := q.AddAttempt(Attempt{Part: p, Reason: Reason(min(n, 2)), Begin: now, Node: "n"})
 					if rapid.Bool().Draw(t, "over") {
-						won := p >= 0 && !q.Parts[p].In
-						q.AttemptOver(a, now, 1, true, won)
+						won := p >= 0 && !q.Parts[p].Answered
+						q.EndAttempt(a, now, 1, true, won)
 					}
 				}
 			},
@@ -172,7 +172,7 @@
 					t.Skip()
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "i")
-				r.End(now, open[i], How(rapid.IntRange(1, 6).Draw(t, "how")), 0)
+				r.End(now, open[i], Ending(rapid.IntRange(1, 6).Draw(t, "how")), 0)
 				open = append(open[:i], open[i+1:]...)
 				ended++
 			},
@@ -195,15 +195,15 @@
 				if sum != r.bytes {
 					t.Fatalf("%d bytes counted, %d held", r.bytes, sum)
 				}
-				if r.bytes > r.cfg.Memory+4*(partSize+attemptSize)+eventSize+maxText+firstSize {
-					t.Fatalf("%d bytes held, %d allowed", r.bytes, r.cfg.Memory)
+				if r.bytes > r.cfg.MemoryBytes+4*(partSize+attemptSize)+eventSize+maxText+firstSize {
+					t.Fatalf("%d bytes held, %d allowed", r.bytes, r.cfg.MemoryBytes)
 				}
 				inLoss, noRecord := 0, unrecorded
 				for _, l := range r.lost {
 					inLoss += l.Always + l.Chance
 					noRecord += l.Unrecorded
 				}
-				if got := taken + kept + int(r.stats.Passed) + lost + inLoss; got != ended {
+				if got := taken + kept + int(r.stats.NotKept) + lost + inLoss; got != ended {
 					t.Fatalf("%d ended, %d accounted for", ended, got)
 				}
 				if began != ended+len(open)+noRecord {
--- a/internal/tracing/record.go
+++ b/internal/tracing/record.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// How is the way in which a query ended.
-type How uint8
+// Ending is the way in which a query ended.
+type Ending uint8
 
 // The ways to end.
 const (
-	Open     How = iota
-	Served       // whole
-	Short        // served from less than all that was asked for
-	Refused      // asking again is harmless
-	Failed       // it may have had an effect
-	Expired      // failed for want of time
-	Deserted     // its client has gone
+	Open     Ending = iota
+	Served          // whole
+	Short           // served from less than all that was asked for
+	Refused         // asking again is harmless
+	Failed          // it may have had an effect
+	Expired         // failed for want of time
+	Deserted        // its client has gone
 )
 
 // Reason is why an attempt was made.
@@ -21,35 +21,35 @@
 
 // The reasons of an attempt.
 const (
-	First   Reason = iota
-	Further        // the earlier ones have ended without an answer
-	Copy           // an earlier one is still out
+	FirstAttempt Reason = iota
+	RetryAttempt        // the earlier ones have ended without an answer
+	CopyAttempt         // an earlier one is still out
 )
 
 // Outcome is how an attempt ended. Its values are those of the decision module.
 type Outcome uint8
 
-// Keep says why a trace is kept; more than one may hold. Zero is a query that
+// KeepReasons says why a trace is kept; more than one may hold. Zero is a query that
 // nothing sets apart.
-type Keep uint16
+type KeepReasons uint16
 
 // The reasons for which a trace is always kept.
 const (
-	Slow        Keep = 1 << iota // over its wanted time, or so near that its client may have seen it so
-	NotServed                    // failed, refused, expired, or left by its client
-	Retried                      // a part was sent again
-	CopyWon                      // a second copy answered first
-	CutShort                     // served in part
-	Guarded                      // a guard stepped in
-	Repeat                       // a client's retry
-	WasRepeated                  // its client has asked again
+	Slow            KeepReasons = 1 << iota // over its wanted time, or so near that its client may have seen it so
+	NotServed                               // failed, refused, expired, or left by its client
+	Retried                                 // a part was sent again
+	CopyWon                                 // a second copy answered first
+	PartlyAnswered                          // served in part
+	GuardIntervened                         // a guard stepped in
+	Repeat                                  // a client's retry
+	RetriedByClient                         // its client has asked again
 )
 
 // Part is a part of a query.
 type Part struct {
 	Place      int32 // in the order in which parts were recorded, whatever has been dropped since
 	Step       uint8 // 0 or 1
-	In         bool
+	Answered   bool
 	Shard      int32
 	Weight     float32
 	Begin, End time.Duration // End: when its answer came; 0: it did not
@@ -59,9 +59,9 @@
 type Attempt struct {
 	Place      int32 // as a part's
 	Part       int32 // index
-	N          uint8 // among the part's
+	Number     uint8 // among the part's
 	Reason     Reason
-	Why        uint8 // the module's word on its choice of node
+	NodeChoice uint8 // the module's word on its choice of node
 	Outcome    Outcome
 	Over       bool
 	Won        bool // it gave the part's answer
@@ -90,37 +90,37 @@
 
 // The kinds of events.
 const (
-	GuardEvent  EventKind = iota // a guard of the core's stepped in
-	NoToken                      // a late part was not copied for want of a token
-	NoBudget                     // a further attempt was not made for want of budget
-	ColdFull                     // a cold node's budget was spent
-	RetryEvent                   // its client asked again
-	JoinedEvent                  // it joined its first try's trace; the text says by what
+	GuardTriggered EventKind = iota // a guard of the core's stepped in
+	CopyDenied                      // a late part was not copied for want of a token
+	RetryDenied                     // a further attempt was not made for want of budget
+	ColdNodeDenied                  // a cold node's budget was spent
+	ClientRetried                   // its client asked again
+	JoinedTrace                     // it joined its first try's trace; the text says by what
 )
 
 // Query is the story of one query at this mixer: all that its spans are made from.
 type Query struct {
-	Trace    TraceID
-	Root     SpanID
-	Parent   SpanID // the client's span, or the first try's root; zero: none
-	State    string
-	Front    string
-	Class    int
-	WireID   string
-	Version  uint64 // of the settings that its mixer acted on; 0: its own
-	Begin    time.Duration
-	Wanted   time.Duration // when its answer is wanted
-	Deadline time.Duration // when its client gives up
-	End      time.Duration
-	How      How
-	Why      uint8 // the module's word on its end
-	Keep     Keep
-	Shift    uint8 // a kept query without a reason stands for 2^Shift of its kind
-	Step2    time.Duration
-	Parts    []Part
-	Attempts []Attempt
-	Events   []Event
-	Dropped  Dropped // what was held of it and is no more
+	Trace         TraceID
+	Root          SpanID
+	Parent        SpanID // the client's span, or the first try's root; zero: none
+	State         string
+	Front         string
+	Class         int
+	WireID        string
+	Version       uint64 // of the settings that its mixer acted on; 0: its own
+	Begin         time.Duration
+	TargetTime    time.Duration // when its answer is wanted
+	Deadline      time.Duration // when its client gives up
+	End           time.Duration
+	Ending        Ending
+	EndReason     uint8 // the module's word on its end
+	KeepReasons   KeepReasons
+	SamplingShift uint8 // a kept query without a reason stands for 2^Shift of its kind
+	Step2Begin    time.Duration
+	Parts         []Part
+	Attempts      []Attempt
+	Events        []Event
+	Dropped       Dropped // what was held of it and is no more
 
 	r       *Recorder
 	thin    bool // nothing but the root is recorded
@@ -152,8 +152,8 @@
 	maxText     = 200
 )
 
-// ID is the trace's id as text; "" without one.
-func (q *Query) ID() string {
+// TraceIDString is the trace's id as text; "" without one.
+func (q *Query) TraceIDString() string {
 	if q == nil {
 		return ""
 	}
@@ -168,8 +168,8 @@
 	p := Part{Shard: int32(shard), Weight: float32(weight), Begin: now}
 	if second {
 		p.Step = 1
-		if q.Step2 == 0 {
-			q.Step2 = now
+		if q.Step2Begin == 0 {
+			q.Step2Begin = now
 		}
 	}
 	if q.thin || q.r.full() {
@@ -187,8 +187,8 @@
 	if q == nil {
 		return -1
 	}
-	if a.Reason == Further {
-		q.Keep |= Retried
+	if a.Reason == RetryAttempt {
+		q.KeepReasons |= Retried
 	}
 	if q.thin || a.Part < 0 || len(q.Attempts) >= maxAttempts || q.r.full() {
 		q.Dropped.Attempts++
@@ -229,8 +229,8 @@
 	}
 }
 
-// AttemptOver notes an attempt's end. Won tells that it gave the part's answer.
-func (q *Query) AttemptOver(i int32, now time.Duration, o Outcome, mayHaveRun, won bool) {
+// EndAttempt notes an attempt's end. Won tells that it gave the part's answer.
+func (q *Query) EndAttempt(i int32, now time.Duration, o Outcome, mayHaveRun, won bool) {
 	a := q.at(i)
 	if a == nil {
 		return
@@ -238,9 +238,9 @@
 	a.Over, a.Outcome, a.MayHaveRun, a.Won, a.End = true, o, mayHaveRun, won, now
 	if won {
 		p := &q.Parts[a.Part]
-		p.In, p.End = true, now
-		if a.Reason == Copy {
-			q.Keep |= CopyWon
+		p.Answered, p.End = true, now
+		if a.Reason == CopyAttempt {
+			q.KeepReasons |= CopyWon
 		}
 	}
 }
@@ -251,10 +251,10 @@
 		return
 	}
 	switch kind {
-	case GuardEvent:
-		q.Keep |= Guarded
-	case RetryEvent:
-		q.Keep |= WasRepeated
+	case GuardTriggered:
+		q.KeepReasons |= GuardIntervened
+	case ClientRetried:
+		q.KeepReasons |= RetriedByClient
 	}
 	if q.thin || len(q.Events) >= maxEvents || q.r.full() {
 		q.Dropped.Events++
@@ -278,7 +278,7 @@
 	n := 1 + len(q.Parts) + len(q.Attempts)
 	if len(q.Parts) > 0 {
 		n++
-		if q.Step2 > 0 {
+		if q.Step2Begin > 0 {
 			n++
 		}
 	}
@@ -311,7 +311,7 @@
 	}
 	// Whether the trace is kept is decided at its end; the flag says what is likely.
 	flags := byte(randomFlag)
-	if q.Keep != 0 || q.r.chosen(q) {
+	if q.KeepReasons != 0 || q.r.chosen(q) {
 		flags |= sampled
 	}
 	return Traceparent(q.Trace, q.AttemptSpan(int(i)), flags), q.State
@@ -319,7 +319,7 @@
 
 // boring tells whether a part was answered by its first attempt and by no other.
 func (q *Query) boring(part int32) bool {
-	if !q.Parts[part].In {
+	if !q.Parts[part].Answered {
 		return false
 	}
 	n := 0
--- a/internal/tracing/recorder.go
+++ b/internal/tracing/recorder.go
@@ -18,10 +18,10 @@
 
 // Config is what a Recorder is made from.
 type Config struct {
-	Classes []Class
-	Memory  int     // bytes that all traces held may take, about
-	Spans   float64 // spans a second and class that may be kept; what is always kept has precedence
-	Seed    uint64  // of the ids
+	Classes     []Class
+	MemoryBytes int     // bytes that all traces held may take, about
+	Spans       float64 // spans a second and class that may be kept; what is always kept has precedence
+	Seed        uint64  // of the ids
 }
 
 const (
@@ -67,7 +67,7 @@
 	Queries int64 // that ended
 	Always  int64 // kept for a reason
 	Chance  int64 // kept by chance
-	Passed  int64 // not kept
+	NotKept int64 // not kept
 	Bytes   int   // held now
 }
 
@@ -92,20 +92,20 @@
 
 // Start is what is known of a query when it begins.
 type Start struct {
-	Context Context
-	Front   string
-	Class   int // index
-	WireID  string
-	Key     string // idempotency key
-	Content uint64 // of what is asked for, by Content; 0: not known
-	Repeat  bool   // the client says that it asks again
-	Left    time.Duration
-	Work    time.Duration
-	Version uint64 // of the settings that the mixer acts on; 0: its own
+	Context     Context
+	Front       string
+	Class       int // index
+	WireID      string
+	Key         string // idempotency key
+	ContentHash uint64 // of what is asked for, by Content; 0: not known
+	Repeat      bool   // the client says that it asks again
+	Left        time.Duration
+	Work        time.Duration
+	Version     uint64 // of the settings that the mixer acts on; 0: its own
 }
 
-// Content sums up what a query asks for, so that a retry is known by it.
-func Content(class int, text []byte, shards []int) uint64 {
+// ContentHash sums up what a query asks for, so that a retry is known by it.
+func ContentHash(class int, text []byte, shards []int) uint64 {
 	h := xxh3.Hash(text)
 	var b [16]byte
 	for _, s := range shards {
@@ -118,8 +118,8 @@
 	return max(1, xxh3.Hash(b[:]))
 }
 
-// KeySum sums up an idempotency key of a class.
-func KeySum(class int, key string) uint64 { return max(1, xxh3.HashStringSeed(key, uint64(class))) }
+// KeyHash sums up an idempotency key of a class.
+func KeyHash(class int, key string) uint64 { return max(1, xxh3.HashStringSeed(key, uint64(class))) }
 
 // Begin opens a query's record. It returns nil where nothing can be recorded, which
 // is counted as a loss; all methods of a nil Query do nothing.
@@ -134,12 +134,12 @@
 	}
 	c := &r.cfg.Classes[s.Class]
 	q := r.record()
-	q.Front, q.Class, q.WireID, q.content = s.Front, s.Class, s.WireID, s.Content
+	q.Front, q.Class, q.WireID, q.content = s.Front, s.Class, s.WireID, s.ContentHash
 	q.Version = s.Version
 	q.Begin, q.Deadline = now, now+s.Left
-	q.Wanted = now + min(c.LatencyTarget+time.Duration(c.LatencyTargetPerWork*float64(s.Work)), max(c.Deadline, c.LatencyTarget))
+	q.TargetTime = now + min(c.LatencyTarget+time.Duration(c.LatencyTargetPerWork*float64(s.Work)), max(c.Deadline, c.LatencyTarget))
 	q.State = s.Context.State
-	q.thin = float64(r.bytes) > thinShare*float64(r.cfg.Memory)
+	q.thin = float64(r.bytes) > thinShare*float64(r.cfg.MemoryBytes)
 	q.where = isOpen
 	r.open++
 	r.newSpan(&q.Root)
@@ -168,7 +168,7 @@
 			r.joined(q, "idempotency-key")
 		}
 	default:
-		if f, ok := r.firsts[s.Content]; again && s.Content != 0 && ok && f.until >= q.Begin {
+		if f, ok := r.firsts[s.ContentHash]; again && s.ContentHash != 0 && ok && f.until >= q.Begin {
 			q.Trace, q.Parent = f.trace, f.root
 			r.joined(q, "content")
 		} else {
@@ -180,17 +180,17 @@
 	}
 	if old := r.byTrace[q.Trace]; old != nil && again && old.Class == q.Class {
 		// Its first try mattered, whether it is open or has ended.
-		old.Event(q.Begin, -1, RetryEvent, q.WireID)
+		old.Event(q.Begin, -1, ClientRetried, q.WireID)
 	}
 	r.byTrace[q.Trace] = q
-	if s.Content != 0 && !again {
-		r.remember(s.Content, first{q.Trace, q.Root, q.Begin + r.cfg.Classes[s.Class].Deadline})
+	if s.ContentHash != 0 && !again {
+		r.remember(s.ContentHash, first{q.Trace, q.Root, q.Begin + r.cfg.Classes[s.Class].Deadline})
 	}
 }
 
 func (r *Recorder) joined(q *Query, by string) {
-	q.Keep |= Repeat
-	q.Event(q.Begin, -1, JoinedEvent, by)
+	q.KeepReasons |= Repeat
+	q.Event(q.Begin, -1, JoinedTrace, by)
 }
 
 // remember keeps a first try for the time in which it may be asked again.
@@ -226,27 +226,27 @@
 
 // End closes a query's record. What is of interest is kept at once; the rest waits
 // for as long as its client may ask again.
-func (r *Recorder) End(now time.Duration, q *Query, how How, why uint8) {
+func (r *Recorder) End(now time.Duration, q *Query, how Ending, why uint8) {
 	if r == nil || q == nil || q.where != isOpen {
 		return
 	}
 	r.tick(now)
 	r.open--
-	q.End, q.How, q.Why = now, how, why
-	aim := q.Wanted - q.Begin
-	if now > q.Wanted-max(slackLeast, time.Duration(slackShare*float64(aim))) {
-		q.Keep |= Slow
+	q.End, q.Ending, q.EndReason = now, how, why
+	aim := q.TargetTime - q.Begin
+	if now > q.TargetTime-max(slackLeast, time.Duration(slackShare*float64(aim))) {
+		q.KeepReasons |= Slow
 	}
 	switch how {
 	case Served:
 	case Short:
-		q.Keep |= CutShort
+		q.KeepReasons |= PartlyAnswered
 	default:
-		q.Keep |= NotServed
+		q.KeepReasons |= NotServed
 	}
 	r.stats.Queries++
-	r.classes[q.Class].add(q.Keep != 0, q.Spans())
-	if q.Keep != 0 {
+	r.classes[q.Class].add(q.KeepReasons != 0, q.Spans())
+	if q.KeepReasons != 0 {
 		r.keep(q)
 	} else {
 		q.where = isWaiting
@@ -259,19 +259,19 @@
 // settle decides on a query that has waited for a sign that it mattered.
 func (r *Recorder) settle(q *Query) {
 	switch {
-	case q.Keep != 0:
+	case q.KeepReasons != 0:
 		r.keep(q)
 	case r.chosen(q):
-		q.Shift = r.classes[q.Class].shift
+		q.SamplingShift = r.classes[q.Class].shift
 		r.keep(q)
 	default:
-		r.stats.Passed++
+		r.stats.NotKept++
 		r.release(q)
 	}
 }
 
 func (r *Recorder) keep(q *Query) {
-	if q.Keep != 0 {
+	if q.KeepReasons != 0 {
 		r.stats.Always++
 	} else {
 		r.stats.Chance++
@@ -315,7 +315,7 @@
 	for i := range r.classes {
 		r.classes[i].adapt(r.now)
 	}
-	for q := r.waiting.peek(); q != nil && (q.due <= r.now || q.Keep != 0); q = r.waiting.peek() {
+	for q := r.waiting.peek(); q != nil && (q.due <= r.now || q.KeepReasons != 0); q = r.waiting.peek() {
 		r.settle(r.waiting.pop())
 	}
 	for len(r.order) > 0 && r.firsts[r.order[0]].until < r.now {
--- a/internal/tracing/tail.go
+++ b/internal/tracing/tail.go
@@ -90,8 +90,8 @@
 // Weight is how many queries a kept trace stands for, so that rates can be
 // computed from what is kept: 1 for one that is kept for a reason.
 func (q *Query) Weight() float64 {
-	if q.Keep != 0 {
+	if q.KeepReasons != 0 {
 		return 1
 	}
-	return float64(uint64(1) << q.Shift)
+	return float64(uint64(1) << q.SamplingShift)
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -20,7 +20,7 @@
 const ms = time.Millisecond
 
 func recorder(memory int, spans float64) *Recorder {
-	return New(Config{Memory: memory, Spans: spans, Seed: 7, Classes: []Class{
+	return New(Config{MemoryBytes: memory, Spans: spans, Seed: 7, Classes: []Class{
 		{Name: "lookup", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second},
 		{Name: "booking", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second}}})
 }
@@ -36,7 +36,7 @@
 	q.Connected(a, at)
 	q.Written(a, at)
 	q.Heard(a, at+took)
-	q.AttemptOver(a, at+took, 1, true, true)
+	q.EndAttempt(a, at+took, 1, true, true)
 	r.End(at+took, q, Served, 0)
 	return q
 }
@@ -114,7 +114,7 @@
 }
 
 // ending is a query without parts that ends so.
-func ending(how How, why uint8) func(*Recorder) *Query {
+func ending(how Ending, why uint8) func(*Recorder) *Query {
 	return func(r *Recorder) *Query {
 		q := r.Begin(0, Start{Left: time.Second})
 		r.End(ms, q, how, why)
@@ -126,20 +126,20 @@
 	tests := []struct {
 		name string
 		do   func(r *Recorder) *Query
-		want Keep
+		want KeepReasons
 	}{
 		{"slow", func(r *Recorder) *Query { return play(r, 0, Start{}, 1600*ms) }, Slow},
 		{"so near that its client may have seen it late", func(r *Recorder) *Query { return play(r, 0, Start{}, 1400*ms) }, Slow},
 		{"refused", ending(Refused, 1), NotServed},
 		{"left by its client", ending(Deserted, 0), NotServed},
-		{"short", ending(Short, 0), CutShort},
+		{"short", ending(Short, 0), PartlyAnswered},
 		{"retried by us", func(r *Recorder) *Query {
 			q := r.Begin(0, Start{Left: time.Second})
 			p := q.AddPart(0, false, 1, 1)
 			a := q.AddAttempt(Attempt{Part: p})
-			q.AttemptOver(a, ms, 0, true, false)
-			b := q.AddAttempt(Attempt{Part: p, Reason: Further, Begin: ms})
-			q.AttemptOver(b, 2*ms, 1, true, true)
+			q.EndAttempt(a, ms, 0, true, false)
+			b := q.AddAttempt(Attempt{Part: p, Reason: RetryAttempt, Begin: ms})
+			q.EndAttempt(b, 2*ms, 1, true, true)
 			r.End(2*ms, q, Served, 0)
 			return q
 		}, Retried},
@@ -147,17 +147,17 @@
 			q := r.Begin(0, Start{Left: time.Second})
 			p := q.AddPart(0, false, 1, 1)
 			q.AddAttempt(Attempt{Part: p})
-			b := q.AddAttempt(Attempt{Part: p, Reason: Copy, Begin: ms})
-			q.AttemptOver(b, 2*ms, 1, true, true)
+			b := q.AddAttempt(Attempt{Part: p, Reason: CopyAttempt, Begin: ms})
+			q.EndAttempt(b, 2*ms, 1, true, true)
 			r.End(2*ms, q, Served, 0)
 			return q
 		}, CopyWon},
 		{"guarded", func(r *Recorder) *Query {
 			q := r.Begin(0, Start{Left: time.Second})
-			q.Event(0, -1, GuardEvent, "honest: ...")
+			q.Event(0, -1, GuardTriggered, "honest: ...")
 			r.End(ms, q, Served, 0)
 			return q
-		}, Guarded},
+		}, GuardIntervened},
 		{"a client's retry", func(r *Recorder) *Query { return play(r, 0, Start{Repeat: true}, ms) }, Repeat},
 	}
 	for _, tt := range tests {
@@ -171,8 +171,8 @@
 			r.now = 0
 			q := tt.do(r)
 			list := r.Take(time.Hour, 1<<30)
-			if len(list) != 1 || list[0] != q || q.Keep != tt.want || q.Weight() != 1 {
-				t.Errorf("%d kept, for %b, want one for %b", len(list), q.Keep, tt.want)
+			if len(list) != 1 || list[0] != q || q.KeepReasons != tt.want || q.Weight() != 1 {
+				t.Errorf("%d kept, for %b, want one for %b", len(list), q.KeepReasons, tt.want)
 			}
 		})
 	}
@@ -195,12 +195,12 @@
 		{name: "by key, first try open", first: Start{Class: 1, Key: "k"}, again: Start{Class: 1, Key: "k"}, open: true, same: true, noted: true},
 		{name: "by key, at another mixer", first: Start{Class: 1, Key: "k"}, again: Start{Class: 1, Key: "k", Repeat: true}, elsewhere: true, same: true},
 		{name: "another key", first: Start{Class: 1, Key: "k"}, again: Start{Class: 1, Key: "l"}},
-		{name: "by content, marked", first: Start{Content: 5}, again: Start{Content: 5, Repeat: true}, same: true, noted: true},
-		{name: "by content, first try open", first: Start{Content: 5}, again: Start{Content: 5, Repeat: true}, open: true, same: true, noted: true},
-		{name: "by content, not marked", first: Start{Content: 5}, again: Start{Content: 5}},
-		{name: "by content, too late", first: Start{Content: 5}, again: Start{Content: 5, Repeat: true}, later: 5 * time.Second},
-		{name: "by content, at another mixer", first: Start{Content: 5}, again: Start{Content: 5, Repeat: true}, elsewhere: true},
-		{name: "other content", first: Start{Content: 5}, again: Start{Content: 6, Repeat: true}},
+		{name: "by content, marked", first: Start{ContentHash: 5}, again: Start{ContentHash: 5, Repeat: true}, same: true, noted: true},
+		{name: "by content, first try open", first: Start{ContentHash: 5}, again: Start{ContentHash: 5, Repeat: true}, open: true, same: true, noted: true},
+		{name: "by content, not marked", first: Start{ContentHash: 5}, again: Start{ContentHash: 5}},
+		{name: "by content, too late", first: Start{ContentHash: 5}, again: Start{ContentHash: 5, Repeat: true}, later: 5 * time.Second},
+		{name: "by content, at another mixer", first: Start{ContentHash: 5}, again: Start{ContentHash: 5, Repeat: true}, elsewhere: true},
+		{name: "other content", first: Start{ContentHash: 5}, again: Start{ContentHash: 6, Repeat: true}},
 		{name: "by traceparent", first: Start{Context: ctx}, again: Start{Context: other, Repeat: true}, same: true, noted: true},
 		{name: "by traceparent, at another mixer", first: Start{Context: ctx}, again: Start{Context: other, Repeat: true}, elsewhere: true, same: true},
 		{name: "one client's two queries are no retry", first: Start{Context: ctx}, again: Start{Context: other}, same: true},
@@ -210,7 +210,7 @@
 			r := recorder(1<<20, 1e9)
 			second := r
 			if tt.elsewhere {
-				second = New(Config{Memory: 1 << 20, Spans: 1e9, Seed: 99, Classes: r.cfg.Classes})
+				second = New(Config{MemoryBytes: 1 << 20, Spans: 1e9, Seed: 99, Classes: r.cfg.Classes})
 			}
 			tt.first.Left, tt.again.Left = 4*time.Second, 4*time.Second
 			a := r.Begin(0, tt.first)
@@ -225,10 +225,10 @@
 			if same := a.Trace == b.Trace; same != tt.same || a.Trace.IsZero() || b.Trace.IsZero() {
 				t.Errorf("traces %v and %v, want the same: %v", a.Trace, b.Trace, tt.same)
 			}
-			if noted := a.Keep&WasRepeated != 0; noted != tt.noted {
+			if noted := a.KeepReasons&RetriedByClient != 0; noted != tt.noted {
 				t.Errorf("first try noted as asked again: %v, want %v", noted, tt.noted)
 			}
-			if tt.noted && b.Keep&Repeat == 0 {
+			if tt.noted && b.KeepReasons&Repeat == 0 {
 				t.Error("the retry is not kept as one")
 			}
 			if tt.noted && tt.again.Context.IsZero() && b.Parent != a.Root {
@@ -297,7 +297,7 @@
 // TestCriticalPath checks the stretches that a query's time is charged to.
 func TestCriticalPath(t *testing.T) {
 	type step struct {
-		What     What
+		Stage    Stage
 		Node     string
 		From, To time.Duration
 	}
@@ -307,11 +307,11 @@
 		want []step
 	}{
 		{"an attempt, then a copy that won", func() *Query {
-			q := &Query{End: 100, Wanted: 60,
-				Parts: []Part{{In: true, End: 20}, {In: true, End: 100}},
+			q := &Query{End: 100, TargetTime: 60,
+				Parts: []Part{{Answered: true, End: 20}, {Answered: true, End: 100}},
 				Attempts: []Attempt{{Part: 0, Node: "a", Won: true, Over: true, Connected: 1, Written: 1, Heard: 20, End: 20},
 					{Part: 1, Node: "slow", Connected: 2, Written: 4},
-					{Part: 1, Node: "b", Reason: Copy, Begin: 70, Connected: 75, Written: 75, Heard: 90, End: 100, Won: true, Over: true}}}
+					{Part: 1, Node: "b", Reason: CopyAttempt, Begin: 70, Connected: 75, Written: 75, Heard: 90, End: 100, Won: true, Over: true}}}
 			return q
 		}, []step{{Connect, "slow", 0, 2}, {Write, "slow", 2, 4}, {Node, "slow", 4, 70}, {Connect, "b", 70, 75}, {Node, "b", 75, 90},
 			{Read, "b", 90, 100}}},
@@ -319,14 +319,14 @@
 			return &Query{End: 100, Parts: []Part{{Begin: 5}}, Attempts: []Attempt{{Node: "mute", Begin: 5, Connected: 5, Written: 6}}}
 		}, []step{{Mixer, "", 0, 5}, {Write, "mute", 5, 6}, {Node, "mute", 6, 100}}},
 		{"a copy that lost is not waited for", func() *Query {
-			return &Query{End: 50, Parts: []Part{{In: true, End: 50}}, Attempts: []Attempt{
-				{Node: "a", Connected: 1, Written: 1, Heard: 50, End: 50, Won: true, Over: true}, {Node: "b", Reason: Copy, Begin: 30, End: 50, Over: true}}}
+			return &Query{End: 50, Parts: []Part{{Answered: true, End: 50}}, Attempts: []Attempt{
+				{Node: "a", Connected: 1, Written: 1, Heard: 50, End: 50, Won: true, Over: true}, {Node: "b", Reason: CopyAttempt, Begin: 30, End: 50, Over: true}}}
 		}, []step{{Connect, "a", 0, 1}, {Node, "a", 1, 50}}},
 		{"no connection ever", func() *Query {
 			return &Query{End: 50, Parts: []Part{{}}, Attempts: []Attempt{{Node: "gone", Outcome: 4, Over: true, End: 30}}}
 		}, []step{{Connect, "gone", 0, 30}, {Mixer, "", 30, 50}}},
 		{"two steps", func() *Query {
-			return &Query{End: 90, Step2: 40, Parts: []Part{{In: true, End: 38}, {Step: 1, Begin: 40, In: true, End: 90}},
+			return &Query{End: 90, Step2Begin: 40, Parts: []Part{{Answered: true, End: 38}, {Step: 1, Begin: 40, Answered: true, End: 90}},
 				Attempts: []Attempt{{Node: "a", Connected: 1, Written: 1, Heard: 38, End: 38, Won: true, Over: true},
 					{Part: 1, Node: "b", Begin: 45, Connected: 45, Written: 45, Heard: 88, End: 90, Won: true, Over: true}}}
 		}, []step{{Connect, "a", 0, 1}, {Node, "a", 1, 38}, {Mixer, "", 38, 40}, {Mixer, "", 40, 45}, {Node, "b", 45, 88}, {Read, "b", 88, 90}}},
@@ -337,7 +337,7 @@
 			q := tt.make()
 			var got []step
 			at := q.Begin
-			for _, s := range Critical(q) {
+			for _, s := range CriticalPath(q) {
 				if s.From != at {
 					t.Errorf("a gap from %v to %v", at, s.From)
 				}
@@ -346,7 +346,7 @@
 				if s.Attempt >= 0 {
 					node = q.Attempts[s.Attempt].Node
 				}
-				got = append(got, step{s.What, node, s.From, s.To})
+				got = append(got, step{s.Stage, node, s.From, s.To})
 			}
 			if at != q.End {
 				t.Errorf("the path ends at %v of %v", at, q.End)
