--- a/cmd/kiteloft/fleet.go
+++ b/cmd/kiteloft/fleet.go
@@ -13,7 +13,7 @@
 	"kiteloft/internal/fleet/accord"
 	"kiteloft/internal/fleet/duty"
 	"kiteloft/internal/fleet/link"
-	"kiteloft/internal/fleet/roll"
+	"kiteloft/internal/fleet/nodelist"
 	"kiteloft/internal/fleet/steer"
 	"kiteloft/internal/fleet/survey"
 	"kiteloft/internal/fleet/version"
@@ -41,9 +41,9 @@
 	}
 	t := &team{link: f}
 	if cfg.ShareLists {
-		t.roll = roll.New(core, topic{f, aboutLists}, dir, cfg.Name, cfg.Settings.Zones, cfg.Seed, log)
-		dir.Filter = t.roll.Filter
-		core.Attach(nodes, t.roll)
+		t.nodelist = nodelist.New(core, topic{f, aboutLists}, dir, cfg.Name, cfg.Settings.Zones, cfg.Seed, log)
+		dir.Filter = t.nodelist.Filter
+		core.Attach(nodes, t.nodelist)
 	}
 	checks := broker.Prober(nodes)
 	if cfg.Accord != nil {
@@ -59,8 +59,8 @@
 		if t.accord != nil {
 			t.accord.News(key, body)
 		}
-		if t.roll != nil {
-			t.roll.News(key, body, age)
+		if t.nodelist != nil {
+			t.nodelist.News(key, body, age)
 		}
 	}
 	f.HandleMessage = t.word
@@ -72,12 +72,12 @@
 
 // team is a mixer's part in its fleet.
 type team struct {
-	link   *link.Fleet
-	accord *accord.Participant // nil: no settings are agreed on
-	roll   *roll.Sharer        // nil: each follows discovery for itself
-	survey *survey.Survey      // nil: nothing is said of zones
-	steer  *steer.Controller   // what zones are to get; there where the survey is
-	acts   accord.ActiveRules
+	link     *link.Fleet
+	accord   *accord.Participant // nil: no settings are agreed on
+	nodelist *nodelist.Sharer    // nil: each follows discovery for itself
+	survey   *survey.Survey      // nil: nothing is said of zones
+	steer    *steer.Controller   // what zones are to get; there where the survey is
+	acts     accord.ActiveRules
 }
 
 // What mixers talk about, each with the other alone: the first byte of what is said.
@@ -102,8 +102,8 @@
 	case len(body) == 0:
 	case body[0] == aboutSettings && t.accord != nil:
 		t.accord.HandleMessage(from, body[1:])
-	case body[0] == aboutLists && t.roll != nil:
-		t.roll.HandleMessage(from, body[1:])
+	case body[0] == aboutLists && t.nodelist != nil:
+		t.nodelist.HandleMessage(from, body[1:])
 	case body[0] == aboutZones && t.survey != nil:
 		t.survey.HandleMessage(from, body[1:])
 	}
@@ -122,8 +122,8 @@
 		t.acts = x
 		t.steer.SetAgreedPlan(x.Plan)
 		t.limit(core, cfg)
-		if t.roll != nil {
-			t.roll.Hold(x.Rules.HoldList)
+		if t.nodelist != nil {
+			t.nodelist.Hold(x.Rules.HoldList)
 		}
 	}
 	t.link.HandleRequest = a.HandleRequest
@@ -185,8 +185,8 @@
 
 // Listed is called once this mixer knows the nodes that it was started with.
 func (t *team) Listed() {
-	if t.roll != nil {
-		t.roll.Start()
+	if t.nodelist != nil {
+		t.nodelist.Start()
 	}
 }
 
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/nodelist/nodelist.go
@@ -1,9 +1,9 @@
-// Package roll shares discovery's list of stock nodes among the mixers of a fleet. A few
+// Package nodelist shares discovery's list of stock nodes among the mixers of a fleet. A few
 // mixers in each zone watch discovery, and all others receive its changes from them. The load
 // on discovery stays the same as the fleet grows, and a node that leaves does so for all
 // mixers at once. Package version merges the reports; this package has the messages and
 // decides who watches. It does no I/O of its own; all of it runs on the core's goroutine.
-package roll
+package nodelist
 
 import (
 	"math/rand/v2"
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/nodelist/nodelist_test.go
@@ -1,4 +1,4 @@
-package roll
+package nodelist
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 	f        *fleet
 	name     string
 	zone     string
-	roll     *Sharer
+	sharer   *Sharer
 	dead     bool
 	deaf     bool // discovery does not answer it
 	watching bool
@@ -49,14 +49,14 @@
 	}
 	for i := range size {
 		m := &mixer{f: f, name: fmt.Sprintf("n%d", i), zone: zones[i%3], knew: map[string]time.Duration{}}
-		m.roll = New(m, m, m, m.name, zones, uint64(i), zerolog.Nop())
+		m.sharer = New(m, m, m, m.name, zones, uint64(i), zerolog.Nop())
 		f.mixers = append(f.mixers, m)
 	}
 	for _, m := range f.mixers {
-		m.Publish(m.roll.Filter(f.list)) // the list at its start
+		m.Publish(m.sharer.Filter(f.list)) // the list at its start
 		m.seen = f.list.Revision
-		m.roll.Start()
-		m.roll.Watch(true)
+		m.sharer.Start()
+		m.sharer.Watch(true)
 	}
 	return f
 }
@@ -102,7 +102,7 @@
 	}
 	m.f.calls++
 	m.seen = revision
-	m.Publish(m.roll.Filter(discovery.List{Revision: revision, Members: []discovery.Entry{e}}))
+	m.Publish(m.sharer.Filter(discovery.List{Revision: revision, Members: []discovery.Entry{e}}))
 }
 
 // ---- implements Core ----
@@ -118,7 +118,7 @@
 func (m *mixer) Send(to string, body []byte) {
 	for _, x := range m.f.mixers {
 		if x.name == to && !x.dead {
-			x.after(time.Duration(1+m.f.rng.IntN(5))*ms, func() { x.roll.HandleMessage(m.name, body) })
+			x.after(time.Duration(1+m.f.rng.IntN(5))*ms, func() { x.sharer.HandleMessage(m.name, body) })
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	for _, x := range m.f.mixers {
 		if x != m && !x.dead {
 			age := time.Duration(m.f.rng.IntN(600)) * ms
-			x.after(age, func() { x.roll.News(key, body, age) })
+			x.after(age, func() { x.sharer.News(key, body, age) })
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	m.after(50*ms, func() { // the whole list comes first
 		if m.watching && turn == m.turn && !m.deaf {
 			m.seen = m.f.list.Revision
-			m.Publish(m.roll.Filter(m.f.list))
+			m.Publish(m.sharer.Filter(m.f.list))
 		}
 	})
 }
