--- a/cmd/loft/fleet.go
+++ b/cmd/loft/fleet.go
@@ -24,10 +24,10 @@
 }
 
 // usualCounts are the columns where none are asked for.
-var defaultCounts = []kinds.Kind{kinds.Taken, kinds.Served, kinds.Short, kinds.RefusedNoHope, kinds.RefusedPartLost,
-	kinds.RefusedTimeUp, kinds.Failed, kinds.ByOffset, kinds.OffsetAvoided, kinds.NextBestHolder, kinds.LateCopy, kinds.ForcedCopy,
-	kinds.ToCold, kinds.OK, kinds.Full, kinds.TimedOut, kinds.ConnectFailed, kinds.Dialed, kinds.OpenLinks,
-	kinds.Probes, kinds.DirectoryCalls, kinds.DirectoryFailed, kinds.ListBytes, kinds.ListAgeMillis, kinds.LagMicros,
+var defaultCounts = []kinds.Kind{kinds.Taken, kinds.Served, kinds.Short, kinds.RefusedTargetUnreachable, kinds.RefusedPartUnavailable,
+	kinds.RefusedTimeExpired, kinds.Failed, kinds.ByOffset, kinds.OffsetAvoided, kinds.NextBestHolder, kinds.LateCopy, kinds.ForcedCopy,
+	kinds.SentToWarmingNode, kinds.OK, kinds.Full, kinds.TimedOut, kinds.ConnectFailed, kinds.ConnectionsDialed, kinds.OpenConnections,
+	kinds.Probes, kinds.DirectoryCalls, kinds.DirectoryFailed, kinds.ListBytes, kinds.ListAgeMillis, kinds.TimerLagMicros,
 	kinds.CPUMicros}
 
 // mostLine is the longest line of a log that is looked at.
@@ -71,7 +71,7 @@
 		}
 		s.mixers++
 		for name, value := range fields {
-			if k, known := kinds.Find(name); known {
+			if k, known := kinds.KindByName(name); known {
 				if n, number := value.(float64); number {
 					s.sum.Add(k, int64(n))
 				}
@@ -87,7 +87,7 @@
 	if len(c.Kind) > 0 {
 		columns = nil
 		for _, name := range c.Kind {
-			k, ok := kinds.Find(name)
+			k, ok := kinds.KindByName(name)
 			if !ok {
 				return fmt.Errorf("fleet: %q is not counted", name)
 			}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -156,10 +156,10 @@
 	directory      Directory
 	prober         Prober
 	log            Logger
-	traces         *tracing.Recorder // nil: no traces are recorded
-	counts         *counts.Set       // nil: nothing is counted
-	recent         *counts.Recent    // latest events by query, for the log lines of guards
-	listed         time.Duration     // time of the last list update
+	traces         *tracing.Recorder    // nil: no traces are recorded
+	counts         *counts.Set          // nil: nothing is counted
+	recent         *counts.RecentEvents // latest events by query, for the log lines of guards
+	listed         time.Duration        // time of the last list update
 	stormDetector  *storm.Detector
 	lastStormCheck time.Duration
 	inbox          mailbox
@@ -305,7 +305,7 @@
 
 // SetCounts has the core add up its counters in s, and remember the latest events for the log
 // lines of guards.
-func (c *Core) SetCounts(s *counts.Set) { c.counts, c.recent = s, new(counts.Recent) }
+func (c *Core) SetCounts(s *counts.Set) { c.counts, c.recent = s, new(counts.RecentEvents) }
 
 // ListAge returns the time since the last update of the node list.
 func (c *Core) ListAge() time.Duration { return c.now - c.listed }
@@ -374,7 +374,7 @@
 		fn()
 	}
 	if due, ok := c.timers.next(); ok && c.now > due {
-		c.counts.Add(counts.LagMicros, (c.now - due).Microseconds())
+		c.counts.Add(counts.TimerLagMicros, (c.now - due).Microseconds())
 		c.timerLag = max(c.timerLag, c.now-due)
 	}
 	c.timers.run(c.now)
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -145,7 +145,7 @@
 	a.Node.Addr, a.allowed = m.Addr, true
 	c.countEvent(sendReasonKinds[s.Reason], q.WireID, m.ID)
 	if m.Started > 0 && c.now < m.Started+c.config.Module.WarmupTime {
-		c.counts.Add(counts.ToCold, 1)
+		c.counts.Add(counts.SentToWarmingNode, 1)
 	}
 	if q.trace != nil {
 		c.traceAttempt(a, m, s.Reason)
--- a/internal/broker/trace.go
+++ b/internal/broker/trace.go
@@ -68,5 +68,5 @@
 // reportGuard records in the log and in the query's trace that the core overruled the module.
 func (c *Core) reportGuard(q *query, rule, about string) {
 	q.trace.Event(c.now, -1, tracing.GuardTriggered, rule+": "+about)
-	c.log.Guard(rule, q.WireID, q.trace.TraceIDString(), about+"; so far: "+c.recent.Of(q.WireID))
+	c.log.Guard(rule, q.WireID, q.trace.TraceIDString(), about+"; so far: "+c.recent.Describe(q.WireID))
 }
--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -5,16 +5,16 @@
 // Kind is something that is counted, or a peak.
 type Kind uint8
 
-// What is counted. Kinds from OpenLinks on are peaks: the most that was seen.
+// What is counted. Kinds from OpenConnections on are peaks: the most that was seen.
 const (
 	Taken Kind = iota
 	Crowded
 	Served
 	Short
-	RefusedNoHope
-	RefusedTimeUp
-	RefusedPartLost
-	RefusedUnseen
+	RefusedTargetUnreachable
+	RefusedTimeExpired
+	RefusedPartUnavailable
+	RefusedNoServerReached
 	Failed
 	Expired
 	Deserted
@@ -23,41 +23,41 @@
 	NextBestHolder
 	LateCopy
 	ForcedCopy
-	ToCold
+	SentToWarmingNode
 	OK
-	Error
+	AttemptFailed
 	Full
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
 	NotSent
-	Dialed
-	DialFailed
-	Closed
+	ConnectionsDialed
+	ConnectionsFailed
+	ConnectionsClosed
 	Probes
 	DirectoryCalls
 	DirectoryFailed
 	ListBytes
 	CPUMicros
-	OpenLinks
-	LagMicros
+	OpenConnections
+	TimerLagMicros
 	ListAgeMillis
-	kinds
+	kindCount
 )
 
-var names = [kinds]string{"taken", "crowded", "served", "short", "no_hope", "time_up", "part_lost", "unseen", "failed", "expired",
+var names = [kindCount]string{"taken", "crowded", "served", "short", "no_hope", "time_up", "part_lost", "unseen", "failed", "expired",
 	"deserted", "by_offset", "left_slow", "next_best", "late_copy", "stranded", "to_cold", "ok", "error", "full", "timed_out",
 	"connect_failed", "reset", "cancelled", "moot", "dialed", "dial_failed", "closed", "probes", "directory_calls", "directory_failed",
 	"list_bytes", "cpu_us", "open_links", "lag_us", "list_age_ms"}
 
 func (k Kind) String() string { return names[k] }
 
-// Peak tells whether a kind is a peak: the most of several, in place of their sum.
-func (k Kind) Peak() bool { return k >= OpenLinks }
+// IsPeak tells whether a kind is a peak: the most of several, in place of their sum.
+func (k Kind) IsPeak() bool { return k >= OpenConnections }
 
-// Find returns the kind of a name.
-func Find(name string) (Kind, bool) {
+// KindByName returns the kind of a name.
+func KindByName(name string) (Kind, bool) {
 	for k, n := range names {
 		if n == name {
 			return Kind(k), true
@@ -67,13 +67,13 @@
 }
 
 // Set counts. A nil Set takes everything and keeps nothing.
-type Set struct{ n [kinds]int64 }
+type Set struct{ n [kindCount]int64 }
 
 // Add adds to a kind, or lifts a peak.
 func (s *Set) Add(k Kind, n int64) {
 	switch {
 	case s == nil:
-	case k.Peak():
+	case k.IsPeak():
 		s.n[k] = max(s.n[k], n)
 	default:
 		s.n[k] += n
@@ -105,4 +105,4 @@
 }
 
 // Clear starts again from nothing.
-func (s *Set) Clear() { s.n = [kinds]int64{} }
+func (s *Set) Clear() { s.n = [kindCount]int64{} }
--- a/internal/counts/counts_test.go
+++ b/internal/counts/counts_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 func TestEveryKindHasAName(t *testing.T) {
-	for k := range kinds {
-		if got, ok := Find(k.String()); k.String() == "" || !ok || got != k {
+	for k := range kindCount {
+		if got, ok := KindByName(k.String()); k.String() == "" || !ok || got != k {
 			t.Errorf("kind %d is named %q, which is found as %d", k, k, got)
 		}
 	}
-	if _, ok := Find("none such"); ok {
+	if _, ok := KindByName("none such"); ok {
 		t.Error("a name that is none was found")
 	}
 }
@@ -17,13 +17,13 @@
 	var a, b Set
 	a.Add(Taken, 2)
 	a.Add(Taken, 3)
-	a.Add(OpenLinks, 7)
-	a.Add(OpenLinks, 4)
+	a.Add(OpenConnections, 7)
+	a.Add(OpenConnections, 4)
 	b.Add(Taken, 10)
-	b.Add(OpenLinks, 9)
+	b.Add(OpenConnections, 9)
 	a.Merge(&b)
-	if a.Get(Taken) != 15 || a.Get(OpenLinks) != 9 {
-		t.Errorf("taken %d, open links %d, want 15 and 9", a.Get(Taken), a.Get(OpenLinks))
+	if a.Get(Taken) != 15 || a.Get(OpenConnections) != 9 {
+		t.Errorf("taken %d, open links %d, want 15 and 9", a.Get(Taken), a.Get(OpenConnections))
 	}
 	var seen []Kind
 	a.Each(func(k Kind, _ int64) { seen = append(seen, k) })
--- a/internal/counts/recent.go
+++ b/internal/counts/recent.go
@@ -14,26 +14,26 @@
 	At      time.Duration // on the monotonic clock
 	Request string        // its id on the wire
 	Server  string        // that an attempt went to; "": it was none
-	What    Kind          // with the reason in its name: how it was chosen, how it ended
+	Type    Kind          // with the reason in its name: how it was chosen, how it ended
 }
 
-// Recent keeps the latest events, so that what was done can be read when something has gone
-// wrong. A nil Recent keeps nothing.
-type Recent struct {
+// RecentEvents keeps the latest events, so that what was done can be read when something has gone
+// wrong. A nil RecentEvents keeps nothing.
+type RecentEvents struct {
 	ring [recentSize]Event
 	next int
 }
 
-// Note keeps an event in place of the oldest.
-func (r *Recent) Note(e Event) {
+// Record keeps an event in place of the oldest.
+func (r *RecentEvents) Record(e Event) {
 	if r != nil {
 		r.ring[r.next%recentSize] = e
 		r.next++
 	}
 }
 
-// Of returns what is known of a request, oldest first, in one line.
-func (r *Recent) Of(request string) string {
+// Describe returns what is known of a request, oldest first, in one line.
+func (r *RecentEvents) Describe(request string) string {
 	if r == nil {
 		return ""
 	}
@@ -46,7 +46,7 @@
 		if b.Len() > 0 {
 			b.WriteString(", ")
 		}
-		fmt.Fprintf(&b, "%.3f %v", e.At.Seconds(), e.What)
+		fmt.Fprintf(&b, "%.3f %v", e.At.Seconds(), e.Type)
 		if e.Server != "" {
 			b.WriteString(" " + e.Server)
 		}
--- a/internal/counts/recent_test.go
+++ b/internal/counts/recent_test.go
@@ -7,22 +7,22 @@
 )
 
 func TestRecent(t *testing.T) {
-	var none *Recent
-	none.Note(Event{Request: "a"})
-	if none.Of("a") != "" {
+	var none *RecentEvents
+	none.Record(Event{Request: "a"})
+	if none.Describe("a") != "" {
 		t.Error("nothing is kept, and something is known")
 	}
-	var r Recent
-	r.Note(Event{At: time.Second, Request: "a", What: Taken})
-	r.Note(Event{At: 1500 * time.Millisecond, Request: "b", What: Taken})
-	r.Note(Event{At: 2 * time.Second, Request: "a", Server: "s1", What: LateCopy})
-	if got, want := r.Of("a"), "1.000 taken, 2.000 late_copy s1"; got != want {
+	var r RecentEvents
+	r.Record(Event{At: time.Second, Request: "a", Type: Taken})
+	r.Record(Event{At: 1500 * time.Millisecond, Request: "b", Type: Taken})
+	r.Record(Event{At: 2 * time.Second, Request: "a", Server: "s1", Type: LateCopy})
+	if got, want := r.Describe("a"), "1.000 taken, 2.000 late_copy s1"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 	for i := range recentSize {
-		r.Note(Event{Request: strconv.Itoa(i), What: Served})
+		r.Record(Event{Request: strconv.Itoa(i), Type: Served})
 	}
-	if r.Of("a") != "" || r.Of("0") == "" || r.Of(strconv.Itoa(recentSize-1)) == "" {
+	if r.Describe("a") != "" || r.Describe("0") == "" || r.Describe(strconv.Itoa(recentSize-1)) == "" {
 		t.Error("the latest are not what is kept")
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -176,7 +176,7 @@
 			delete(pool.peers, id)
 		}
 	}
-	pool.Counts.Add(counts.OpenLinks, int64(open))
+	pool.Counts.Add(counts.OpenConnections, int64(open))
 	pool.core.After(sweepInterval, pool.sweep)
 }
 
@@ -331,7 +331,7 @@
 	l := &Link{pool: pool, peer: p, addr: p.addr, outstanding: map[string]*Ticket{}, cancelled: map[string]time.Duration{},
 		answered: map[string]time.Duration{}, lastUsed: pool.core.Now()}
 	p.links = append(p.links, l)
-	pool.Counts.Add(counts.Dialed, 1)
+	pool.Counts.Add(counts.ConnectionsDialed, 1)
 	_, hostPort := l.scheme()
 	pool.net.Dial(hostPort, pool.limits.ConnectTimeout, l, l.onDialed)
 	return l
@@ -602,9 +602,9 @@
 // depends on whether the last byte of its call was written: only then it may have run.
 func (l *Link) Ended(e transport.End) {
 	l.ended = true
-	l.pool.Counts.Add(counts.Closed, 1)
+	l.pool.Counts.Add(counts.ConnectionsClosed, 1)
 	if l.conn == nil {
-		l.pool.Counts.Add(counts.DialFailed, 1)
+		l.pool.Counts.Add(counts.ConnectionsFailed, 1)
 	}
 	l.peer.links = slices.DeleteFunc(l.peer.links, func(o *Link) bool { return o == l })
 	if len(l.outstanding) > 0 {
