--- a/internal/segments/fuzz_test.go
+++ b/internal/segments/fuzz_test.go
@@ -16,7 +16,7 @@
 			t.Fatal(err)
 		}
 		took := 0
-		_ = Read(path, func(m []byte) error { took += headSize + len(m); return nil })
+		_ = Read(path, func(m []byte) error { took += headerSize + len(m); return nil })
 		if took > len(b) {
 			t.Fatalf("%d bytes of messages in %d", took, len(b))
 		}
--- a/internal/segments/segments.go
+++ b/internal/segments/segments.go
@@ -18,7 +18,7 @@
 const (
 	magic      = "KLTRACE1"
 	suffix     = ".seg"
-	headSize   = 8        // length and checksum of a message
+	headerSize = 8        // length and checksum of a message
 	maxMessage = 64 << 20 // bytes; more is damage
 )
 
@@ -26,13 +26,13 @@
 
 // Writer writes segments into a directory. It is used by one goroutine.
 type Writer struct {
-	dir   string
-	name  string
-	size  int64
-	files int
-	seq   int
-	file  *os.File
-	wrote int64
+	dir     string
+	name    string
+	size    int64
+	files   int
+	seq     int
+	file    *os.File
+	written int64
 }
 
 // NewWriter returns a Writer of segments of about size bytes, of which it leaves at
@@ -48,7 +48,7 @@
 // Append writes a message. After an error the segment is left as it is, and the next
 // message begins another.
 func (w *Writer) Append(b []byte) error {
-	if w.file != nil && w.wrote+int64(len(b)) > w.size {
+	if w.file != nil && w.written+int64(len(b)) > w.size {
 		if err := w.Close(); err != nil {
 			return err
 		}
@@ -58,11 +58,11 @@
 			return err
 		}
 	}
-	out := make([]byte, headSize, headSize+len(b))
+	out := make([]byte, headerSize, headerSize+len(b))
 	binary.BigEndian.PutUint32(out, uint32(len(b)))
 	binary.BigEndian.PutUint32(out[4:], crc32.Checksum(b, castagnoli))
 	n, err := w.file.Write(append(out, b...))
-	w.wrote += int64(n)
+	w.written += int64(n)
 	if err != nil {
 		_ = w.file.Close() // the write's error says more
 		w.file = nil
@@ -82,7 +82,7 @@
 		_ = f.Close() // the write's error says more
 		return fmt.Errorf("segments: %w", err)
 	}
-	w.file, w.wrote = f, int64(len(magic))
+	w.file, w.written = f, int64(len(magic))
 	return w.prune()
 }
 
@@ -188,7 +188,7 @@
 	}
 	at := int64(len(magic))
 	for {
-		var h [headSize]byte
+		var h [headerSize]byte
 		switch _, err := io.ReadFull(f, h[:]); {
 		case err == io.EOF:
 			return nil
@@ -210,6 +210,6 @@
 		if err := take(b); err != nil {
 			return &DamageError{Path: path, Offset: at, Detail: err.Error()}
 		}
-		at += headSize + int64(n)
+		at += headerSize + int64(n)
 	}
 }
--- a/internal/segments/segments_test.go
+++ b/internal/segments/segments_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func write(t *testing.T, dir string, size int64, files, n int) *Writer {
+func writeMessages(t *testing.T, dir string, size int64, files, n int) *Writer {
 	t.Helper()
 	w, err := NewWriter(dir, "n0-1", size, files)
 	if err != nil {
@@ -28,7 +28,7 @@
 }
 
 // all reads all that can be read, and the first damage.
-func all(t *testing.T, dir string) (got []string, damage *DamageError) {
+func readAll(t *testing.T, dir string) (got []string, damage *DamageError) {
 	t.Helper()
 	list, err := List(dir)
 	if err != nil {
@@ -43,10 +43,10 @@
 	return got, damage
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestReadReturnsWrittenMessages(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, 60, 100, 7)
-	got, damage := all(t, dir)
+	writeMessages(t, dir, 60, 100, 7)
+	got, damage := readAll(t, dir)
 	want := []string{}
 	for i := range 7 {
 		want = append(want, fmt.Sprintf("message %04d", i))
@@ -59,35 +59,35 @@
 	}
 }
 
-func TestTheOldestSegmentsGo(t *testing.T) {
+func TestOldestSegmentsAreRemoved(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, 30, 3, 20)
+	writeMessages(t, dir, 30, 3, 20)
 	list, err := List(dir)
 	if err != nil || len(list) != 3 {
 		t.Errorf("%d segments, %v", len(list), err)
 	}
-	got, _ := all(t, dir)
+	got, _ := readAll(t, dir)
 	if len(got) == 0 || got[len(got)-1] != "message 0019" {
 		t.Errorf("read %v, want the latest", got)
 	}
 }
 
 // TestDamageIsToldAndTheRestRead cuts a segment at every byte, and flips each.
-func TestDamageIsToldAndTheRestRead(t *testing.T) {
+func TestDamageIsReportedAndPrecedingMessagesRead(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, 1000, 10, 3)
+	writeMessages(t, dir, 1000, 10, 3)
 	list, _ := List(dir)
 	whole, err := os.ReadFile(list[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := headSize + len("message 0000")
+	record := headerSize + len("message 0000")
 	for n := range whole {
 		path := filepath.Join(t.TempDir(), "cut.seg")
 		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, damage := all(t, filepath.Dir(path))
+		got, damage := readAll(t, filepath.Dir(path))
 		want := max(0, (n-len(magic))/record)
 		ends := n >= len(magic) && (n-len(magic))%record == 0
 		if len(got) != want || (damage == nil) != ends || damage != nil && !damage.Truncated {
@@ -98,7 +98,7 @@
 		if err := os.WriteFile(path, flipped, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, damage = all(t, filepath.Dir(path))
+		got, damage = readAll(t, filepath.Dir(path))
 		if want := max(0, (n-len(magic))/record); damage == nil || len(got) != want {
 			t.Errorf("byte %d wrong: %d messages, want %d; damage %v", n, len(got), want, damage)
 		}
--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	maxState   = 512 // bytes of tracestate that are kept, as W3C asks for at least
-	maxMembers = 32  // members of a tracestate
-	sampled    = 1
-	randomFlag = 2
+	maxStateBytes   = 512 // bytes of tracestate that are kept, as W3C asks for at least
+	maxStateMembers = 32  // members of a tracestate
+	sampledFlag     = 1
+	randomFlag      = 2
 )
 
 // Context is what a client says of the trace that its query belongs to. The zero
@@ -28,11 +28,11 @@
 // malformed traceparent is as good as none, and a malformed tracestate is dropped
 // alone.
 func ParseContext(parent, state string) Context {
-	c, ok := parseParent(strings.Trim(parent, " \t"))
+	c, ok := parseTraceparent(strings.Trim(parent, " \t"))
 	if !ok {
 		return Context{}
 	}
-	c.State = parseState(state)
+	c.State = parseTracestate(state)
 	return c
 }
 
@@ -49,14 +49,14 @@
 	return &c
 }
 
-func parseParent(s string) (c Context, ok bool) {
+func parseTraceparent(s string) (c Context, ok bool) {
 	const whole = 2 + 1 + 32 + 1 + 16 + 1 + 2
 	if len(s) < whole || s[2] != '-' || s[35] != '-' || s[52] != '-' {
 		return c, false
 	}
 	var version, flags [1]byte
-	if !lowerHex(version[:], s[:2]) || !lowerHex(c.Trace[:], s[3:35]) || !lowerHex(c.Parent[:], s[36:52]) ||
-		!lowerHex(flags[:], s[53:55]) {
+	if !decodeLowerHex(version[:], s[:2]) || !decodeLowerHex(c.Trace[:], s[3:35]) || !decodeLowerHex(c.Parent[:], s[36:52]) ||
+		!decodeLowerHex(flags[:], s[53:55]) {
 		return c, false
 	}
 	switch {
@@ -67,12 +67,12 @@
 	case len(s) > whole && s[whole] != '-': // a later version may go on, after a dash
 		return c, false
 	}
-	c.Flags = flags[0] & (sampled | randomFlag)
+	c.Flags = flags[0] & (sampledFlag | randomFlag)
 	return c, true
 }
 
 // lowerHex decodes hex in lower case only, as W3C wants it.
-func lowerHex(dst []byte, s string) bool {
+func decodeLowerHex(dst []byte, s string) bool {
 	for i := range len(s) {
 		if s[i] >= 'A' && s[i] <= 'F' {
 			return false
@@ -84,7 +84,7 @@
 
 // parseState keeps a tracestate whose members have the right form; a list that is
 // too long loses its last members.
-func parseState(s string) string {
+func parseTracestate(s string) string {
 	if s == "" {
 		return ""
 	}
@@ -97,11 +97,11 @@
 			continue
 		}
 		key, value, ok := strings.Cut(m, "=")
-		if !ok || !stateKey(key) || !stateValue(value) || seen[key] {
+		if !ok || !validStateKey(key) || !validStateValue(value) || seen[key] {
 			return ""
 		}
 		seen[key] = true
-		if length += len(m) + 1; len(keep) == maxMembers || length > maxState+1 {
+		if length += len(m) + 1; len(keep) == maxStateMembers || length > maxStateBytes+1 {
 			break
 		}
 		keep = append(keep, m)
@@ -109,7 +109,7 @@
 	return strings.Join(keep, ",")
 }
 
-func stateKey(s string) bool {
+func validStateKey(s string) bool {
 	if s == "" || len(s) > 256 {
 		return false
 	}
@@ -127,7 +127,7 @@
 	return true
 }
 
-func stateValue(s string) bool {
+func validStateValue(s string) bool {
 	if s == "" || len(s) > 256 || s[len(s)-1] == ' ' {
 		return false
 	}
--- a/internal/tracing/critical.go
+++ b/internal/tracing/critical_path.go
@@ -41,18 +41,18 @@
 		}
 	}
 	for step := range uint8(2) {
-		part, end := q.gate(step)
+		part, end := q.lastPart(step)
 		if part < 0 {
 			continue
 		}
 		add(q.Parts[part].Begin, Mixer, -1, -1)
-		chain := q.chain(part)
-		for i, n := range chain {
+		awaitedAttempts := q.awaitedAttempts(part)
+		for i, n := range awaitedAttempts {
 			a := &q.Attempts[n]
 			add(a.Begin, Mixer, part, -1)
 			until := end
-			if i+1 < len(chain) {
-				until = min(end, q.Attempts[chain[i+1]].Begin)
+			if i+1 < len(awaitedAttempts) {
+				until = min(end, q.Attempts[awaitedAttempts[i+1]].Begin)
 			} else if a.Over {
 				until = min(end, a.End)
 			}
@@ -81,7 +81,7 @@
 
 // gate returns the part that a step ended with, and when: one that did not come in
 // goes before all that did.
-func (q *Query) gate(step uint8) (part int, end time.Duration) {
+func (q *Query) lastPart(step uint8) (part int, end time.Duration) {
 	part = -1
 	over := q.End
 	if step == 0 && q.Step2Begin > 0 {
@@ -106,9 +106,9 @@
 	return part, end
 }
 
-// chain returns the attempts of a part that were waited for, in order. A copy that
+// awaitedAttempts returns the attempts of a part that were waited for, in order. A copy that
 // lost was not: its part did not wait for it.
-func (q *Query) chain(part int) (list []int) {
+func (q *Query) awaitedAttempts(part int) (list []int) {
 	won := -1
 	for i := range q.Attempts {
 		if int(q.Attempts[i].Part) != part {
--- a/internal/tracing/hold.go
+++ b/internal/tracing/memory.go
@@ -1,22 +1,22 @@
 package tracing
 
-// fifo is a queue of queries.
-type fifo struct {
+// queryQueue is a first-in, first-out queue of queries.
+type queryQueue struct {
 	list []*Query
 	head int
 }
 
-func (f *fifo) push(q *Query) { f.list = append(f.list, q) }
-func (f *fifo) len() int      { return len(f.list) - f.head }
+func (f *queryQueue) push(q *Query) { f.list = append(f.list, q) }
+func (f *queryQueue) len() int      { return len(f.list) - f.head }
 
-func (f *fifo) peek() *Query {
+func (f *queryQueue) peek() *Query {
 	if f.len() == 0 {
 		return nil
 	}
 	return f.list[f.head]
 }
 
-func (f *fifo) pop() *Query {
+func (f *queryQueue) pop() *Query {
 	q := f.list[f.head]
 	f.list[f.head] = nil
 	if f.head++; f.head == len(f.list) {
@@ -32,68 +32,68 @@
 // store holds kept traces until they are taken. What can't be held degrades in the
 // order of its levels; each goes over the traces once, oldest first, so that the
 // work for a trace is bounded.
-type store struct {
-	fifo
-	next [levels]int // by level: how many from the head have been through it
+type keptTraces struct {
+	queryQueue
+	progress [levelCount]int // by level: how many from the head have been through it
 }
 
 // The levels, in the order in which they are gone through.
 const (
-	dropBoring   = iota // parts that their first attempt answered, off the critical path
-	dropChance          // traces that only chance kept
-	dropChildren        // all but roots
-	dropRoots           // the oldest traces altogether
-	levels
+	dropUneventfulParts = iota // parts that their first attempt answered, off the critical path
+	dropSampledTraces          // traces that only chance kept
+	dropChildSpans             // all but roots
+	dropOldestTraces           // the oldest traces altogether
+	levelCount
 )
 
-func (s *store) pop() *Query {
-	q := s.fifo.pop()
-	for i := range s.next {
-		s.next[i] = max(0, s.next[i]-1)
+func (s *keptTraces) pop() *Query {
+	q := s.queryQueue.pop()
+	for i := range s.progress {
+		s.progress[i] = max(0, s.progress[i]-1)
 	}
 	return q
 }
 
 // full makes room for one more entry and tells whether there is none.
-func (r *Recorder) full() bool { return !r.fit(attemptSize) }
+func (r *Recorder) outOfMemory() bool { return !r.makeRoom(attemptSize) }
 
 // fit makes room for so many bytes, in this order: what waits is decided early; then
 // the kept ones degrade, level by level. Open queries stay. It tells whether there
 // is room.
-func (r *Recorder) fit(room int) bool {
+func (r *Recorder) makeRoom(room int) bool {
 	most := r.cfg.MemoryBytes - room
 	for r.bytes > most && r.waiting.len() > 0 {
-		r.settle(r.waiting.pop())
+		r.decide(r.waiting.pop())
 	}
-	for level := range levels {
-		for r.bytes > most && r.degrade(level) {
+	for level := range levelCount {
+		for r.bytes > most && r.degradeNext(level) {
 		}
 	}
 	return r.bytes <= most
 }
 
 // degrade takes the next kept trace through a level; false: none is left for it.
-func (r *Recorder) degrade(level int) bool {
+func (r *Recorder) degradeNext(level int) bool {
 	s := &r.kept
-	if level == dropRoots {
+	if level == dropOldestTraces {
 		if s.len() == 0 {
 			return false
 		}
-		r.lose(s.pop())
+		r.discardTrace(s.pop())
 		return true
 	}
-	for s.next[level] < s.len() {
-		at := s.head + s.next[level]
+	for s.progress[level] < s.len() {
+		at := s.head + s.progress[level]
 		q := s.list[at]
-		s.next[level]++
+		s.progress[level]++
 		switch {
-		case level == dropBoring:
-			r.thinOut(q, q.boringParts())
-		case level == dropChance && q.KeepReasons == 0:
+		case level == dropUneventfulParts:
+			r.dropParts(q, q.uneventfulParts())
+		case level == dropSampledTraces && q.KeepReasons == 0:
 			r.removeAt(at)
-			r.lose(q)
-		case level == dropChildren:
-			r.thinOut(q, nil)
+			r.discardTrace(q)
+		case level == dropChildSpans:
+			r.dropParts(q, nil)
 		default:
 			continue
 		}
@@ -108,9 +108,9 @@
 	copy(s.list[at:], s.list[at+1:])
 	s.list[len(s.list)-1] = nil
 	s.list = s.list[:len(s.list)-1]
-	for i := range s.next {
-		if s.next[i] > at-s.head {
-			s.next[i]--
+	for i := range s.progress {
+		if s.progress[i] > at-s.head {
+			s.progress[i]--
 		}
 	}
 	if s.len() == 0 {
@@ -119,7 +119,7 @@
 }
 
 // lose counts a trace that can't be held.
-func (r *Recorder) lose(q *Query) {
+func (r *Recorder) discardTrace(q *Query) {
 	l := &r.lost[q.Class]
 	if q.KeepReasons != 0 {
 		l.Always++
@@ -131,10 +131,10 @@
 
 // boringParts tells which parts may go first: those that their first attempt
 // answered and that nothing waited for.
-func (q *Query) boringParts() []bool {
+func (q *Query) uneventfulParts() []bool {
 	drop := make([]bool, len(q.Parts))
 	for i := range q.Parts {
-		drop[i] = q.boring(int32(i))
+		drop[i] = q.answeredByOnlyAttempt(int32(i))
 	}
 	for _, s := range CriticalPath(q) {
 		if s.Part >= 0 {
@@ -146,7 +146,7 @@
 
 // thinOut drops parts with their attempts, or all children and events with a nil
 // list, and keeps count of them on the root.
-func (r *Recorder) thinOut(q *Query, drop []bool) {
+func (r *Recorder) dropParts(q *Query, drop []bool) {
 	if drop == nil {
 		q.Dropped.Parts += len(q.Parts)
 		q.Dropped.Attempts += len(q.Attempts)
--- a/internal/tracing/hold_test.go
+++ b/internal/tracing/memory_test.go
@@ -9,8 +9,8 @@
 
 // TestDegradesInTheStatedOrder fills the memory with kept traces and looks at what
 // goes first, and at what is said of it.
-func TestDegradesInTheStatedOrder(t *testing.T) {
-	r := recorder(16<<10, 1e9)
+func TestDegradationOrder(t *testing.T) {
+	r := newTestRecorder(16<<10, 1e9)
 	type phase int
 	const (
 		full phase = iota
@@ -80,9 +80,9 @@
 
 // TestTenThousandOpenQueries holds the memory with far more open queries than it has
 // room for: what is not recorded is counted.
-func TestTenThousandOpenQueries(t *testing.T) {
+func TestMemoryLimitWithManyOpenQueries(t *testing.T) {
 	const n = 10000
-	r := recorder(1<<20, 100)
+	r := newTestRecorder(1<<20, 100)
 	var open []*Query
 	nothing := 0
 	for i := range n {
@@ -118,9 +118,9 @@
 
 // TestNothingIsUnaccountedFor plays random lives: every query that ended is taken,
 // passed over or counted as lost, the bytes add up, and the memory holds.
-func TestNothingIsUnaccountedFor(t *testing.T) {
+func TestEveryQueryIsAccountedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := recorder(rapid.IntRange(2<<10, 64<<10).Draw(t, "memory"), rapid.Float64Range(0, 200).Draw(t, "spans"))
+		r := newTestRecorder(rapid.IntRange(2<<10, 64<<10).Draw(t, "memory"), rapid.Float64Range(0, 200).Draw(t, "spans"))
 		now := time.Duration(0)
 		var open []*Query
 		began, ended, taken, unrecorded, lost := 0, 0, 0, 0, 0
@@ -182,11 +182,11 @@
 			"take": func(t *rapid.T) { take(rapid.IntRange(0, 40).Draw(t, "n")) },
 			"": func(t *rapid.T) {
 				kept := 0
-				sum := firstSize * len(r.order)
+				sum := firstTrySize * len(r.firstTryOrder)
 				for _, q := range open {
 					sum += q.size
 				}
-				for _, f := range []fifo{r.waiting, r.kept.fifo} {
+				for _, f := range []queryQueue{r.waiting, r.kept.queryQueue} {
 					for _, q := range f.list[f.head:] {
 						sum += q.size
 						kept++
@@ -195,7 +195,7 @@
 				if sum != r.bytes {
 					t.Fatalf("%d bytes counted, %d held", r.bytes, sum)
 				}
-				if r.bytes > r.cfg.MemoryBytes+4*(partSize+attemptSize)+eventSize+maxText+firstSize {
+				if r.bytes > r.cfg.MemoryBytes+4*(partSize+attemptSize)+eventSize+maxText+firstTrySize {
 					t.Fatalf("%d bytes held, %d allowed", r.bytes, r.cfg.MemoryBytes)
 				}
 				inLoss, noRecord := 0, unrecorded
--- a/internal/tracing/record.go
+++ b/internal/tracing/record.go
@@ -122,24 +122,24 @@
 	Events        []Event
 	Dropped       Dropped // what was held of it and is no more
 
-	r       *Recorder
-	thin    bool // nothing but the root is recorded
-	content uint64
-	where   where
-	due     time.Duration
-	size    int // bytes that it is counted for
+	r           *Recorder
+	rootOnly    bool // nothing but the root is recorded
+	contentHash uint64
+	recordState recordState
+	decideBy    time.Duration
+	size        int // bytes that it is counted for
 }
 
 // Dropped counts what a trace no longer holds.
 type Dropped struct{ Parts, Attempts, Events int }
 
-type where uint8
+type recordState uint8
 
 const (
-	nowhere where = iota
-	isOpen
-	isWaiting
-	isKept
+	recordReleased recordState = iota
+	recordOpen
+	recordWaiting
+	recordKept
 )
 
 const (
@@ -172,7 +172,7 @@
 			q.Step2Begin = now
 		}
 	}
-	if q.thin || q.r.full() {
+	if q.rootOnly || q.r.outOfMemory() {
 		q.Dropped.Parts++
 		return -1
 	}
@@ -190,7 +190,7 @@
 	if a.Reason == RetryAttempt {
 		q.KeepReasons |= Retried
 	}
-	if q.thin || a.Part < 0 || len(q.Attempts) >= maxAttempts || q.r.full() {
+	if q.rootOnly || a.Part < 0 || len(q.Attempts) >= maxAttempts || q.r.outOfMemory() {
 		q.Dropped.Attempts++
 		return -1
 	}
@@ -202,7 +202,7 @@
 
 // at returns an attempt that may still be changed.
 func (q *Query) at(i int32) *Attempt {
-	if q == nil || i < 0 || int(i) >= len(q.Attempts) || q.where != isOpen {
+	if q == nil || i < 0 || int(i) >= len(q.Attempts) || q.recordState != recordOpen {
 		return nil
 	}
 	return &q.Attempts[i]
@@ -256,11 +256,11 @@
 	case ClientRetried:
 		q.KeepReasons |= RetriedByClient
 	}
-	if q.thin || len(q.Events) >= maxEvents || q.r.full() {
+	if q.rootOnly || len(q.Events) >= maxEvents || q.r.outOfMemory() {
 		q.Dropped.Events++
 		return
 	}
-	if q.where == nowhere {
+	if q.recordState == recordReleased {
 		return // to make room for it, the record itself was let go
 	}
 	text = text[:min(len(text), maxText)]
@@ -288,19 +288,19 @@
 // Places of spans in the tree, for SpanID.Child: the root is 0, the steps are 1
 // and 2, then come parts and attempts in the order in which they were recorded.
 const (
-	firstPart    = 3
-	firstAttempt = 1 << 16
+	firstPartPlace    = 3
+	firstAttemptPlace = 1 << 16
 )
 
 // StepSpan is the span of a step, 0 or 1.
 func (q *Query) StepSpan(step int) SpanID { return q.Root.Child(1 + step) }
 
 // PartSpan is the span of the part at an index.
-func (q *Query) PartSpan(i int) SpanID { return q.Root.Child(firstPart + int(q.Parts[i].Place)) }
+func (q *Query) PartSpan(i int) SpanID { return q.Root.Child(firstPartPlace + int(q.Parts[i].Place)) }
 
 // AttemptSpan is the span of the attempt at an index.
 func (q *Query) AttemptSpan(i int) SpanID {
-	return q.Root.Child(firstAttempt + int(q.Attempts[i].Place))
+	return q.Root.Child(firstAttemptPlace + int(q.Attempts[i].Place))
 }
 
 // Parentage is what an attempt's node is told: the headers traceparent and
@@ -311,14 +311,14 @@
 	}
 	// Whether the trace is kept is decided at its end; the flag says what is likely.
 	flags := byte(randomFlag)
-	if q.KeepReasons != 0 || q.r.chosen(q) {
-		flags |= sampled
+	if q.KeepReasons != 0 || q.r.sampledByChance(q) {
+		flags |= sampledFlag
 	}
 	return Traceparent(q.Trace, q.AttemptSpan(int(i)), flags), q.State
 }
 
 // boring tells whether a part was answered by its first attempt and by no other.
-func (q *Query) boring(part int32) bool {
+func (q *Query) answeredByOnlyAttempt(part int32) bool {
 	if !q.Parts[part].Answered {
 		return false
 	}
--- a/internal/tracing/recorder.go
+++ b/internal/tracing/recorder.go
@@ -27,36 +27,36 @@
 const (
 	// slackShare of the aim before its end, but at least slackLeast, an answer counts
 	// as over it: its client counts from when it asked to when it has the last byte.
-	slackShare = 0.1
-	slackLeast = 25 * time.Millisecond
-	maxWait    = 10 * time.Second // how long a query may wait for a sign that it mattered
-	maxFirsts  = 8192             // first tries that are remembered by content
-	firstSize  = 96               // bytes of one, about
-	thinShare  = 0.75             // share of the memory beyond which new queries are recorded as roots only
-	maxFree    = 64               // records kept for use again
+	clientDelayShare = 0.1
+	minClientDelay   = 25 * time.Millisecond
+	maxDecisionWait  = 10 * time.Second // how long a query may wait for a sign that it mattered
+	maxFirstTries    = 8192             // first tries that are remembered by content
+	firstTrySize     = 96               // bytes of one, about
+	rootOnlyShare    = 0.75             // share of the memory beyond which new queries are recorded as roots only
+	maxFreeRecords   = 64               // records kept for use again
 )
 
 // Recorder records queries, and decides which are kept. All of its methods may be
 // called on a nil Recorder, which records nothing.
 type Recorder struct {
-	cfg     Config
-	rng     *rand.Rand
-	classes []budget
-	now     time.Duration
-	bytes   int
-	open    int
-	byTrace map[TraceID]*Query // open and waiting ones, the latest of each trace
-	firsts  map[uint64]first
-	order   []uint64 // of firsts, by time
-	waiting fifo     // ended, of no interest so far
-	kept    store
-	lost    []Loss
-	free    []*Query
-	stats   Stats
+	cfg           Config
+	rng           *rand.Rand
+	samplers      []sampler
+	now           time.Duration
+	bytes         int
+	open          int
+	byTrace       map[TraceID]*Query // open and waiting ones, the latest of each trace
+	firstTries    map[uint64]firstTry
+	firstTryOrder []uint64   // of firsts, by time
+	waiting       queryQueue // ended, of no interest so far
+	kept          keptTraces
+	lost          []Loss
+	free          []*Query
+	stats         Stats
 }
 
 // first is a first try, remembered by its content.
-type first struct {
+type firstTry struct {
 	trace TraceID
 	root  SpanID
 	until time.Duration
@@ -82,10 +82,10 @@
 // New returns a Recorder that has seen nothing.
 func New(cfg Config) *Recorder {
 	r := &Recorder{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x7472616365)), byTrace: map[TraceID]*Query{},
-		firsts: map[uint64]first{}, classes: make([]budget, len(cfg.Classes)), lost: make([]Loss, len(cfg.Classes))}
+		firstTries: map[uint64]firstTry{}, samplers: make([]sampler, len(cfg.Classes)), lost: make([]Loss, len(cfg.Classes))}
 	for i := range r.lost {
 		r.lost[i].Class = i
-		r.classes[i].most = cfg.Spans
+		r.samplers[i].limit = cfg.Spans
 	}
 	return r
 }
@@ -127,36 +127,36 @@
 	if r == nil {
 		return nil
 	}
-	r.tick(now)
-	if !r.fit(querySize + len(s.WireID) + len(s.Context.State)) {
+	r.advance(now)
+	if !r.makeRoom(querySize + len(s.WireID) + len(s.Context.State)) {
 		r.lost[s.Class].Unrecorded++
 		return nil
 	}
 	c := &r.cfg.Classes[s.Class]
-	q := r.record()
-	q.Front, q.Class, q.WireID, q.content = s.Front, s.Class, s.WireID, s.ContentHash
+	q := r.newRecord()
+	q.Front, q.Class, q.WireID, q.contentHash = s.Front, s.Class, s.WireID, s.ContentHash
 	q.Version = s.Version
 	q.Begin, q.Deadline = now, now+s.Left
 	q.TargetTime = now + min(c.LatencyTarget+time.Duration(c.LatencyTargetPerWork*float64(s.Work)), max(c.Deadline, c.LatencyTarget))
 	q.State = s.Context.State
-	q.thin = float64(r.bytes) > thinShare*float64(r.cfg.MemoryBytes)
-	q.where = isOpen
+	q.rootOnly = float64(r.bytes) > rootOnlyShare*float64(r.cfg.MemoryBytes)
+	q.recordState = recordOpen
 	r.open++
-	r.newSpan(&q.Root)
+	r.generateSpanID(&q.Root)
 	q.grow(querySize + len(s.WireID) + len(q.State))
-	r.join(q, s)
+	r.assignTrace(q, s)
 	return q
 }
 
 // join finds the trace that a query belongs to: the one that its client names, or
 // that of its first try, or a new one.
-func (r *Recorder) join(q *Query, s Start) {
+func (r *Recorder) assignTrace(q *Query, s Start) {
 	again := s.Repeat
 	switch {
 	case !s.Context.IsZero():
 		q.Trace, q.Parent = s.Context.Trace, s.Context.Parent
 		if again {
-			r.joined(q, "traceparent")
+			r.markClientRetry(q, "traceparent")
 		}
 	case s.Key != "":
 		q.Trace = KeyedTrace(r.cfg.Classes[s.Class].Name, s.Key)
@@ -165,16 +165,16 @@
 			q.Parent = old.Root
 		}
 		if again = again || old != nil; again {
-			r.joined(q, "idempotency-key")
+			r.markClientRetry(q, "idempotency-key")
 		}
 	default:
-		if f, ok := r.firsts[s.ContentHash]; again && s.ContentHash != 0 && ok && f.until >= q.Begin {
+		if f, ok := r.firstTries[s.ContentHash]; again && s.ContentHash != 0 && ok && f.until >= q.Begin {
 			q.Trace, q.Parent = f.trace, f.root
-			r.joined(q, "content")
+			r.markClientRetry(q, "content")
 		} else {
-			r.newTrace(&q.Trace)
+			r.generateTraceID(&q.Trace)
 			if again {
-				r.joined(q, "") // its first try was elsewhere, or is forgotten
+				r.markClientRetry(q, "") // its first try was elsewhere, or is forgotten
 			}
 		}
 	}
@@ -184,41 +184,41 @@
 	}
 	r.byTrace[q.Trace] = q
 	if s.ContentHash != 0 && !again {
-		r.remember(s.ContentHash, first{q.Trace, q.Root, q.Begin + r.cfg.Classes[s.Class].Deadline})
+		r.rememberFirstTry(s.ContentHash, firstTry{q.Trace, q.Root, q.Begin + r.cfg.Classes[s.Class].Deadline})
 	}
 }
 
-func (r *Recorder) joined(q *Query, by string) {
+func (r *Recorder) markClientRetry(q *Query, by string) {
 	q.KeepReasons |= Repeat
 	q.Event(q.Begin, -1, JoinedTrace, by)
 }
 
 // remember keeps a first try for the time in which it may be asked again.
-func (r *Recorder) remember(content uint64, f first) {
-	if _, ok := r.firsts[content]; !ok {
-		r.order = append(r.order, content)
-		r.bytes += firstSize
+func (r *Recorder) rememberFirstTry(content uint64, f firstTry) {
+	if _, ok := r.firstTries[content]; !ok {
+		r.firstTryOrder = append(r.firstTryOrder, content)
+		r.bytes += firstTrySize
 	}
-	r.firsts[content] = f
-	for len(r.order) > maxFirsts {
-		r.forget()
+	r.firstTries[content] = f
+	for len(r.firstTryOrder) > maxFirstTries {
+		r.forgetOldestFirstTry()
 	}
 }
 
-func (r *Recorder) forget() {
-	delete(r.firsts, r.order[0])
-	r.order = r.order[1:]
-	r.bytes -= firstSize
+func (r *Recorder) forgetOldestFirstTry() {
+	delete(r.firstTries, r.firstTryOrder[0])
+	r.firstTryOrder = r.firstTryOrder[1:]
+	r.bytes -= firstTrySize
 }
 
-func (r *Recorder) newTrace(t *TraceID) {
+func (r *Recorder) generateTraceID(t *TraceID) {
 	for t.IsZero() {
 		binary.BigEndian.PutUint64(t[:8], r.rng.Uint64())
 		binary.BigEndian.PutUint64(t[8:], r.rng.Uint64())
 	}
 }
 
-func (r *Recorder) newSpan(s *SpanID) {
+func (r *Recorder) generateSpanID(s *SpanID) {
 	for s.IsZero() {
 		binary.BigEndian.PutUint64(s[:], r.rng.Uint64())
 	}
@@ -227,14 +227,14 @@
 // End closes a query's record. What is of interest is kept at once; the rest waits
 // for as long as its client may ask again.
 func (r *Recorder) End(now time.Duration, q *Query, how Ending, why uint8) {
-	if r == nil || q == nil || q.where != isOpen {
+	if r == nil || q == nil || q.recordState != recordOpen {
 		return
 	}
-	r.tick(now)
+	r.advance(now)
 	r.open--
 	q.End, q.Ending, q.EndReason = now, how, why
 	aim := q.TargetTime - q.Begin
-	if now > q.TargetTime-max(slackLeast, time.Duration(slackShare*float64(aim))) {
+	if now > q.TargetTime-max(minClientDelay, time.Duration(clientDelayShare*float64(aim))) {
 		q.KeepReasons |= Slow
 	}
 	switch how {
@@ -245,24 +245,24 @@
 		q.KeepReasons |= NotServed
 	}
 	r.stats.Queries++
-	r.classes[q.Class].add(q.KeepReasons != 0, q.Spans())
+	r.samplers[q.Class].add(q.KeepReasons != 0, q.Spans())
 	if q.KeepReasons != 0 {
 		r.keep(q)
 	} else {
-		q.where = isWaiting
-		q.due = max(now, min(q.Begin+r.cfg.Classes[q.Class].Deadline, now+maxWait))
+		q.recordState = recordWaiting
+		q.decideBy = max(now, min(q.Begin+r.cfg.Classes[q.Class].Deadline, now+maxDecisionWait))
 		r.waiting.push(q)
 	}
-	r.fit(0)
+	r.makeRoom(0)
 }
 
 // settle decides on a query that has waited for a sign that it mattered.
-func (r *Recorder) settle(q *Query) {
+func (r *Recorder) decide(q *Query) {
 	switch {
 	case q.KeepReasons != 0:
 		r.keep(q)
-	case r.chosen(q):
-		q.SamplingShift = r.classes[q.Class].shift
+	case r.sampledByChance(q):
+		q.SamplingShift = r.samplers[q.Class].shift
 		r.keep(q)
 	default:
 		r.stats.NotKept++
@@ -277,7 +277,7 @@
 		r.stats.Chance++
 	}
 	r.unindex(q)
-	q.where = isKept
+	q.recordState = recordKept
 	r.kept.push(q)
 }
 
@@ -292,13 +292,13 @@
 func (r *Recorder) release(q *Query) {
 	r.unindex(q)
 	r.bytes -= q.size
-	q.where = nowhere
-	if len(r.free) < maxFree {
+	q.recordState = recordReleased
+	if len(r.free) < maxFreeRecords {
 		r.free = append(r.free, q)
 	}
 }
 
-func (r *Recorder) record() *Query {
+func (r *Recorder) newRecord() *Query {
 	n := len(r.free)
 	if n == 0 {
 		return &Query{r: r}
@@ -310,16 +310,16 @@
 }
 
 // tick settles what has waited for long enough.
-func (r *Recorder) tick(now time.Duration) {
+func (r *Recorder) advance(now time.Duration) {
 	r.now = max(r.now, now)
-	for i := range r.classes {
-		r.classes[i].adapt(r.now)
+	for i := range r.samplers {
+		r.samplers[i].adapt(r.now)
 	}
-	for q := r.waiting.peek(); q != nil && (q.due <= r.now || q.KeepReasons != 0); q = r.waiting.peek() {
-		r.settle(r.waiting.pop())
+	for q := r.waiting.peek(); q != nil && (q.decideBy <= r.now || q.KeepReasons != 0); q = r.waiting.peek() {
+		r.decide(r.waiting.pop())
 	}
-	for len(r.order) > 0 && r.firsts[r.order[0]].until < r.now {
-		r.forget()
+	for len(r.firstTryOrder) > 0 && r.firstTries[r.firstTryOrder[0]].until < r.now {
+		r.forgetOldestFirstTry()
 	}
 }
 
@@ -329,12 +329,12 @@
 	if r == nil {
 		return nil
 	}
-	r.tick(now)
+	r.advance(now)
 	for q := r.kept.peek(); q != nil && spans > 0; q = r.kept.peek() {
 		r.kept.pop()
 		spans -= q.Spans()
 		r.bytes -= q.size
-		q.where = nowhere
+		q.recordState = recordReleased
 		list = append(list, q)
 	}
 	return list
@@ -359,9 +359,9 @@
 	if r == nil {
 		return
 	}
-	r.tick(now)
+	r.advance(now)
 	for r.waiting.peek() != nil {
-		r.settle(r.waiting.pop())
+		r.decide(r.waiting.pop())
 	}
 }
 
--- a/internal/tracing/tail.go
+++ b/internal/tracing/sampling.go
@@ -7,67 +7,67 @@
 )
 
 const (
-	adaptPace   = time.Second // how often a class's probability may change
-	adaptWeight = 0.3         // of a new second in the rates
-	leastShare  = 0.05        // of the budget that chance keeps, whatever is always kept
-	fallShare   = 0.7         // of its room that chance must leave free before it keeps twice as many
-	maxShift    = 30
+	adaptInterval    = time.Second // how often a class's probability may change
+	newRateWeight    = 0.3         // of a new second in the rates
+	minSampledShare  = 0.05        // of the budget that chance keeps, whatever is always kept
+	doubleBelowShare = 0.7         // of its room that chance must leave free before it keeps twice as many
+	maxShift         = 30
 )
 
 // budget is what a class may spend on traces that chance keeps. Their probability
 // is a power of a half, so that what one mixer keeps at a lower one is kept at any
 // higher one too: mixers that adapt on their own choose alike as far as they can.
-type budget struct {
-	most             float64 // spans a second
-	shift            uint8   // probability 2^-shift
-	always, boring   float64 // spans a second, smoothed
-	nAlways, nBoring int     // spans in this window
-	from             time.Duration
-	seen             bool
+type sampler struct {
+	limit                   float64 // spans a second
+	shift                   uint8   // probability 2^-shift
+	alwaysRate, otherRate   float64 // spans a second, smoothed
+	alwaysSpans, otherSpans int     // spans in this window
+	windowBegin             time.Duration
+	begun                   bool
 }
 
-func (b *budget) add(always bool, spans int) {
+func (b *sampler) add(always bool, spans int) {
 	if always {
-		b.nAlways += spans
+		b.alwaysSpans += spans
 	} else {
-		b.nBoring += spans
+		b.otherSpans += spans
 	}
 }
 
 // adapt sets the probability anew once a window is over. It falls at once and
 // rises by one step a window: a budget is a promise, a fuller picture is not.
-func (b *budget) adapt(now time.Duration) {
-	if !b.seen {
-		b.seen, b.from = true, now
+func (b *sampler) adapt(now time.Duration) {
+	if !b.begun {
+		b.begun, b.windowBegin = true, now
 	}
-	took := now - b.from
-	if took < adaptPace {
+	took := now - b.windowBegin
+	if took < adaptInterval {
 		return
 	}
-	w := adaptWeight
-	if b.always == 0 && b.boring == 0 {
+	w := newRateWeight
+	if b.alwaysRate == 0 && b.otherRate == 0 {
 		w = 1
 	}
-	b.always += w * (float64(b.nAlways)/took.Seconds() - b.always)
-	b.boring += w * (float64(b.nBoring)/took.Seconds() - b.boring)
-	b.nAlways, b.nBoring, b.from = 0, 0, now
-	room := max(b.most-b.always, leastShare*b.most)
+	b.alwaysRate += w * (float64(b.alwaysSpans)/took.Seconds() - b.alwaysRate)
+	b.otherRate += w * (float64(b.otherSpans)/took.Seconds() - b.otherRate)
+	b.alwaysSpans, b.otherSpans, b.windowBegin = 0, 0, now
+	room := max(b.limit-b.alwaysRate, minSampledShare*b.limit)
 	want := uint8(0)
-	for want < maxShift && b.boring/float64(uint64(1)<<want) > room {
+	for want < maxShift && b.otherRate/float64(uint64(1)<<want) > room {
 		want++
 	}
 	switch {
 	case want > b.shift:
 		b.shift = want
-	case want < b.shift && b.boring/float64(uint64(1)<<(b.shift-1)) <= fallShare*room:
+	case want < b.shift && b.otherRate/float64(uint64(1)<<(b.shift-1)) <= doubleBelowShare*room:
 		b.shift--
 	}
 }
 
 // chosen tells whether chance keeps a query's trace. It goes by the trace's id
 // alone, as OpenTelemetry's consistent probability sampling has it.
-func (r *Recorder) chosen(q *Query) bool {
-	return q.Trace.random() >= threshold(r.classes[q.Class].shift)
+func (r *Recorder) sampledByChance(q *Query) bool {
+	return q.Trace.random() >= threshold(r.samplers[q.Class].shift)
 }
 
 // threshold is OpenTelemetry's rejection threshold for a probability of 2^-shift.
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -12,21 +12,21 @@
 )
 
 // TestPure: no I/O, no clock, no goroutine, and nothing of the rest of the program.
-func TestPure(t *testing.T) {
+func TestImportsArePure(t *testing.T) {
 	pure.Imports(t, "cmp", "crypto/sha256", "encoding/binary", "encoding/hex", "math/rand/v2", "slices", "strconv", "strings", "time",
 		"github.com/zeebo/xxh3")
 }
 
 const ms = time.Millisecond
 
-func recorder(memory int, spans float64) *Recorder {
+func newTestRecorder(memory int, spans float64) *Recorder {
 	return New(Config{MemoryBytes: memory, Spans: spans, Seed: 7, Classes: []Class{
 		{Name: "lookup", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second},
 		{Name: "booking", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second}}})
 }
 
 // play records a query of one part, answered by its first attempt after so long.
-func play(r *Recorder, at time.Duration, s Start, took time.Duration) *Query {
+func recordQuery(r *Recorder, at time.Duration, s Start, took time.Duration) *Query {
 	if s.Left == 0 {
 		s.Left = 4 * time.Second
 	}
@@ -41,7 +41,7 @@
 	return q
 }
 
-func TestContextIsReadByTheBook(t *testing.T) {
+func TestParseContextFollowsW3C(t *testing.T) {
 	const trace, span = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 	whole := "00-" + trace + "-" + span + "-01"
 	tests := []struct {
@@ -87,7 +87,7 @@
 	for i := range 40 {
 		many = append(many, fmt.Sprintf("k%d=v", i))
 	}
-	if c := ParseContext(whole, strings.Join(many, ",")); strings.Count(c.State, ",") != maxMembers-1 {
+	if c := ParseContext(whole, strings.Join(many, ",")); strings.Count(c.State, ",") != maxStateMembers-1 {
 		t.Errorf("%d members kept of 40", strings.Count(c.State, ",")+1)
 	}
 }
@@ -97,7 +97,7 @@
 	f.Add("cc-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01-x", "a@b=1")
 	f.Fuzz(func(t *testing.T, parent, state string) {
 		c := ParseContext(parent, state)
-		if len(c.State) > maxState {
+		if len(c.State) > maxStateBytes {
 			t.Errorf("%d bytes of state", len(c.State))
 		}
 		if c.IsZero() {
@@ -114,7 +114,7 @@
 }
 
 // ending is a query without parts that ends so.
-func ending(how Ending, why uint8) func(*Recorder) *Query {
+func endQuery(how Ending, why uint8) func(*Recorder) *Query {
 	return func(r *Recorder) *Query {
 		q := r.Begin(0, Start{Left: time.Second})
 		r.End(ms, q, how, why)
@@ -122,17 +122,17 @@
 	}
 }
 
-func TestWhatMattersIsKept(t *testing.T) {
+func TestKeepReasons(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(r *Recorder) *Query
 		want KeepReasons
 	}{
-		{"slow", func(r *Recorder) *Query { return play(r, 0, Start{}, 1600*ms) }, Slow},
-		{"so near that its client may have seen it late", func(r *Recorder) *Query { return play(r, 0, Start{}, 1400*ms) }, Slow},
-		{"refused", ending(Refused, 1), NotServed},
-		{"left by its client", ending(Deserted, 0), NotServed},
-		{"short", ending(Short, 0), PartlyAnswered},
+		{"slow", func(r *Recorder) *Query { return recordQuery(r, 0, Start{}, 1600*ms) }, Slow},
+		{"so near that its client may have seen it late", func(r *Recorder) *Query { return recordQuery(r, 0, Start{}, 1400*ms) }, Slow},
+		{"refused", endQuery(Refused, 1), NotServed},
+		{"left by its client", endQuery(Deserted, 0), NotServed},
+		{"short", endQuery(Short, 0), PartlyAnswered},
 		{"retried by us", func(r *Recorder) *Query {
 			q := r.Begin(0, Start{Left: time.Second})
 			p := q.AddPart(0, false, 1, 1)
@@ -158,13 +158,13 @@
 			r.End(ms, q, Served, 0)
 			return q
 		}, GuardIntervened},
-		{"a client's retry", func(r *Recorder) *Query { return play(r, 0, Start{Repeat: true}, ms) }, Repeat},
+		{"a client's retry", func(r *Recorder) *Query { return recordQuery(r, 0, Start{Repeat: true}, ms) }, Repeat},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := recorder(1<<20, 1e-9) // chance keeps next to nothing
-			for i := range 3000 {      // the budget has learned that
-				play(r, time.Duration(i)*ms, Start{}, 0)
+			r := newTestRecorder(1<<20, 1e-9) // chance keeps next to nothing
+			for i := range 3000 {             // the budget has learned that
+				recordQuery(r, time.Duration(i)*ms, Start{}, 0)
 			}
 			r.Flush(20 * time.Second)
 			r.Take(20*time.Second, 1<<30)
@@ -179,7 +179,7 @@
 }
 
 // TestRetriesJoinTheirFirstTries is the table of ways in which a retry is known.
-func TestRetriesJoinTheirFirstTries(t *testing.T) {
+func TestRetryJoinsTraceOfFirstTry(t *testing.T) {
 	ctx := ParseContext("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01", "")
 	other := ParseContext("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b8-01", "")
 	tests := []struct {
@@ -207,7 +207,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := recorder(1<<20, 1e9)
+			r := newTestRecorder(1<<20, 1e9)
 			second := r
 			if tt.elsewhere {
 				second = New(Config{MemoryBytes: 1 << 20, Spans: 1e9, Seed: 99, Classes: r.cfg.Classes})
@@ -243,13 +243,13 @@
 
 // TestChanceKeepsWithinItsBudgetAndSaysItsWeight has one class flood: the kept spans
 // fit the budget, and the weights add up to what came.
-func TestChanceKeepsWithinItsBudgetAndSaysItsWeight(t *testing.T) {
+func TestSamplingStaysWithinLimitAndReportsWeight(t *testing.T) {
 	const perSecond, spans = 500, 100.0
-	r := recorder(64<<20, spans)
+	r := newTestRecorder(64<<20, spans)
 	kept, weight, total := 0, 0.0, 0
 	for i := range perSecond * 60 {
 		at := time.Duration(i) * time.Second / perSecond
-		play(r, at, Start{}, 5*ms)
+		recordQuery(r, at, Start{}, 5*ms)
 		for _, q := range r.Take(at, 1<<30) {
 			if at > 20*time.Second {
 				kept += q.Spans()
@@ -272,14 +272,14 @@
 
 // TestMixersChooseAlike: what one keeps at a lower probability, any keeps at a
 // higher one.
-func TestMixersChooseAlike(t *testing.T) {
-	a, b := recorder(1<<20, 1), recorder(1<<20, 1)
-	a.classes[0].shift, b.classes[0].shift = 3, 5
+func TestSamplingIsConsistentAcrossMixers(t *testing.T) {
+	a, b := newTestRecorder(1<<20, 1), newTestRecorder(1<<20, 1)
+	a.samplers[0].shift, b.samplers[0].shift = 3, 5
 	n := 0
 	for i := range 4000 {
 		q := &Query{Trace: KeyedTrace("x", fmt.Sprint(i))}
-		if b.chosen(q) {
-			if n++; !a.chosen(q) {
+		if b.sampledByChance(q) {
+			if n++; !a.sampledByChance(q) {
 				t.Fatalf("%v is kept at 1 in 32 and not at 1 in 8", q.Trace)
 			}
 		}
