--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -57,7 +57,7 @@
 	}
 	f.Program = program
 	for _, name := range f.Add {
-		if _, ok := soak.KindNamed(name); !ok {
+		if _, ok := soak.KindByName(name); !ok {
 			fmt.Fprintf(os.Stderr, "no kind of trouble is named %s\n", name)
 			return 2
 		}
@@ -95,7 +95,7 @@
 }
 
 func (f flags) seed(seed uint64, sum *total) {
-	troubles := soak.Draw(seed, f.Length)
+	troubles := soak.DrawTroubles(seed, f.Length)
 	if len(f.Only) > 0 {
 		var kept []soak.Trouble
 		for _, i := range f.Only {
@@ -104,33 +104,33 @@
 		troubles = kept
 	}
 	for _, name := range f.Add {
-		if kind, ok := soak.KindNamed(name); ok {
-			troubles = append(troubles, soak.Added(kind, seed, f.Length))
+		if kind, ok := soak.KindByName(name); ok {
+			troubles = append(troubles, soak.MidRunTrouble(kind, seed, f.Length))
 		}
 	}
 	r, err := f.play(seed, troubles)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		r.Breaks = append(r.Breaks, soak.Break{Rule: "soak", Text: err.Error()})
+		r.Violations = append(r.Violations, soak.Violation{Rule: "soak", Text: err.Error()})
 	}
 	sum.add(seed, r)
-	if len(r.Breaks) == 0 {
+	if len(r.Violations) == 0 {
 		return
 	}
 	explain(seed, troubles, r)
 	if f.Shrink {
-		f.shrink(seed, troubles, r.Breaks[0].Rule)
+		f.shrink(seed, troubles, r.Violations[0].Rule)
 	}
 }
 
 // explain prints what broke, with its request's timeline.
 func explain(seed uint64, troubles []soak.Trouble, r soak.Report) {
-	text := fmt.Sprintf("seed %d: %d breaks\n", seed, len(r.Breaks))
+	text := fmt.Sprintf("seed %d: %d breaks\n", seed, len(r.Violations))
 	for i, t := range troubles {
 		text += fmt.Sprintf("  trouble %d: %v\n", i, t)
 	}
 	seen := map[string]bool{}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		text += fmt.Sprintf("  %8.3fs %s %s: %s\n", b.At.Seconds(), b.Rule, b.Request, b.Text)
 		if !seen[b.Rule] {
 			seen[b.Rule] = true
@@ -145,7 +145,7 @@
 	for i := 0; i < len(troubles); {
 		fewer := slices.Delete(slices.Clone(troubles), i, i+1)
 		r, err := f.play(seed, fewer)
-		if err == nil && slices.ContainsFunc(r.Breaks, func(b soak.Break) bool { return b.Rule == rule }) {
+		if err == nil && slices.ContainsFunc(r.Violations, func(b soak.Violation) bool { return b.Rule == rule }) {
 			troubles = fewer
 		} else {
 			i++
@@ -165,19 +165,19 @@
 	for k, n := range r.Outcomes {
 		s.outcomes[k] += n
 	}
-	for k, n := range r.Faults {
+	for k, n := range r.TroubleCounts {
 		s.faults[k] += n
 	}
-	for k, n := range r.Pairs {
+	for k, n := range r.Overlaps {
 		s.pairs[k] += n
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		s.rules[b.Rule]++
 	}
-	if len(r.Breaks) > 0 {
+	if len(r.Violations) > 0 {
 		s.failed = append(s.failed, seed)
 	}
-	fmt.Printf("seed %d: %d requests, %d breaks\n", seed, r.Requests, len(r.Breaks))
+	fmt.Printf("seed %d: %d requests, %d breaks\n", seed, r.Requests, len(r.Violations))
 }
 
 func (s *total) print() {
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Entry is something that was seen.
-type Entry struct {
+// entry is an event that was seen.
+type entry struct {
 	At      time.Duration // from the start
 	Request string        // its id; "": it concerns no single one
 	Text    string
@@ -20,13 +20,13 @@
 	begun time.Time
 
 	mu       sync.Mutex
-	list     []Entry
-	breaks   []Break
+	list     []entry
+	breaks   []Violation
 	outcomes map[string]int
 }
 
-// Break is a broken rule.
-type Break struct {
+// Violation is a breach of a rule.
+type Violation struct {
 	Rule, Request, Text string
 	At                  time.Duration
 }
@@ -39,7 +39,7 @@
 	text, at := fmt.Sprintf(format, args...), j.now()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.list = append(j.list, Entry{at, request, text})
+	j.list = append(j.list, entry{at, request, text})
 }
 
 // broken notes a broken rule.
@@ -47,8 +47,8 @@
 	text, at := fmt.Sprintf(format, args...), j.now()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.list = append(j.list, Entry{at, request, "BROKEN " + rule + ": " + text})
-	j.breaks = append(j.breaks, Break{rule, request, text, at})
+	j.list = append(j.list, entry{at, request, "BROKEN " + rule + ": " + text})
+	j.breaks = append(j.breaks, Violation{rule, request, text, at})
 }
 
 func (j *journal) ended(outcome string) {
@@ -62,7 +62,7 @@
 	j.mu.Lock()
 	list := slices.Clone(j.list)
 	j.mu.Unlock()
-	slices.SortStableFunc(list, func(a, b Entry) int { return int(a.At - b.At) })
+	slices.SortStableFunc(list, func(a, b entry) int { return int(a.At - b.At) })
 	var b strings.Builder
 	for _, e := range list {
 		if e.Request == "" || e.Request == request {
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -136,7 +136,7 @@
 func some[T any](p player, all []T) []T {
 	list := slices.Clone(all)
 	p.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:max(1, int(p.t.Part*float64(len(list))))]
+	return list[:max(1, int(p.t.Share*float64(len(list))))]
 }
 
 func (p player) all() []*server {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,11 +30,11 @@
 	path := program(t)
 	for seed := range uint64(3) {
 		length := 12 * time.Second
-		r, err := Run(Options{Program: path, Dir: t.TempDir(), Seed: seed, Mixers: 3, Servers: cells, Rate: 6, Length: length, Troubles: Draw(seed, length)})
+		r, err := Run(Options{Program: path, Dir: t.TempDir(), Seed: seed, Mixers: 3, Servers: cells, Rate: 6, Length: length, Troubles: DrawTroubles(seed, length)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			t.Errorf("seed %d: %s %s: %s\n%s", seed, b.Rule, b.Request, b.Text, r.Timeline(b.Request))
 		}
 		if r.Outcomes["served"] == 0 {
@@ -48,7 +48,7 @@
 	const seeds, length = 200, 30 * time.Second
 	overlaps, seen := 0, map[Kind]bool{}
 	for seed := range uint64(seeds) {
-		list, again := Draw(seed, length), Draw(seed, length)
+		list, again := DrawTroubles(seed, length), DrawTroubles(seed, length)
 		for i, a := range list {
 			if a != again[i] {
 				t.Fatalf("seed %d draws %v and %v", seed, a, again[i])
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -51,15 +51,15 @@
 // String is the kind's name in reports.
 func (k Kind) String() string { return kindNames[k] }
 
-// KindNamed is the kind of a name.
-func KindNamed(name string) (Kind, bool) {
+// KindByName returns the kind with a name, and whether there is one.
+func KindByName(name string) (Kind, bool) {
 	i := slices.Index(kindNames[:], name)
 	return Kind(i), i >= 0
 }
 
-// Added is a trouble of a kind in the middle of a run, beside those that are drawn.
-func Added(k Kind, seed uint64, length time.Duration) Trouble {
-	return Trouble{Kind: k, At: length / 3, Length: longest, Part: 0.5, Seed: seed}
+// MidRunTrouble returns a trouble of a kind in the middle of a run, to be added to those that are drawn.
+func MidRunTrouble(k Kind, seed uint64, length time.Duration) Trouble {
+	return Trouble{Kind: k, At: length / 3, Length: longest, Share: 0.5, Seed: seed}
 }
 
 // Trouble is one trouble of a run.
@@ -67,13 +67,13 @@
 	Kind   Kind
 	At     time.Duration // from the start
 	Length time.Duration
-	Part   float64 // share of mixers, servers or clients that it strikes
+	Share  float64 // share of mixers, servers or clients that it strikes
 	Seed   uint64  // of its own draws
 }
 
 // String describes the trouble in a schedule.
 func (t Trouble) String() string {
-	return fmt.Sprintf("%6.2fs to %6.2fs %-18s of %.2f", t.At.Seconds(), (t.At + t.Length).Seconds(), t.Kind, t.Part)
+	return fmt.Sprintf("%6.2fs to %6.2fs %-18s of %.2f", t.At.Seconds(), (t.At + t.Length).Seconds(), t.Kind, t.Share)
 }
 
 // overlaps tells whether two troubles are there at one time.
@@ -89,8 +89,8 @@
 	moreTrouble  = 4
 )
 
-// Draw draws the troubles of a run: most of them in twos to fours at a time.
-func Draw(seed uint64, length time.Duration) []Trouble {
+// DrawTroubles draws the troubles of a run from its seed: most of them overlap with one to three others.
+func DrawTroubles(seed uint64, length time.Duration) []Trouble {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	first := quietStart
 	room := length - first - quietEnd
@@ -112,7 +112,7 @@
 		end := length - quietEnd
 		begins := min(at, end-shortest)
 		list = append(list, Trouble{Kind: Kind(rng.IntN(int(kinds))), At: begins, Length: min(span, end-begins),
-			Part: 0.1 + 0.5*rng.Float64(), Seed: rng.Uint64()})
+			Share: 0.1 + 0.5*rng.Float64(), Seed: rng.Uint64()})
 	}
 	slices.SortFunc(list, func(a, b Trouble) int { return int(a.At - b.At) })
 	return list
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -68,12 +68,12 @@
 
 // Report is what came of a run.
 type Report struct {
-	Requests int
-	Outcomes map[string]int
-	Faults   map[Kind]int    // troubles by kind
-	Pairs    map[[2]Kind]int // troubles that overlapped
-	Breaks   []Break
-	Timeline func(request string) string
+	Requests      int
+	Outcomes      map[string]int
+	TroubleCounts map[Kind]int    // troubles by kind
+	Overlaps      map[[2]Kind]int // troubles that overlapped
+	Violations    []Violation
+	Timeline      func(request string) string
 }
 
 // Run plays a run.
@@ -183,12 +183,12 @@
 }
 
 func (w *world) report() Report {
-	r := Report{Requests: len(w.requests), Outcomes: w.outcomes, Breaks: w.breaks, Faults: map[Kind]int{}, Pairs: map[[2]Kind]int{}, Timeline: w.timeline}
+	r := Report{Requests: len(w.requests), Outcomes: w.outcomes, Violations: w.breaks, TroubleCounts: map[Kind]int{}, Overlaps: map[[2]Kind]int{}, Timeline: w.timeline}
 	for i, t := range w.o.Troubles {
-		r.Faults[t.Kind]++
+		r.TroubleCounts[t.Kind]++
 		for _, o := range w.o.Troubles[i+1:] {
 			if t.overlaps(o) {
-				r.Pairs[[2]Kind{min(t.Kind, o.Kind), max(t.Kind, o.Kind)}]++
+				r.Overlaps[[2]Kind{min(t.Kind, o.Kind), max(t.Kind, o.Kind)}]++
 			}
 		}
 	}
