--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -38,15 +38,15 @@
 }
 
 // total adds up runs.
-type total struct {
-	mu       sync.Mutex
-	seeds    int
-	requests int
-	failed   []uint64
-	outcomes map[string]int
-	faults   map[soak.Kind]int
-	pairs    map[[2]soak.Kind]int
-	rules    map[string]int
+type summary struct {
+	mu          sync.Mutex
+	seeds       int
+	requests    int
+	failedSeeds []uint64
+	outcomes    map[string]int
+	troubles    map[soak.Kind]int
+	overlaps    map[[2]soak.Kind]int
+	violations  map[string]int
 }
 
 func (f flags) run() int {
@@ -62,7 +62,7 @@
 			return 2
 		}
 	}
-	sum := total{outcomes: map[string]int{}, faults: map[soak.Kind]int{}, pairs: map[[2]soak.Kind]int{}, rules: map[string]int{}}
+	sum := summary{outcomes: map[string]int{}, troubles: map[soak.Kind]int{}, overlaps: map[[2]soak.Kind]int{}, violations: map[string]int{}}
 	seeds := make(chan uint64)
 	var all sync.WaitGroup
 	for range f.Parallel {
@@ -78,14 +78,14 @@
 	close(seeds)
 	all.Wait()
 	sum.print()
-	if len(sum.failed) > 0 {
+	if len(sum.failedSeeds) > 0 {
 		return 1
 	}
 	return 0
 }
 
 // play plays a seed with some of its troubles.
-func (f flags) play(seed uint64, troubles []soak.Trouble) (soak.Report, error) {
+func (f flags) runWith(seed uint64, troubles []soak.Trouble) (soak.Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return soak.Report{}, err
@@ -94,7 +94,7 @@
 		Length: f.Length, Troubles: troubles})
 }
 
-func (f flags) seed(seed uint64, sum *total) {
+func (f flags) seed(seed uint64, sum *summary) {
 	troubles := soak.DrawTroubles(seed, f.Length)
 	if len(f.Only) > 0 {
 		var kept []soak.Trouble
@@ -108,7 +108,7 @@
 			troubles = append(troubles, soak.MidRunTrouble(kind, seed, f.Length))
 		}
 	}
-	r, err := f.play(seed, troubles)
+	r, err := f.runWith(seed, troubles)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		r.Violations = append(r.Violations, soak.Violation{Rule: "soak", Text: err.Error()})
@@ -117,14 +117,14 @@
 	if len(r.Violations) == 0 {
 		return
 	}
-	explain(seed, troubles, r)
+	printViolations(seed, troubles, r)
 	if f.Shrink {
 		f.shrink(seed, troubles, r.Violations[0].Rule)
 	}
 }
 
 // explain prints what broke, with its request's timeline.
-func explain(seed uint64, troubles []soak.Trouble, r soak.Report) {
+func printViolations(seed uint64, troubles []soak.Trouble, r soak.Report) {
 	text := fmt.Sprintf("seed %d: %d breaks\n", seed, len(r.Violations))
 	for i, t := range troubles {
 		text += fmt.Sprintf("  trouble %d: %v\n", i, t)
@@ -144,7 +144,7 @@
 func (f flags) shrink(seed uint64, troubles []soak.Trouble, rule string) {
 	for i := 0; i < len(troubles); {
 		fewer := slices.Delete(slices.Clone(troubles), i, i+1)
-		r, err := f.play(seed, fewer)
+		r, err := f.runWith(seed, fewer)
 		if err == nil && slices.ContainsFunc(r.Violations, func(b soak.Violation) bool { return b.Rule == rule }) {
 			troubles = fewer
 		} else {
@@ -157,7 +157,7 @@
 	}
 }
 
-func (s *total) add(seed uint64, r soak.Report) {
+func (s *summary) add(seed uint64, r soak.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seeds++
@@ -166,32 +166,32 @@
 		s.outcomes[k] += n
 	}
 	for k, n := range r.TroubleCounts {
-		s.faults[k] += n
+		s.troubles[k] += n
 	}
 	for k, n := range r.Overlaps {
-		s.pairs[k] += n
+		s.overlaps[k] += n
 	}
 	for _, b := range r.Violations {
-		s.rules[b.Rule]++
+		s.violations[b.Rule]++
 	}
 	if len(r.Violations) > 0 {
-		s.failed = append(s.failed, seed)
+		s.failedSeeds = append(s.failedSeeds, seed)
 	}
 	fmt.Printf("seed %d: %d requests, %d breaks\n", seed, r.Requests, len(r.Violations))
 }
 
-func (s *total) print() {
-	fmt.Printf("%d seeds, %d requests, %d pairs of kinds that overlapped (%d times)\n", s.seeds, s.requests, len(s.pairs), count(s.pairs))
+func (s *summary) print() {
+	fmt.Printf("%d seeds, %d requests, %d pairs of kinds that overlapped (%d times)\n", s.seeds, s.requests, len(s.overlaps), sumCounts(s.overlaps))
 	fmt.Println("outcomes:", s.outcomes)
 	fmt.Print("troubles:")
-	for _, k := range slices.Sorted(maps.Keys(s.faults)) {
-		fmt.Printf(" %v %d,", k, s.faults[k])
+	for _, k := range slices.Sorted(maps.Keys(s.troubles)) {
+		fmt.Printf(" %v %d,", k, s.troubles[k])
 	}
 	fmt.Println()
-	fmt.Println("broken rules:", s.rules, "in seeds", s.failed)
+	fmt.Println("broken rules:", s.violations, "in seeds", s.failedSeeds)
 }
 
-func count[K comparable](m map[K]int) (n int) {
+func sumCounts[K comparable](m map[K]int) (n int) {
 	for _, c := range m {
 		n += c
 	}
--- /dev/null
+++ b/internal/soak/inject.go
@@ -0,0 +1,280 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"kiteloft/internal/standin/callfaults"
+)
+
+const (
+	maxPause            = 140 * time.Millisecond // a mixer may be held up for 0.15 s
+	crashDetectionDelay = time.Second            // after a crash, until discovery knows
+	drainDuration       = 10 * time.Second       // for which a server that drains is still there
+	replacementDelay    = time.Second            // until its successor is there
+	maxTornWrite        = 300 * time.Millisecond // for which a configuration is half written
+	maxDiscoveryDelay   = 3 * time.Second        // for which an answer of discovery is on its way
+	maxCallFault        = 300 * time.Millisecond // for which system calls fail
+)
+
+// player plays one trouble.
+type injector struct {
+	*environment
+	trouble Trouble
+	rng     *rand.Rand
+}
+
+// play waits for a trouble's time and plays it.
+func (env *environment) runTrouble(number int, t Trouble) {
+	time.Sleep(time.Until(env.startedAt.Add(t.At)))
+	env.record("", "trouble %d begins: %v", number, t)
+	env.mu.Lock()
+	env.activeTroubles[t.Kind]++
+	env.mu.Unlock()
+	inj := injector{env, t, rand.New(rand.NewPCG(t.Seed, 4))}
+	inj.inject()
+	time.Sleep(time.Until(env.startedAt.Add(t.At + t.Length)))
+	env.mu.Lock()
+	env.activeTroubles[t.Kind]--
+	env.mu.Unlock()
+	env.record("", "trouble %d is over: %v", number, t.Kind)
+}
+
+func (inj injector) inject() {
+	end := time.Now().Add(inj.trouble.Length)
+	switch inj.trouble.Kind {
+	case TermMixers, KillMixers:
+		for _, s := range inj.affectedSlots() {
+			inj.spawn(func() { inj.restartMixer(s) })
+		}
+	case PauseMixers:
+		inj.pauseMixers(end)
+	case ReloadMixers:
+		for _, s := range inj.affectedSlots() {
+			inj.reloadMixer(s)
+		}
+	case DiscoveryDown:
+		inj.catalog.recordOutage(inj.trouble.Length)
+		inj.catalog.SetDown(true)
+		inj.atEnd(func() { inj.catalog.SetDown(false) })
+	case DiscoverySilent:
+		inj.catalog.recordOutage(inj.trouble.Length)
+		inj.catalog.recordWatchSilence() // the watches that are open are silent from here on
+		inj.catalog.Hold(true)
+		inj.atEnd(func() { inj.catalog.Hold(false); inj.catalog.recordWatchSilence(); inj.catalog.Mute() })
+	case WatchesSilent:
+		inj.catalog.recordWatchSilence()
+		inj.catalog.Mute()
+	case WatchesCut:
+		inj.catalog.Cut()
+	case DiscoveryCrowded:
+		inj.catalog.recordOutage(inj.trouble.Length)
+		inj.catalog.SetFailing(4)
+		inj.atEnd(func() { inj.catalog.SetFailing(0) })
+	case DiscoverySlow:
+		if inj.catalog.pushMode {
+			return // what an agent has counts as told at once; it is beside the mixer
+		}
+		inj.catalog.SetSlow(time.Duration(inj.rng.Int64N(int64(maxDiscoveryDelay))))
+		inj.atEnd(func() { inj.catalog.SetSlow(0) })
+	case DrainServers:
+		for _, s := range inj.affectedServers() {
+			inj.spawn(func() { inj.drainServer(s) })
+		}
+	case CrashServers, ReturnCold:
+		for _, s := range inj.affectedServers() {
+			inj.spawn(func() { inj.crash(s) })
+		}
+	case HangServers:
+		for _, s := range inj.affectedServers() {
+			s.update(func(s *server) { s.hangEnd = end })
+		}
+	case HangAll:
+		for _, s := range inj.allServers() {
+			s.update(func(s *server) { s.hangEnd = end })
+		}
+	case ResetLinks:
+		for time.Now().Before(end) {
+			for _, s := range inj.affectedServers() {
+				s.resetConnections()
+			}
+			time.Sleep(200 * time.Millisecond)
+		}
+	case CloseIdle:
+		for _, s := range inj.allServers() {
+			s.update(func(s *server) { s.idleCloseEnd = end })
+		}
+	case SpoilAnswers:
+		for _, s := range inj.affectedServers() {
+			s.update(func(s *server) { s.spoils = end })
+		}
+	case DeafServers:
+		for _, s := range inj.affectedServers() {
+			s.update(func(s *server) { s.deafEnd = end })
+		}
+	case ClockStep:
+		inj.catalog.stepClocks([]time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[inj.rng.IntN(4)])
+	case CallFaults:
+		inj.failSystemCalls(end)
+	}
+}
+
+// later runs something at the trouble's end.
+func (inj injector) atEnd(fn func()) { inj.spawn(func() { time.Sleep(inj.trouble.Length); fn() }) }
+
+// somePlaces are the mixers' places that the trouble strikes.
+func (inj injector) affectedSlots() []*slot {
+	return drawAffected(inj, inj.slots)
+}
+
+// some draws the trouble's part of a list, one at the least.
+func drawAffected[T any](inj injector, all []T) []T {
+	list := slices.Clone(all)
+	inj.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	return list[:max(1, int(inj.trouble.Share*float64(len(list))))]
+}
+
+func (inj injector) allServers() []*server {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	return slices.Clone(inj.servers)
+}
+
+// someServers are the servers that the trouble strikes.
+func (inj injector) affectedServers() []*server {
+	return drawAffected(inj, inj.allServers())
+}
+
+// restart ends a mixer, in order or not, and starts it again.
+func (inj injector) restartMixer(s *slot) {
+	m := s.currentProcess()
+	if m == nil || m.hasEnded() {
+		return
+	}
+	if inj.trouble.Kind == TermMixers {
+		m.terminate()
+	} else {
+		m.kill(true)
+	}
+	if !inj.clientsStopping() {
+		_ = s.start() // a failure is noted
+	}
+}
+
+func (inj injector) pauseMixers(end time.Time) {
+	for time.Now().Before(end) {
+		for _, s := range inj.affectedSlots() {
+			if m := s.currentProcess(); m != nil && !m.hasEnded() {
+				m.signal(syscall.SIGSTOP)
+				time.Sleep(time.Duration(inj.rng.Int64N(int64(maxPause))))
+				m.signal(syscall.SIGCONT)
+			}
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// reload moves discovery to its other address, perhaps twice, perhaps back.
+func (inj injector) reloadMixer(s *slot) {
+	m := s.currentProcess()
+	if m == nil || m.hasEnded() {
+		return
+	}
+	for range 1 + inj.rng.IntN(3) {
+		if err := m.Configure(s.addresses[inj.rng.IntN(2)]); err != nil {
+			inj.record("", "%s: %v", m.name, err)
+		}
+		if inj.rng.IntN(4) == 0 { // the signal finds half of it
+			if err := m.Tear(time.Duration(inj.rng.Int64N(int64(maxTornWrite)))); err != nil {
+				inj.record("", "%s: %v", m.name, err)
+			}
+		}
+		m.recordReconfiguration()
+		m.signal(syscall.SIGHUP)
+		time.Sleep(time.Duration(inj.rng.Int64N(int64(400 * time.Millisecond))))
+	}
+}
+
+// drain has a server drain and leave, and another take its place.
+func (inj injector) drainServer(s *server) {
+	inj.record("", "server %s drains", s.id)
+	inj.catalog.announceDeparture(s.id, "leaving")
+	time.Sleep(replacementDelay)
+	inj.replaceServer(s, "")
+	time.Sleep(drainDuration)
+	s.crash()
+	inj.catalog.announceDeparture(s.id, "left")
+}
+
+// crash ends a server at once. Another takes its place, or it comes back under its name.
+func (inj injector) crash(s *server) {
+	inj.record("", "server %s crashes", s.id)
+	s.crash()
+	if inj.trouble.Kind == ReturnCold {
+		time.Sleep(2 * time.Second)
+		inj.replaceServer(s, s.id)
+		return
+	}
+	time.Sleep(crashDetectionDelay)
+	inj.catalog.announceDeparture(s.id, "left")
+	inj.replaceServer(s, "")
+}
+
+// replace starts a cold server of the same cell, under a name of its own if none is given.
+func (inj injector) replaceServer(old *server, name string) {
+	again := name != ""
+	inj.mu.Lock()
+	i := slices.Index(inj.servers, old)
+	if inj.lastServerNumber++; !again {
+		name = fmt.Sprintf("n%d", inj.lastServerNumber)
+	}
+	inj.mu.Unlock()
+	if i < 0 || inj.clientsStopping() {
+		return // another trouble has replaced it
+	}
+	s, err := inj.newServer(name, old.cell, true)
+	if err != nil {
+		inj.record("", "%v", err)
+		return
+	}
+	inj.mu.Lock()
+	inj.servers[i] = s
+	inj.mu.Unlock()
+	inj.record("", "server %s starts", name)
+	member := s.member(inj.catalog.wallClockMillis())
+	if again {
+		inj.catalog.announceReturn(member)
+	} else {
+		inj.catalog.Join(member)
+	}
+}
+
+// failCalls has system calls of mixers fail for moments.
+func (inj injector) failSystemCalls(end time.Time) {
+	lists := map[uint32][]unix.Errno{
+		callfaults.Accept:  {unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
+		callfaults.Connect: {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS},
+		callfaults.Socket:  {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
+		callfaults.Send:    {unix.ENOBUFS, unix.ENOMEM, unix.EINTR},
+		callfaults.Wait:    {unix.EINTR},
+	}
+	calls := []uint32{callfaults.Accept, callfaults.Connect, callfaults.Socket, callfaults.Send, callfaults.Wait}
+	for time.Now().Before(end) {
+		for _, s := range inj.affectedSlots() {
+			if m := s.currentProcess(); m != nil && !m.hasEnded() {
+				call := calls[inj.rng.IntN(len(calls))]
+				length := time.Duration(inj.rng.Int64N(int64(maxCallFault)))
+				if call == callfaults.Send { // an answer that can't be written for longer is late
+					length /= 3
+				}
+				m.faults.Fail(call, length, lists[call]...)
+			}
+		}
+		time.Sleep(maxCallFault)
+	}
+}
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -17,12 +17,12 @@
 
 // journal keeps what was seen, and what of it broke a rule. It may be used by all goroutines.
 type journal struct {
-	begun time.Time
+	startedAt time.Time
 
-	mu       sync.Mutex
-	list     []entry
-	breaks   []Violation
-	outcomes map[string]int
+	mu         sync.Mutex
+	entries    []entry
+	violations []Violation
+	outcomes   map[string]int
 }
 
 // Violation is a breach of a rule.
@@ -31,27 +31,27 @@
 	At                  time.Duration
 }
 
-func newJournal() *journal { return &journal{begun: time.Now(), outcomes: map[string]int{}} }
+func newJournal() *journal { return &journal{startedAt: time.Now(), outcomes: map[string]int{}} }
 
-func (j *journal) now() time.Duration { return time.Since(j.begun) }
+func (j *journal) elapsed() time.Duration { return time.Since(j.startedAt) }
 
-func (j *journal) note(request, format string, args ...any) {
-	text, at := fmt.Sprintf(format, args...), j.now()
+func (j *journal) record(request, format string, args ...any) {
+	text, at := fmt.Sprintf(format, args...), j.elapsed()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.list = append(j.list, entry{at, request, text})
+	j.entries = append(j.entries, entry{at, request, text})
 }
 
 // broken notes a broken rule.
-func (j *journal) broken(rule, request, format string, args ...any) {
-	text, at := fmt.Sprintf(format, args...), j.now()
+func (j *journal) recordViolation(rule, request, format string, args ...any) {
+	text, at := fmt.Sprintf(format, args...), j.elapsed()
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.list = append(j.list, entry{at, request, "BROKEN " + rule + ": " + text})
-	j.breaks = append(j.breaks, Violation{rule, request, text, at})
+	j.entries = append(j.entries, entry{at, request, "BROKEN " + rule + ": " + text})
+	j.violations = append(j.violations, Violation{rule, request, text, at})
 }
 
-func (j *journal) ended(outcome string) {
+func (j *journal) countOutcome(outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.outcomes[outcome]++
@@ -60,11 +60,11 @@
 // timeline is what was seen of a request, and what concerned no single one.
 func (j *journal) timeline(request string) string {
 	j.mu.Lock()
-	list := slices.Clone(j.list)
+	entries := slices.Clone(j.entries)
 	j.mu.Unlock()
-	slices.SortStableFunc(list, func(a, b entry) int { return int(a.At - b.At) })
+	slices.SortStableFunc(entries, func(a, b entry) int { return int(a.At - b.At) })
 	var b strings.Builder
-	for _, e := range list {
+	for _, e := range entries {
 		if e.Request == "" || e.Request == request {
 			fmt.Fprintf(&b, "  %8.3fs %-18s %s\n", e.At.Seconds(), e.Request, e.Text)
 		}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -16,49 +16,49 @@
 )
 
 const (
-	workLeast = 3 * time.Millisecond // of a part
-	workMore  = 25 * time.Millisecond
-	frameMost = 1 << 20
-	deafAfter = 300 * time.Millisecond // after it did not read, what it reads may have been sent before
-	idleClose = 300 * time.Millisecond // after which a server in that trouble closes a connection
+	minWork        = 3 * time.Millisecond // of a part
+	maxExtraWork   = 25 * time.Millisecond
+	maxFrameBytes  = 1 << 20
+	unreadMargin   = 300 * time.Millisecond // after it did not read, what it reads may have been sent before
+	idleCloseAfter = 300 * time.Millisecond // after which a server in that trouble closes a connection
 )
 
 // server is a stand-in server that behaves as it is told.
 type server struct {
-	w    *world
-	id   string
-	cell int
-	addr string
-	ln   net.Listener
+	env      *environment
+	id       string
+	cell     int
+	addr     string
+	listener net.Listener
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	ended   bool
-	links   map[net.Conn]time.Time // and when each was last used
-	hangs   time.Time              // until when it answers nothing
-	deaf    time.Time              // until when it does not read
-	spoils  time.Time              // until when some answers are spoilt
-	idles   time.Time              // until when it closes connections that rest
-	started time.Time              // its last start
-	cold    bool                   // it was started while we ran
-	sent    []time.Time            // parts since its start
+	mu           sync.Mutex
+	rng          *rand.Rand
+	ended        bool
+	connections  map[net.Conn]time.Time // and when each was last used
+	hangEnd      time.Time              // until when it answers nothing
+	deafEnd      time.Time              // until when it does not read
+	spoils       time.Time              // until when some answers are spoilt
+	idleCloseEnd time.Time              // until when it closes connections that rest
+	startedAt    time.Time              // its last start
+	cold         bool                   // it was started while we ran
+	partArrivals []time.Time            // parts since its start
 }
 
-func (w *world) newServer(id string, cell int, cold bool) (*server, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func (env *environment) newServer(id string, cell int, cold bool) (*server, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in server: %w", err)
 	}
-	s := &server{w: w, id: id, cell: cell, addr: ln.Addr().String(), ln: ln, rng: rand.New(rand.NewPCG(w.o.Seed, uint64(len(id)*1000+cell))),
-		links: map[net.Conn]time.Time{}, started: time.Now(), cold: cold}
-	go s.accept()
-	go s.closeIdle()
+	s := &server{env: env, id: id, cell: cell, addr: listener.Addr().String(), listener: listener, rng: rand.New(rand.NewPCG(env.o.Seed, uint64(len(id)*1000+cell))),
+		connections: map[net.Conn]time.Time{}, startedAt: time.Now(), cold: cold}
+	go s.acceptConnections()
+	go s.closeIdleConnections()
 	return s, nil
 }
 
-func (s *server) accept() {
+func (s *server) acceptConnections() {
 	for {
-		c, err := s.ln.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -66,10 +66,10 @@
 		if s.ended {
 			_ = c.Close()
 		} else {
-			s.links[c] = time.Now()
+			s.connections[c] = time.Now()
 		}
 		s.mu.Unlock()
-		go s.serve(c)
+		go s.serveConnection(c)
 	}
 }
 
@@ -78,35 +78,35 @@
 	s.mu.Lock()
 	s.ended = true
 	s.mu.Unlock()
-	_ = s.ln.Close()
-	s.hold()
-	s.reset()
+	_ = s.listener.Close()
+	s.reserveAddress()
+	s.resetConnections()
 }
 
 // hold keeps the address of a server that has crashed, so that nobody else's server is found
 // there: connections to it are refused.
-func (s *server) hold() {
-	if s.w.over() {
+func (s *server) reserveAddress() {
+	if s.env.hasEnded() {
 		return
 	}
-	at := s.ln.Addr().(*net.TCPAddr)
+	at := s.listener.Addr().(*net.TCPAddr)
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		s.w.note("", "server %s: its address is not held: %v", s.id, err)
+		s.env.record("", "server %s: its address is not held: %v", s.id, err)
 		return
 	}
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // for what is left of its connections
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Port: at.Port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		s.w.note("", "server %s: its address is not held: %v", s.id, err)
+		s.env.record("", "server %s: its address is not held: %v", s.id, err)
 	}
-	s.w.held(fd)
+	s.env.trackSocket(fd)
 }
 
 // reset resets all connections.
-func (s *server) reset() {
+func (s *server) resetConnections() {
 	s.mu.Lock()
-	list := s.links
-	s.links = map[net.Conn]time.Time{}
+	list := s.connections
+	s.connections = map[net.Conn]time.Time{}
 	s.mu.Unlock()
 	for c := range list {
 		_ = c.(*net.TCPConn).SetLinger(0)
@@ -114,12 +114,12 @@
 	}
 }
 
-func (s *server) closeIdle() {
-	for ; !s.over(); time.Sleep(50 * time.Millisecond) {
+func (s *server) closeIdleConnections() {
+	for ; !s.hasEnded(); time.Sleep(50 * time.Millisecond) {
 		s.mu.Lock()
-		for c, used := range s.links {
-			if time.Now().Before(s.idles) && time.Since(used) > idleClose {
-				delete(s.links, c)
+		for c, used := range s.connections {
+			if time.Now().Before(s.idleCloseEnd) && time.Since(used) > idleCloseAfter {
+				delete(s.connections, c)
 				_ = c.Close()
 			}
 		}
@@ -127,14 +127,14 @@
 	}
 }
 
-func (s *server) over() bool {
+func (s *server) hasEnded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended || s.w.over()
+	return s.ended || s.env.hasEnded()
 }
 
 // set changes the server's behaviour.
-func (s *server) set(change func(s *server)) {
+func (s *server) update(change func(s *server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
@@ -143,14 +143,14 @@
 func (s *server) deafUntil() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.deaf
+	return s.deafEnd
 }
 
 // serve reads calls from a connection.
-func (s *server) serve(c net.Conn) {
+func (s *server) serveConnection(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.links, c)
+		delete(s.connections, c)
 		s.mu.Unlock()
 		_ = c.Close()
 	}()
@@ -167,15 +167,15 @@
 			return
 		}
 		came := time.Now()
-		for wait := time.Until(s.deafUntil()); wait > 0 && !s.over(); wait = time.Until(s.deafUntil()) {
+		for wait := time.Until(s.deafUntil()); wait > 0 && !s.hasEnded(); wait = time.Until(s.deafUntil()) {
 			time.Sleep(min(wait, 50*time.Millisecond))
 		}
 		if _, err := io.ReadFull(r, length[1:]); err != nil {
 			return
 		}
 		n := binary.BigEndian.Uint32(length[:])
-		if n == 0 || n > frameMost {
-			s.w.broken("form", "", "server %s got a frame of %d bytes", s.id, n)
+		if n == 0 || n > maxFrameBytes {
+			s.env.recordViolation("form", "", "server %s got a frame of %d bytes", s.id, n)
 			return
 		}
 		frame := make([]byte, n)
@@ -183,8 +183,8 @@
 			return
 		}
 		s.mu.Lock()
-		if _, open := s.links[c]; open {
-			s.links[c] = time.Now()
+		if _, open := s.connections[c]; open {
+			s.connections[c] = time.Now()
 		}
 		s.mu.Unlock()
 		s.frame(c, send, frame[0], string(frame[1:]), came)
@@ -198,33 +198,33 @@
 			line, more, ok := strings.Cut(rest, "\n")
 			words := strings.Split(line, " ")
 			if !ok || len(words) != 4 {
-				s.w.broken("form", "", "server %s got the line %q", s.id, line)
+				s.env.recordViolation("form", "", "server %s got the line %q", s.id, line)
 				return
 			}
 			size, err := strconv.Atoi(words[3])
 			if err != nil || size > len(more) {
-				s.w.broken("form", "", "server %s got the line %q", s.id, line)
+				s.env.recordViolation("form", "", "server %s got the line %q", s.id, line)
 				return
 			}
-			s.part(c, send, words, more[:size], came)
+			s.handlePart(c, send, words, more[:size], came)
 			rest = more[size:]
 		}
 	case '3':
-		if !s.hanging() {
+		if !s.isHanging() {
 			send([]byte{0, 0, 0, 2, '3', 'S'})
 		}
 	}
 }
 
-func (s *server) hanging() bool {
+func (s *server) isHanging() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Before(s.hangs)
+	return time.Now().Before(s.hangEnd)
 }
 
 // part does the work of one part.
-func (s *server) part(c net.Conn, send func([]byte), words []string, text string, came time.Time) {
-	a := &arrival{server: s, id: words[0], text: text, at: came, late: time.Since(s.deafUntil()) < deafAfter}
+func (s *server) handlePart(c net.Conn, send func([]byte), words []string, text string, came time.Time) {
+	a := &arrival{server: s, id: words[0], text: text, at: came, delayed: time.Since(s.deafUntil()) < unreadMargin}
 	a.shard, _ = strconv.Atoi(words[1])
 	for item := range strings.SplitSeq(words[2], ",") {
 		if ms, ok := strings.CutPrefix(item, "d="); ok {
@@ -232,16 +232,16 @@
 			a.told = time.Duration(n) * time.Millisecond
 		}
 	}
-	s.w.arrived(a)
+	s.env.recordArrival(a)
 	s.mu.Lock()
-	work := workLeast + time.Duration(s.rng.Float64()*float64(workMore))
+	work := minWork + time.Duration(s.rng.Float64()*float64(maxExtraWork))
 	draw, spoils := s.rng.Float64(), time.Now().Before(s.spoils)
 	s.mu.Unlock()
-	body := value(words[0], words[1])
-	answer := frameOf(fmt.Sprintf("%s S 7 -\n%s", words[0], body))
+	body := partValue(words[0], words[1])
+	answer := answerFrame(fmt.Sprintf("%s S 7 -\n%s", words[0], body))
 	time.AfterFunc(work, func() {
 		switch {
-		case s.hanging():
+		case s.isHanging():
 		case spoils && draw < 0.1: // half of an answer, then a reset
 			send(answer[:len(answer)/2])
 			_ = c.(*net.TCPConn).SetLinger(0)
@@ -249,7 +249,7 @@
 		case spoils && draw < 0.2: // half of an answer, and no more
 			send(answer[:len(answer)/2])
 		case spoils && draw < 0.3:
-			send(frameOf(words[0] + " E 0 -\n"))
+			send(answerFrame(words[0] + " E 0 -\n"))
 		case spoils && draw < 0.35: // twice
 			send(append(append([]byte{}, answer...), answer...))
 		default:
@@ -259,12 +259,12 @@
 }
 
 // value is what a server makes of a part: a client can tell whether it is its own.
-func value(id, shard string) string {
+func partValue(id, shard string) string {
 	request, _, _ := strings.Cut(id, ".")
 	return "v-" + request + "-" + shard
 }
 
-func frameOf(text string) []byte {
+func answerFrame(text string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(1+len(text)))
 	return append(append(b, '5'), text...)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,7 +16,7 @@
 }
 
 // program builds the mixer.
-func program(t *testing.T) string {
+func buildMixer(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "kiteloft")
 	if out, err := exec.Command("go", "build", "-o", path, "kiteloft/cmd/kiteloft").CombinedOutput(); err != nil {
@@ -27,7 +27,7 @@
 
 // TestShortSoak plays a few small fleets. make soak plays large ones for longer.
 func TestShortSoak(t *testing.T) {
-	path := program(t)
+	path := buildMixer(t)
 	for seed := range uint64(3) {
 		length := 12 * time.Second
 		r, err := Run(Options{Program: path, Dir: t.TempDir(), Seed: seed, Mixers: 3, Servers: cells, Rate: 6, Length: length, Troubles: DrawTroubles(seed, length)})
@@ -44,7 +44,7 @@
 }
 
 // TestSchedulesAreOfTheirSeeds: the same seed has the same troubles, most of them beside others.
-func TestSchedulesAreOfTheirSeeds(t *testing.T) {
+func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	const seeds, length = 200, 30 * time.Second
 	overlaps, seen := 0, map[Kind]bool{}
 	for seed := range uint64(seeds) {
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	if len(seen) != int(kinds) || overlaps < 2*seeds {
-		t.Errorf("%d kinds of %d, %d overlaps in %d seeds", len(seen), kinds, overlaps, seeds)
+	if len(seen) != int(kindCount) || overlaps < 2*seeds {
+		t.Errorf("%d kinds of %d, %d overlaps in %d seeds", len(seen), kindCount, overlaps, seeds)
 	}
 }
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -39,10 +39,10 @@
 	ClockStep                    // the servers' wall clocks are set
 	DiscoverySlow                // every answer of discovery is on its way for long
 	CallFaults                   // system calls of mixers fail for moments
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{"term-mixers", "kill-mixers", "pause-mixers", "reload-mixers", "discovery-down",
+var kindNames = [kindCount]string{"term-mixers", "kill-mixers", "pause-mixers", "reload-mixers", "discovery-down",
 	"discovery-silent", "watches-silent", "watches-cut", "discovery-crowded", "drain-servers", "crash-servers",
 	"return-cold", "hang-servers", "hang-all", "reset-links", "close-idle", "spoil-answers", "deaf-servers",
 	"clients-leave", "clients-stall", "clients-pipeline", "clients-flood", "clients-crowd", "short-deadlines",
@@ -59,7 +59,7 @@
 
 // MidRunTrouble returns a trouble of a kind in the middle of a run, to be added to those that are drawn.
 func MidRunTrouble(k Kind, seed uint64, length time.Duration) Trouble {
-	return Trouble{Kind: k, At: length / 3, Length: longest, Share: 0.5, Seed: seed}
+	return Trouble{Kind: k, At: length / 3, Length: maxTroubleLength, Share: 0.5, Seed: seed}
 }
 
 // Trouble is one trouble of a run.
@@ -80,13 +80,13 @@
 func (t Trouble) overlaps(o Trouble) bool { return t.At < o.At+o.Length && o.At < t.At+t.Length }
 
 const (
-	quietStart   = 3 * time.Second // before the first trouble
-	quietEnd     = 4 * time.Second // after the last one, in which all have to recover
-	longQuiet    = 0.2             // share of runs in which all troubles come late, after a long rest
-	shortest     = 500 * time.Millisecond
-	longest      = 8 * time.Second
-	leastTrouble = 4
-	moreTrouble  = 4
+	quietStart        = 3 * time.Second // before the first trouble
+	quietEnd          = 4 * time.Second // after the last one, in which all have to recover
+	lateTroublesShare = 0.2             // share of runs in which all troubles come late, after a long rest
+	minTroubleLength  = 500 * time.Millisecond
+	maxTroubleLength  = 8 * time.Second
+	minTroubles       = 4
+	maxExtraTroubles  = 4
 )
 
 // DrawTroubles draws the troubles of a run from its seed: most of them overlap with one to three others.
@@ -94,24 +94,24 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	first := quietStart
 	room := length - first - quietEnd
-	if room > 4*longest && rng.Float64() < longQuiet {
+	if room > 4*maxTroubleLength && rng.Float64() < lateTroublesShare {
 		first += room / 2
 		room /= 2
 	}
 	room = max(room, time.Second)
 	var list []Trouble
 	at := first
-	for range leastTrouble + rng.IntN(moreTrouble+1) {
+	for range minTroubles + rng.IntN(maxExtraTroubles+1) {
 		// Two of three begin within a second of the one before.
 		if len(list) == 0 || rng.IntN(3) == 0 {
 			at = first + time.Duration(rng.Float64()*float64(room))
 		} else {
 			at += time.Duration(rng.Float64() * float64(time.Second))
 		}
-		span := shortest + time.Duration(rng.Float64()*rng.Float64()*float64(longest-shortest))
+		span := minTroubleLength + time.Duration(rng.Float64()*rng.Float64()*float64(maxTroubleLength-minTroubleLength))
 		end := length - quietEnd
-		begins := min(at, end-shortest)
-		list = append(list, Trouble{Kind: Kind(rng.IntN(int(kinds))), At: begins, Length: min(span, end-begins),
+		begins := min(at, end-minTroubleLength)
+		list = append(list, Trouble{Kind: Kind(rng.IntN(int(kindCount))), At: begins, Length: min(span, end-begins),
 			Share: 0.1 + 0.5*rng.Float64(), Seed: rng.Uint64()})
 	}
 	slices.SortFunc(list, func(a, b Trouble) int { return int(a.At - b.At) })
