--- a/internal/fleet/accord/disk.go
+++ b/internal/fleet/accord/disk.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kiteloft/internal/fleet/keep"
+	"kiteloft/internal/fleet/atomicfile"
 	"kiteloft/internal/fleet/version"
 )
 
@@ -21,12 +21,12 @@
 type directory struct {
 	core  Core
 	path  string
-	state *keep.File
+	state *atomicfile.File
 	log   zerolog.Logger
 }
 
 func newDirectory(core Core, path string, log zerolog.Logger) *directory {
-	return &directory{core, path, keep.New(filepath.Join(path, stateFile), "what is agreed", log), log}
+	return &directory{core, path, atomicfile.New(filepath.Join(path, stateFile), "what is agreed", log), log}
 }
 
 // LoadState implements persistence. A file that can't be read is renamed with the suffix
--- a/internal/fleet/keep/keep.go
+++ b/internal/fleet/atomicfile/atomicfile.go
@@ -1,6 +1,6 @@
-// Package keep writes small files that a mixer reads after a restart. A file is replaced
+// Package atomicfile writes small files that a mixer reads after a restart. A file is replaced
 // atomically, and a goroutine of its own waits for the disk, so that no caller does.
-package keep
+package atomicfile
 
 import (
 	"os"
--- a/internal/fleet/keep/keep_test.go
+++ b/internal/fleet/atomicfile/atomicfile_test.go
@@ -1,4 +1,4 @@
-package keep
+package atomicfile
 
 import (
 	"os"
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kiteloft/internal/fleet/keep"
+	"kiteloft/internal/fleet/atomicfile"
 	"kiteloft/internal/fleet/member"
 	"kiteloft/internal/transport"
 )
@@ -58,7 +58,7 @@
 	streams       *transport.Listener
 	machine       *member.Machine
 	log           zerolog.Logger
-	snapshotFile  *keep.File
+	snapshotFile  *atomicfile.File
 	sendCount     uint64
 	senders       map[uint64]*sender // by instance of the process
 	dropCounts    map[string]int     // dropped packets by reason
@@ -140,7 +140,7 @@
 	var old snapshot
 	if f.c.Snapshot != "" {
 		old = loadSnapshot(f.c.Snapshot, f.c.ID, f.log)
-		f.snapshotFile = keep.New(f.c.Snapshot, "the fleet's snapshot", f.log)
+		f.snapshotFile = atomicfile.New(f.c.Snapshot, "the fleet's snapshot", f.log)
 	}
 	c := member.Config{ID: f.c.ID, Zone: f.c.Zone, Addr: f.c.Announce, Instance: rand.Uint64() | 1, Generation: old.Generation,
 		Period: f.c.Period, Forget: f.c.Forget, Expected: f.c.Expected, Seed: f.c.Seed, Seeds: f.c.Seeds}
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"kiteloft/internal/fields"
-	"kiteloft/internal/fleet/keep"
+	"kiteloft/internal/fleet/atomicfile"
 	"kiteloft/internal/fleet/member"
 )
 
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := keep.Write(path, text); err != nil {
+	if err := atomicfile.Write(path, text); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(s, loadSnapshot(path, "n1", zerolog.Nop())); diff != "" {
