--- a/internal/segments/fuzz_test.go
+++ b/internal/segments/fuzz_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// FuzzRead reads files that nobody wrote.
+// FuzzRead checks that Read on arbitrary files does not panic, and returns no more
+// bytes of messages than the file holds.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(magic))
 	f.Add([]byte(magic + "\x00\x00\x00\x01\xb1\xf8\x2e\x4c\x61"))
--- a/internal/segments/segments.go
+++ b/internal/segments/segments.go
@@ -1,6 +1,6 @@
-// Package segments keeps messages in files of bounded size and number. Each file
-// begins with a line that names the format; each message has its length and a
-// checksum before it, so that an end torn by a kill is told from a message.
+// Package segments stores messages in files of bounded size and number. Each file
+// begins with a header that names the format. Each message is preceded by its length
+// and a checksum, so that a message cut short when the process was killed is detected.
 package segments
 
 import (
@@ -18,13 +18,13 @@
 const (
 	magic      = "KLTRACE1"
 	suffix     = ".seg"
-	headerSize = 8        // length and checksum of a message
-	maxMessage = 64 << 20 // bytes; more is damage
+	headerSize = 8        // bytes: length and checksum of a message
+	maxMessage = 64 << 20 // bytes; a greater length means that the file is corrupt
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Writer writes segments into a directory. It is used by one goroutine.
+// Writer writes segments into a directory. It is not safe for concurrent use.
 type Writer struct {
 	dir     string
 	name    string
@@ -35,9 +35,9 @@
 	written int64
 }
 
-// NewWriter returns a Writer of segments of about size bytes, of which it leaves at
-// most so many in the directory; it makes the directory. Names begin with name,
-// which has to be new at each start.
+// NewWriter creates dir if it is missing and returns a Writer of segments of about size
+// bytes each. At most files segments are left in the directory; the oldest are removed.
+// File names begin with name, which must differ at each start of the process.
 func NewWriter(dir, name string, size int64, files int) (*Writer, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("segments: %w", err)
@@ -45,8 +45,8 @@
 	return &Writer{dir: dir, name: name, size: size, files: files}, nil
 }
 
-// Append writes a message. After an error the segment is left as it is, and the next
-// message begins another.
+// Append writes a message. After an error the open segment is left as it is, and the
+// next message begins a new one.
 func (w *Writer) Append(b []byte) error {
 	if w.file != nil && w.written+int64(len(b)) > w.size {
 		if err := w.Close(); err != nil {
@@ -64,7 +64,7 @@
 	n, err := w.file.Write(append(out, b...))
 	w.written += int64(n)
 	if err != nil {
-		_ = w.file.Close() // the write's error says more
+		_ = w.file.Close() // the error of the write says more
 		w.file = nil
 		return fmt.Errorf("segments: %w", err)
 	}
@@ -79,14 +79,14 @@
 		return fmt.Errorf("segments: %w", err)
 	}
 	if _, err := io.WriteString(f, magic); err != nil {
-		_ = f.Close() // the write's error says more
+		_ = f.Close() // the error of the write says more
 		return fmt.Errorf("segments: %w", err)
 	}
 	w.file, w.written = f, int64(len(magic))
 	return w.prune()
 }
 
-// prune removes the oldest segments beyond the number allowed.
+// prune removes the oldest segments beyond the allowed number.
 func (w *Writer) prune() error {
 	list, err := List(w.dir)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Close ends the open segment; the next message begins another.
+// Close closes the open segment, if any. The next message begins a new one.
 func (w *Writer) Close() error {
 	if w.file == nil {
 		return nil
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// List returns the paths of a directory's segments, oldest first: by when they were
-// last written to, since several mixers may share it.
+// List returns the paths of the segments in a directory, oldest first. They are sorted by
+// modification time, as several mixers may share the directory.
 func List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -132,7 +132,7 @@
 		}
 		info, err := e.Info()
 		if errors.Is(err, os.ErrNotExist) {
-			continue // removed meanwhile
+			continue // removed since the directory was read
 		}
 		if err != nil {
 			return nil, fmt.Errorf("segments: %w", err)
@@ -155,11 +155,11 @@
 	return paths, nil
 }
 
-// DamageError is a place in a segment from which on it can't be read.
+// DamageError reports the offset from which on a segment can't be read.
 type DamageError struct {
 	Path      string
 	Offset    int64
-	Truncated bool // the end is missing, as after a kill; otherwise the bytes are wrong
+	Truncated bool // the end is missing, as after the process was killed; otherwise the bytes are wrong
 	Detail    string
 }
 
@@ -171,8 +171,9 @@
 	return fmt.Sprintf("%s is %s at byte %d: %s", d.Path, kind, d.Offset, d.Detail)
 }
 
-// Read hands the messages of a segment to take, in order. It returns a *DamageError where
-// the rest can't be read; what came before has been handed over.
+// Read passes the messages of a segment to take, in order. It returns a *DamageError if
+// the file can't be read to its end or take fails; the messages before that point have
+// been passed on.
 func Read(path string, take func([]byte) error) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -196,7 +197,7 @@
 			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "a message's head is not whole"}
 		}
 		n := binary.BigEndian.Uint32(h[:])
-		// Guards memory against a length that is damage.
+		// A corrupt length must not make the reader allocate up to 4 GiB.
 		if n > maxMessage {
 			return &DamageError{Path: path, Offset: at, Detail: fmt.Sprintf("a message of %d bytes", n)}
 		}
--- a/internal/segments/segments_test.go
+++ b/internal/segments/segments_test.go
@@ -27,7 +27,7 @@
 	return w
 }
 
-// all reads all that can be read, and the first damage.
+// readAll returns the messages that can be read from all segments, and the first damage.
 func readAll(t *testing.T, dir string) (got []string, damage *DamageError) {
 	t.Helper()
 	list, err := List(dir)
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestDamageIsToldAndTheRestRead cuts a segment at every byte, and flips each.
+// TestDamageIsReportedAndPrecedingMessagesRead truncates a segment at every byte, and
+// flips a bit in every byte: the messages before the damage must still be read.
 func TestDamageIsReportedAndPrecedingMessagesRead(t *testing.T) {
 	dir := t.TempDir()
 	writeMessages(t, dir, 1000, 10, 3)
--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	maxStateBytes   = 512 // bytes of tracestate that are kept, as W3C asks for at least
-	maxStateMembers = 32  // members of a tracestate
+	maxStateBytes   = 512 // bytes of tracestate that are kept; W3C requires at least 512
+	maxStateMembers = 32  // list members of a tracestate, the maximum by W3C
 	sampledFlag     = 1
 	randomFlag      = 2
 )
 
-// Context is what a client says of the trace that its query belongs to. The zero
-// value says nothing.
+// Context is the trace context that a client sent with its query. The zero value means
+// that it sent none.
 type Context struct {
 	Trace  TraceID
 	Parent SpanID
 	Flags  byte
-	State  string // tracestate, as it came
+	State  string // validated tracestate
 }
 
-// IsZero reports whether the client named no trace.
+// IsZero reports whether the client sent no valid trace context.
 func (c Context) IsZero() bool { return c.Trace.IsZero() }
 
-// ParseContext reads the headers traceparent and tracestate by W3C's rules: a
-// malformed traceparent is as good as none, and a malformed tracestate is dropped
-// alone.
+// ParseContext parses the headers traceparent and tracestate by the rules of W3C Trace
+// Context: with a malformed traceparent both are ignored, and a malformed tracestate is
+// dropped alone.
 func ParseContext(parent, state string) Context {
 	c, ok := parseTraceparent(strings.Trim(parent, " \t"))
 	if !ok {
@@ -36,8 +36,8 @@
 	return c
 }
 
-// ReadContext is ParseContext for headers that are mostly absent: nil stands for a
-// client that names no trace.
+// ReadContext is like ParseContext but returns nil if there is no valid traceparent. It
+// avoids an allocation in the common case that the headers are absent.
 func ReadContext(parent, state string) *Context {
 	if parent == "" {
 		return nil
@@ -64,14 +64,14 @@
 		return c, false
 	case version[0] == 0 && len(s) != whole:
 		return c, false
-	case len(s) > whole && s[whole] != '-': // a later version may go on, after a dash
+	case len(s) > whole && s[whole] != '-': // a later version may add fields after a dash
 		return c, false
 	}
 	c.Flags = flags[0] & (sampledFlag | randomFlag)
 	return c, true
 }
 
-// lowerHex decodes hex in lower case only, as W3C wants it.
+// decodeLowerHex decodes hex digits, in lower case only as W3C requires.
 func decodeLowerHex(dst []byte, s string) bool {
 	for i := range len(s) {
 		if s[i] >= 'A' && s[i] <= 'F' {
@@ -82,8 +82,8 @@
 	return err == nil && n == len(dst)
 }
 
-// parseState keeps a tracestate whose members have the right form; a list that is
-// too long loses its last members.
+// parseTracestate returns the tracestate in normalized form, or "" if a member is
+// malformed or a key occurs twice. A list that is too long loses its last members.
 func parseTracestate(s string) string {
 	if s == "" {
 		return ""
@@ -139,7 +139,7 @@
 	return true
 }
 
-// Traceparent is the header that names a span as the parent of what follows.
+// Traceparent returns the value of the header traceparent that names span as the parent.
 func Traceparent(t TraceID, span SpanID, flags byte) string {
 	b := make([]byte, 0, 55)
 	b = append(b, "00-"...)
--- a/internal/tracing/critical_path.go
+++ b/internal/tracing/critical_path.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// Stage is what a stretch of a query's time was spent on.
+// Stage is what a segment of a query's time was spent on.
 type Stage uint8
 
-// What time goes to.
+// The stages.
 const (
-	Mixer   Stage = iota // the mixer itself: waiting for a server that may take the part, or for its own step
+	Mixer   Stage = iota // in the mixer: no node may take the part yet, or the mixer's event loop has not run
 	Connect              // waiting for a connection to the node
-	Write                // until the part's last byte was written
-	Node                 // the node: from then until its answer began, or nobody waited any more
-	Read                 // until the answer was whole
+	Write                // writing the part, until its last byte was written
+	Node                 // waiting for the node, until its answer began or the attempt was no longer waited for
+	Read                 // reading the answer, until it was complete
 )
 
-// Segment is a stretch of the critical path: the chain of waits that made a query
-// take as long as it did. Segments are in order and have no gaps.
+// Segment is an interval of the critical path, the chain of waits that made a query take
+// as long as it did. The segments of a path are in order and have no gaps. Times are
+// those of the core's clock.
 type Segment struct {
 	From, To time.Duration
 	Stage    Stage
-	Part     int // index; -1: none
-	Attempt  int // index; -1: none
+	Part     int // index in Query.Parts; -1: none
+	Attempt  int // index in Query.Attempts; -1: none
 }
 
-// CriticalPath is a query's critical path. In each step it goes through the part that
-// was last to come in, or through one that never came in, and there through the
-// attempts in the order in which they were waited for: an earlier attempt until the
-// next one was sent, the last until the part's end.
+// CriticalPath returns the critical path of a query that has ended. In each step it
+// follows the part that was answered last, or one that was never answered. Within the
+// part it follows the attempts in the order in which they were waited for: an earlier
+// attempt until the next one was sent, the last one until the end of the part.
 func CriticalPath(q *Query) []Segment {
 	var path []Segment
 	at := q.Begin
@@ -79,8 +80,8 @@
 	return path
 }
 
-// gate returns the part that a step ended with, and when: one that did not come in
-// goes before all that did.
+// lastPart returns the part that a step waited for last, and until when. A part without
+// an answer takes precedence over all that have one. It returns -1 if the step has no parts.
 func (q *Query) lastPart(step uint8) (part int, end time.Duration) {
 	part = -1
 	over := q.End
@@ -93,8 +94,7 @@
 		if p.Step != step {
 			continue
 		}
-		// A step that was answered short did not wait for what is missing any longer
-		// than for the rest.
+		// A step that ended with parts missing waited for those until its end.
 		t := p.End
 		if !p.Answered {
 			t = over
@@ -106,8 +106,8 @@
 	return part, end
 }
 
-// awaitedAttempts returns the attempts of a part that were waited for, in order. A copy that
-// lost was not: its part did not wait for it.
+// awaitedAttempts returns the attempts that a part waited for, in order of their start. It
+// leaves out those sent after the attempt that won, such as copies that lost.
 func (q *Query) awaitedAttempts(part int) (list []int) {
 	won := -1
 	for i := range q.Attempts {
@@ -126,14 +126,15 @@
 	return list
 }
 
-// SegmentExcess is a share of the time by which a query was over its wanted time.
+// SegmentExcess is the share of one segment in the time by which a query missed its
+// latency target.
 type SegmentExcess struct {
 	Segment
 	Over time.Duration
 }
 
-// Over charges the time by which a query was over its wanted time to its critical
-// path: the longest stretches first, each at most for its own length.
+// Over attributes the time by which a query missed its latency target to the segments of
+// its critical path: to the longest first, to each at most its own length.
 func Over(q *Query) []SegmentExcess {
 	left := q.End - q.TargetTime
 	path := CriticalPath(q)
--- a/internal/tracing/memory.go
+++ b/internal/tracing/memory.go
@@ -29,20 +29,20 @@
 	return q
 }
 
-// store holds kept traces until they are taken. What can't be held degrades in the
-// order of its levels; each goes over the traces once, oldest first, so that the
-// work for a trace is bounded.
+// keptTraces holds kept traces until they are taken. When memory is short, it is freed
+// level by level; each level goes over the traces once, oldest first, so that the work
+// per trace is bounded.
 type keptTraces struct {
 	queryQueue
-	progress [levelCount]int // by level: how many from the head have been through it
+	progress [levelCount]int // by level: how many traces from the head it has processed
 }
 
-// The levels, in the order in which they are gone through.
+// The levels of freeing memory, in order.
 const (
-	dropUneventfulParts = iota // parts that their first attempt answered, off the critical path
-	dropSampledTraces          // traces that only chance kept
-	dropChildSpans             // all but roots
-	dropOldestTraces           // the oldest traces altogether
+	dropUneventfulParts = iota // parts answered by their only attempt, off the critical path
+	dropSampledTraces          // traces that were kept by random sampling only
+	dropChildSpans             // all spans but the roots
+	dropOldestTraces           // whole traces, the oldest first
 	levelCount
 )
 
@@ -54,12 +54,12 @@
 	return q
 }
 
-// full makes room for one more entry and tells whether there is none.
+// outOfMemory makes room for one more entry and reports whether that failed.
 func (r *Recorder) outOfMemory() bool { return !r.makeRoom(attemptSize) }
 
-// fit makes room for so many bytes, in this order: what waits is decided early; then
-// the kept ones degrade, level by level. Open queries stay. It tells whether there
-// is room.
+// makeRoom frees memory for room more bytes and reports whether it succeeded. It first
+// decides early on queries that wait for a decision, then drops data of kept traces level
+// by level. Records of open queries are never dropped.
 func (r *Recorder) makeRoom(room int) bool {
 	most := r.cfg.MemoryBytes - room
 	for r.bytes > most && r.waiting.len() > 0 {
@@ -72,7 +72,7 @@
 	return r.bytes <= most
 }
 
-// degrade takes the next kept trace through a level; false: none is left for it.
+// degradeNext applies a level to the next kept trace, and reports whether there was one.
 func (r *Recorder) degradeNext(level int) bool {
 	s := &r.kept
 	if level == dropOldestTraces {
@@ -102,7 +102,7 @@
 	return false
 }
 
-// removeAt takes a trace out of the middle of the store.
+// removeAt removes the kept trace at an index of the list.
 func (r *Recorder) removeAt(at int) {
 	s := &r.kept
 	copy(s.list[at:], s.list[at+1:])
@@ -118,7 +118,7 @@
 	}
 }
 
-// lose counts a trace that can't be held.
+// discardTrace counts a kept trace as lost and releases it.
 func (r *Recorder) discardTrace(q *Query) {
 	l := &r.lost[q.Class]
 	if q.KeepReasons != 0 {
@@ -129,8 +129,8 @@
 	r.release(q)
 }
 
-// boringParts tells which parts may go first: those that their first attempt
-// answered and that nothing waited for.
+// uneventfulParts reports, by index, which parts may be dropped first: those answered by
+// their only attempt that are not on the critical path.
 func (q *Query) uneventfulParts() []bool {
 	drop := make([]bool, len(q.Parts))
 	for i := range q.Parts {
@@ -144,8 +144,8 @@
 	return drop
 }
 
-// thinOut drops parts with their attempts, or all children and events with a nil
-// list, and keeps count of them on the root.
+// dropParts drops the marked parts with their attempts and events, or all child spans and
+// events if drop is nil. The root counts what was dropped.
 func (r *Recorder) dropParts(q *Query, drop []bool) {
 	if drop == nil {
 		q.Dropped.Parts += len(q.Parts)
--- a/internal/tracing/memory_test.go
+++ b/internal/tracing/memory_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDegradesInTheStatedOrder fills the memory with kept traces and looks at what
-// goes first, and at what is said of it.
+// TestDegradationOrder fills the memory with kept traces and checks in which order data is
+// dropped, and that what was dropped is counted.
 func TestDegradationOrder(t *testing.T) {
 	r := newTestRecorder(16<<10, 1e9)
 	type phase int
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestTenThousandOpenQueries holds the memory with far more open queries than it has
-// room for: what is not recorded is counted.
+// TestMemoryLimitWithManyOpenQueries opens far more queries than the memory has room for:
+// the limit holds, and queries that are not recorded are counted.
 func TestMemoryLimitWithManyOpenQueries(t *testing.T) {
 	const n = 10000
 	r := newTestRecorder(1<<20, 100)
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestNothingIsUnaccountedFor plays random lives: every query that ended is taken,
-// passed over or counted as lost, the bytes add up, and the memory holds.
+// TestEveryQueryIsAccountedFor runs random operations: every query that ended is taken, not
+// kept or counted as lost, the byte count is exact, and the memory limit holds.
 func TestEveryQueryIsAccountedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestRecorder(rapid.IntRange(2<<10, 64<<10).Draw(t, "memory"), rapid.Float64Range(0, 200).Draw(t, "spans"))
