--- a/internal/soak/catalog.go
+++ b/internal/soak/catalog.go
@@ -10,59 +10,62 @@
 
 const (
 	drainGrace           = 2 * time.Second
-	informedTimeout      = 6 * time.Second       // after which a change counts as told, whatever became of the calls
-	reconfigurationGrace = 4 * time.Second       // the same after a new configuration
-	overlapMargin        = 50 * time.Millisecond // by which troubles that begin together may miss each other
+	informedTimeout      = 6 * time.Second       // a mixer counts as informed of a change this long after the change could be read
+	reconfigurationGrace = 4 * time.Second       // the same after the mixer got a new discovery address
+	overlapMargin        = 50 * time.Millisecond // by how much the effects of troubles that begin together may differ in time
 )
 
-// list is discovery, and what of it counts as told to whom. It serves each mixer at two
-// addresses of its own.
+// catalog is the stand-in of discovery. It also tracks from when on each mixer counts as informed of a change.
+// Each mixer has two discovery addresses of its own. Its methods may be called from any goroutine.
 type catalog struct {
 	*standin.Directory
 
 	mu            sync.Mutex
-	departures    map[string]departure // by server that drains or is gone
+	departures    map[string]departure // by ID of a server that drains or is gone
 	outages       []interval
-	silentWatches []interval    // spans in which no watch brings anything
-	pushMode      bool          // an agent has the list: what that has counts as told
-	clockOffset   time.Duration // of the servers' wall clocks
+	silentWatches []interval    // each begins when all open watches fall silent; its end is unused
+	pushMode      bool          // mixers ask a local agent that has the list: what the agent has counts as known
+	clockOffset   time.Duration // of the servers' wall clocks, from the real time
 }
 
-// change is that a server drains or is gone.
+// departure says when a server began to drain or was gone, and the revision of the list from then on.
 type departure struct {
 	at       time.Time
 	revision int
 }
 
-// outage is a span in which discovery could not be reached.
+// interval is a span of time, from inclusive, to exclusive.
 type interval struct{ from, to time.Time }
 
+// newCatalog returns a catalog that lists the members.
 func newCatalog(members []standin.Member) *catalog {
 	return &catalog{Directory: standin.NewDirectory(members...), departures: map[string]departure{}}
 }
 
-// present are the members that have not left.
+// remainingMembers returns the members that have not left; those that drain are among them.
 func (cat *catalog) remainingMembers() []standin.Member {
 	return slices.DeleteFunc(cat.Members(), func(m standin.Member) bool { return m.Phase == "left" })
 }
 
-// stamp is what a server's machine notes of a start now.
+// wallClockMillis returns the start time that a server reports if it starts now, in milliseconds of Unix time by
+// the servers' wall clocks.
 func (cat *catalog) wallClockMillis() int64 {
 	cat.mu.Lock()
 	defer cat.mu.Unlock()
 	return time.Now().Add(cat.clockOffset).UnixMilli()
 }
 
-// step sets the servers' wall clocks.
+// stepClocks moves the servers' wall clocks forward, or back if by is negative.
 func (cat *catalog) stepClocks(by time.Duration) {
 	cat.mu.Lock()
 	defer cat.mu.Unlock()
 	cat.clockOffset += by
 }
 
-// leaves tells that a server drains, or is gone.
+// announceDeparture publishes a server's phase, either leaving or left. Only the first departure of a server is
+// recorded.
 func (cat *catalog) announceDeparture(id, phase string) {
-	now := time.Now() // before the first mixer can hear of it
+	now := time.Now() // taken before any mixer can be informed
 	for i, m := range cat.Members() {
 		if m.ID == id && m.Phase != "left" {
 			cat.Tell(i, phase)
@@ -76,7 +79,7 @@
 	}
 }
 
-// returns tells that a server is back under its name.
+// announceReturn publishes that a server is back under its former ID, and forgets its departure.
 func (cat *catalog) announceReturn(m standin.Member) {
 	cat.mu.Lock()
 	delete(cat.departures, m.ID)
@@ -84,7 +87,7 @@
 	cat.Replace(m.ID, m)
 }
 
-// down notes that discovery can't be reached for a while.
+// recordOutage records that discovery can't be reached from now on for the given time.
 func (cat *catalog) recordOutage(length time.Duration) {
 	cat.mu.Lock()
 	defer cat.mu.Unlock()
@@ -92,12 +95,13 @@
 	cat.outages = append(cat.outages, interval{now, now.Add(length)})
 }
 
-// reached is the first moment from a given one on at which discovery could be reached.
+// reachableFrom returns the earliest time, not before from, at which discovery could be reached. The caller holds
+// cat.mu.
 func (cat *catalog) reachableFrom(from time.Time) time.Time {
 	for again := true; again; {
 		again = false
 		for _, o := range cat.outages {
-			// What changes just before discovery falls silent may not have been written any more.
+			// A change just before an outage may not have been sent any more.
 			if !from.Before(o.from.Add(-overlapMargin)) && from.Before(o.to) {
 				from, again = o.to, true
 			}
@@ -106,8 +110,9 @@
 	return from
 }
 
-// had is since when a process counts as told of what an agent has, that was there from a moment on:
-// at once; where the watch had fallen silent just then, some time after that.
+// pushInformedAt returns when a process counts as informed, in push mode, of a change that the agent has since
+// from: at once, or informedTimeout after the watches fell silent if the change falls into that time. The caller
+// holds cat.mu.
 func (cat *catalog) pushInformedAt(from time.Time) time.Time {
 	at := cat.reachableFrom(from)
 	for _, s := range cat.silentWatches {
@@ -118,15 +123,15 @@
 	return at
 }
 
-// hush notes that all watches fall silent now.
+// recordWatchSilence records that all open watches fall silent now.
 func (cat *catalog) recordWatchSilence() {
 	cat.mu.Lock()
 	defer cat.mu.Unlock()
 	cat.silentWatches = append(cat.silentWatches, interval{from: time.Now()})
 }
 
-// toldOf is since when a process counts as told that a server drains or is gone; false: nobody
-// was told that.
+// informedOfDeparture returns the time since which a process counts as informed that a server drains or is gone.
+// It returns false if no departure of the server is recorded.
 func (cat *catalog) informedOfDeparture(id string, p *process) (time.Time, bool) {
 	cat.mu.Lock()
 	defer cat.mu.Unlock()
@@ -138,7 +143,7 @@
 	if from.Before(p.startedAt) {
 		from = p.startedAt
 	}
-	// Whatever else becomes of the calls, it counts as told some time after it could be had.
+	// Even if calls fail, the process counts as informed informedTimeout after discovery could be reached.
 	told := cat.reachableFrom(from).Add(informedTimeout)
 	if cat.pushMode {
 		told = cat.pushInformedAt(p.reconfiguredBy(from))
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -1,6 +1,7 @@
-// Package soak runs a fleet of real mixers among stand-ins that misbehave by a schedule drawn from
-// a seed, and holds what servers, discovery and clients see against the rules that bind a mixer.
-// Its oracle knows nothing of a mixer's state; a mixer's own audit and checks are read from its log.
+// Package soak runs a fleet of real mixer processes against stand-in servers, discovery and clients that
+// misbehave on a schedule drawn from a seed. It checks what the stand-ins observe against the rules that a
+// mixer has to keep. The checks use no internal state of a mixer; a mixer's own audit and invariant checks
+// are read from its log.
 package soak
 
 import (
@@ -18,14 +19,14 @@
 	"kiteloft/internal/standin"
 )
 
-// Options are what a run is made of.
+// Options configures a run.
 type Options struct {
 	Program  string // path of the mixer
-	Dir      string // an empty folder
-	Seed     uint64
+	Dir      string // an empty directory, removed when the run is over
+	Seed     uint64 // of all random draws except those of the troubles
 	Mixers   int
 	Servers  int     // a multiple of cells
-	Rate     float64 // requests a second for each mixer
+	Rate     float64 // mean requests per second of each of a mixer's two clients
 	Length   time.Duration
 	Troubles []Trouble
 }
@@ -38,14 +39,14 @@
 	coldStartShare      = 0.3
 	coldWindow          = time.Second
 	coldMultiple        = 3.0
-	meanPartsPerRequest = 2.5 // of a request
-	minCapacityFactor   = 1.0 // what a warm server bears at the least, as a multiple of its mean share of the parts
-	settleTime          = 6 * time.Second
-	pushModeOneIn       = 3 // in one of so many runs lists are pushed to agents
-	loadedShutdownOneIn = 2 // in one of so many mixers end while servers hang and clients ask on
+	meanPartsPerRequest = 2.5             // by the draw of 1 to 4 slices per request
+	minCapacityFactor   = 1.0             // least capacity that the mixer may assume of a warm server, as a multiple of its mean share of the parts
+	settleTime          = 6 * time.Second // between the last request of the clients and the end of the mixers
+	pushModeOneIn       = 3               // discovery is in push mode in one of 3 seeds
+	loadedShutdownOneIn = 2               // in one of 2 seeds, half of the mixers end under load while all servers hang
 )
 
-// world is a run under way.
+// environment is the state of a run in progress: mixers, servers, discovery, requests and the journal.
 type environment struct {
 	o Options
 	*journal
@@ -56,27 +57,28 @@
 	requests          map[string]*request
 	servers           []*server
 	slots             []*slot
-	startedMixers     []*standin.Mixer // all that were ever started
-	reservedSockets   []int            // that hold addresses of servers that have crashed
+	startedMixers     []*standin.Mixer // all that were started, also those that have ended
+	reservedSockets   []int            // bound sockets that reserve the addresses of crashed servers
 	lastRequestNumber int
 	lastServerNumber  int
-	activeTroubles    [kindCount]int // troubles that are there
-	clientsStopped    bool           // clients begin nothing more
+	activeTroubles    [kindCount]int // number of active troubles by kind
+	clientsStopped    bool           // clients send no further requests
 	finished          bool
 	tasks             sync.WaitGroup
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Requests      int
 	Outcomes      map[string]int
-	TroubleCounts map[Kind]int    // troubles by kind
-	Overlaps      map[[2]Kind]int // troubles that overlapped
+	TroubleCounts map[Kind]int    // number of scheduled troubles by kind
+	Overlaps      map[[2]Kind]int // number of pairs of troubles that overlapped, by their kinds
 	Violations    []Violation
 	Timeline      func(request string) string
 }
 
-// Run plays a run.
+// Run starts the mixers, injects the troubles and reports what was observed. Rules that were broken are in the
+// report. It returns an error only if a stand-in server can't listen.
 func Run(o Options) (Report, error) {
 	env := &environment{o: o, journal: newJournal(), rng: rand.New(rand.NewPCG(o.Seed, 3)), requests: map[string]*request{}}
 	var members []standin.Member
@@ -93,7 +95,7 @@
 	defer env.catalog.Close()
 	defer env.cleanUp()
 	if err := env.startMixers(); err != nil {
-		return env.report(), nil // noted as a break
+		return env.report(), nil // start has recorded the violation
 	}
 	env.journal.startedAt = time.Now()
 	for i, t := range o.Troubles {
@@ -116,7 +118,7 @@
 	return env.report(), nil
 }
 
-// finishUnderWay ends half of the mixers while clients ask on and no server answers any more.
+// terminateHalfUnderLoad sends SIGTERM to half of the mixers while clients go on sending and no server answers.
 func (env *environment) terminateHalfUnderLoad() {
 	env.record("", "half of the mixers end while all servers hang")
 	env.mu.Lock()
@@ -133,6 +135,7 @@
 	time.Sleep(killAfter)
 }
 
+// startMixers starts all mixers at once and waits until each is ready. It returns the first error.
 func (env *environment) startMixers() error {
 	var all sync.WaitGroup
 	errs := make([]error, env.o.Mixers)
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// finish ends all mixers in order, and waits for clients and servers.
+// shutDown sends SIGTERM to all mixers, waits for all tasks, and makes the checks that need a finished run.
 func (env *environment) shutDown() {
 	time.Sleep(settleTime)
 	for _, s := range env.slots {
@@ -164,7 +167,7 @@
 	}
 }
 
-// end stops what is left.
+// cleanUp kills the mixers and servers that still run, and frees sockets and files.
 func (env *environment) cleanUp() {
 	env.mu.Lock()
 	env.finished, env.clientsStopped = true, true
@@ -177,11 +180,12 @@
 		s.crash()
 	}
 	for _, fd := range env.reservedSockets {
-		_ = unix.Close(fd) // it was only held
+		_ = unix.Close(fd) // it only reserved an address
 	}
-	_ = os.RemoveAll(env.o.Dir) // a leftover does no harm
+	_ = os.RemoveAll(env.o.Dir) // a leftover directory is harmless
 }
 
+// report counts the scheduled troubles and their overlaps, and takes the rest from the journal.
 func (env *environment) report() Report {
 	r := Report{Requests: len(env.requests), Outcomes: env.outcomes, Violations: env.violations, TroubleCounts: map[Kind]int{}, Overlaps: map[[2]Kind]int{}, Timeline: env.timeline}
 	for i, t := range env.o.Troubles {
@@ -195,7 +199,7 @@
 	return r
 }
 
-// own notes a mixer that has to be gone when the run is over.
+// trackMixer registers a mixer to be killed in cleanUp, and kills it at once if the run is already over.
 func (env *environment) trackMixer(m *standin.Mixer) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -205,29 +209,31 @@
 	}
 }
 
-// held notes a socket that is to be closed when the run is over.
+// trackSocket registers a socket to be closed in cleanUp.
 func (env *environment) trackSocket(fd int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.reservedSockets = append(env.reservedSockets, fd)
 }
 
-// spawn runs a task that the run waits for.
+// spawn runs a task in a goroutine that shutDown waits for.
 func (env *environment) spawn(fn func()) { env.tasks.Go(fn) }
 
+// clientsStopping reports whether clients have to send no further requests.
 func (env *environment) clientsStopping() bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.clientsStopped
 }
 
+// hasEnded reports whether the run is over and cleanUp has begun.
 func (env *environment) hasEnded() bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.finished
 }
 
-// active tells which kinds of trouble are there.
+// activeKinds returns, for each kind of trouble, whether one is active now.
 func (env *environment) activeKinds() (t [kindCount]bool) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -237,7 +243,7 @@
 	return t
 }
 
-// draw draws a number below n.
+// randomBelow draws a number in [0, n). It may be called from any goroutine.
 func (env *environment) randomBelow(n int) int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -257,13 +263,13 @@
 	env.requests[r.id] = r
 }
 
-// perServer is a server's mean share of the parts, a second.
+// meanPartRate returns the mean number of parts that a server gets per second.
 func (env *environment) meanPartRate() float64 {
 	return 2 * env.o.Rate * float64(env.o.Mixers) * meanPartsPerRequest / float64(env.o.Servers)
 }
 
-// coldMost is how many parts a server of an age bears within the window: what the settings allow
-// it then, and chance.
+// maxColdParts returns how many parts a server of a given age may get within coldWindow: the limit that the
+// settings set at that age, and an allowance for random variation.
 func maxColdParts(age time.Duration, mean float64) float64 {
 	share := coldStartShare + (1-coldStartShare)*min(1, age.Seconds()/coldDuration.Seconds())
 	n := coldMultiple * share * minCapacityFactor * mean * coldWindow.Seconds()
@@ -274,7 +280,7 @@
 	return n + times*math.Sqrt(n) + times
 }
 
-// settings is the platform's object for the mixers.
+// mixerSettings returns the settings object that the platform gives to the mixers, as JSON.
 func (env *environment) mixerSettings() string {
 	var catalog []string
 	effects := [...]string{repeatable: "repeatable", keyed: "by_key", once: "once"}
@@ -296,6 +302,7 @@
 		coldWindow.Seconds(), coldMultiple)
 }
 
+// member returns the server's entry in discovery, active since stamp, in milliseconds of Unix time.
 func (s *server) member(stamp int64) standin.Member {
 	return standin.Member{ID: s.id, HostPort: s.addr, Locality: "a", Cell: s.cell, Phase: "active", Size: 1, UpSince: stamp}
 }
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// entry is an event that was seen.
+// entry is an observed event.
 type entry struct {
-	At      time.Duration // from the start
-	Request string        // its id; "": it concerns no single one
+	At      time.Duration // from the start of the run
+	Request string        // its ID; empty if the event concerns no single request
 	Text    string
 }
 
-// journal keeps what was seen, and what of it broke a rule. It may be used by all goroutines.
+// journal collects observed events, violations and the outcomes of requests. Its methods may be called from any
+// goroutine.
 type journal struct {
 	startedAt time.Time
 
@@ -25,7 +26,8 @@
 	outcomes   map[string]int
 }
 
-// Violation is a breach of a rule.
+// Violation is an observed breach of a rule. Request is empty if it concerns no single request; At counts from the
+// start of the run.
 type Violation struct {
 	Rule, Request, Text string
 	At                  time.Duration
@@ -35,6 +37,7 @@
 
 func (j *journal) elapsed() time.Duration { return time.Since(j.startedAt) }
 
+// record adds an event; request is empty if it concerns no single request.
 func (j *journal) record(request, format string, args ...any) {
 	text, at := fmt.Sprintf(format, args...), j.elapsed()
 	j.mu.Lock()
@@ -42,7 +45,7 @@
 	j.entries = append(j.entries, entry{at, request, text})
 }
 
-// broken notes a broken rule.
+// recordViolation adds a violation, and an event that describes it.
 func (j *journal) recordViolation(rule, request, format string, args ...any) {
 	text, at := fmt.Sprintf(format, args...), j.elapsed()
 	j.mu.Lock()
@@ -51,13 +54,14 @@
 	j.violations = append(j.violations, Violation{rule, request, text, at})
 }
 
+// countOutcome adds one request to an outcome.
 func (j *journal) countOutcome(outcome string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.outcomes[outcome]++
 }
 
-// timeline is what was seen of a request, and what concerned no single one.
+// timeline returns one line for each event of a request or of no single request, in order of time.
 func (j *journal) timeline(request string) string {
 	j.mu.Lock()
 	entries := slices.Clone(j.entries)
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of trouble. Its name in reports and on the command line comes from kindNames.
 type Kind int
 
 // The kinds of trouble.
 const (
-	TermMixers       Kind = iota // mixers are told to end, killed when their time is over, and started again
-	KillMixers                   // mixers are killed outright and started again
-	PauseMixers                  // mixers are stopped for moments
-	ReloadMixers                 // a new configuration moves discovery, sometimes twice within a second
+	TermMixers       Kind = iota // mixers get SIGTERM, are killed after killAfter, and are started again
+	KillMixers                   // mixers get SIGKILL and are started again
+	PauseMixers                  // mixers are stopped with SIGSTOP for up to maxPause at a time
+	ReloadMixers                 // a new configuration changes the discovery address, sometimes twice within a second
 	DiscoveryDown                // every call to discovery fails
-	DiscoverySilent              // no call to discovery is answered
-	WatchesSilent                // the watches that are open are never answered
-	WatchesCut                   // the watches that are open end
-	DiscoveryCrowded             // of four calls to discovery one is answered
+	DiscoverySilent              // calls to discovery get no answer
+	WatchesSilent                // open watches are never answered
+	WatchesCut                   // open watches are closed
+	DiscoveryCrowded             // one of four calls to discovery is answered
 	DrainServers                 // servers drain and are replaced
 	CrashServers                 // servers crash and are replaced
-	ReturnCold                   // servers crash and come back under their names
-	HangServers                  // some servers take work and answer nothing
-	HangAll                      // all servers do
-	ResetLinks                   // servers reset their connections, again and again
-	CloseIdle                    // servers close connections that rest for a moment
-	SpoilAnswers                 // some answers are cut, or no answers at all
-	DeafServers                  // some servers do not read
-	ClientsLeave                 // most clients leave before they are answered
-	ClientsStall                 // clients stop in the middle of a request and stay
-	ClientsPipeline              // clients send several requests at once
-	ClientsFlood                 // clients send more than anybody holds, and stay or go
-	ClientsCrowd                 // clients connect and say nothing
-	ShortDeadlines               // requests come with very little time left
-	ClockStep                    // the servers' wall clocks are set
-	DiscoverySlow                // every answer of discovery is on its way for long
-	CallFaults                   // system calls of mixers fail for moments
+	ReturnCold                   // servers crash and return under their IDs
+	HangServers                  // some servers accept parts and answer nothing
+	HangAll                      // all servers accept parts and answer nothing
+	ResetLinks                   // servers reset their connections repeatedly
+	CloseIdle                    // servers close connections that are idle for idleCloseAfter
+	SpoilAnswers                 // some answers are truncated, doubled or errors
+	DeafServers                  // some servers do not read from their connections
+	ClientsLeave                 // most clients close the connection before the answer
+	ClientsStall                 // clients stop in the middle of a request and stay connected
+	ClientsPipeline              // clients pipeline several requests on a connection
+	ClientsFlood                 // clients send malformed requests until buffers are full, reading no answer, then close
+	ClientsCrowd                 // clients connect and send nothing
+	ShortDeadlines               // half of the requests have deadlines of at most 60 ms
+	ClockStep                    // the servers' wall clocks are stepped
+	DiscoverySlow                // every answer of discovery is delayed
+	CallFaults                   // system calls of mixers fail for short times
 	kindCount
 )
 
@@ -48,7 +48,7 @@
 	"clients-leave", "clients-stall", "clients-pipeline", "clients-flood", "clients-crowd", "short-deadlines",
 	"clock-step", "discovery-slow", "call-faults"}
 
-// String is the kind's name in reports.
+// String returns the kind's name in reports.
 func (k Kind) String() string { return kindNames[k] }
 
 // KindByName returns the kind with a name, and whether there is one.
@@ -62,27 +62,27 @@
 	return Trouble{Kind: k, At: length / 3, Length: maxTroubleLength, Share: 0.5, Seed: seed}
 }
 
-// Trouble is one trouble of a run.
+// Trouble is one scheduled fault of a run.
 type Trouble struct {
 	Kind   Kind
-	At     time.Duration // from the start
+	At     time.Duration // from the start of the run
 	Length time.Duration
-	Share  float64 // share of mixers, servers or clients that it strikes
-	Seed   uint64  // of its own draws
+	Share  float64 // share of the mixers or servers that it affects
+	Seed   uint64  // of the random draws while it is injected
 }
 
-// String describes the trouble in a schedule.
+// String returns the trouble's line in a printed schedule.
 func (t Trouble) String() string {
 	return fmt.Sprintf("%6.2fs to %6.2fs %-18s of %.2f", t.At.Seconds(), (t.At + t.Length).Seconds(), t.Kind, t.Share)
 }
 
-// overlaps tells whether two troubles are there at one time.
+// overlaps reports whether two troubles are active at the same time.
 func (t Trouble) overlaps(o Trouble) bool { return t.At < o.At+o.Length && o.At < t.At+t.Length }
 
 const (
 	quietStart        = 3 * time.Second // before the first trouble
-	quietEnd          = 4 * time.Second // after the last one, in which all have to recover
-	lateTroublesShare = 0.2             // share of runs in which all troubles come late, after a long rest
+	quietEnd          = 4 * time.Second // after the last trouble, for recovery
+	lateTroublesShare = 0.2             // share of runs in which all troubles come in the second half, after a long quiet time
 	minTroubleLength  = 500 * time.Millisecond
 	maxTroubleLength  = 8 * time.Second
 	minTroubles       = 4
@@ -102,7 +102,7 @@
 	var list []Trouble
 	at := first
 	for range minTroubles + rng.IntN(maxExtraTroubles+1) {
-		// Two of three begin within a second of the one before.
+		// Two of three troubles begin within a second of the one drawn before.
 		if len(list) == 0 || rng.IntN(3) == 0 {
 			at = first + time.Duration(rng.Float64()*float64(room))
 		} else {
