--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxPause            = 140 * time.Millisecond // a mixer may be held up for 0.15 s
-	crashDetectionDelay = time.Second            // after a crash, until discovery knows
-	drainDuration       = 10 * time.Second       // for which a server that drains is still there
-	replacementDelay    = time.Second            // until its successor is there
-	maxTornWrite        = 300 * time.Millisecond // for which a configuration is half written
-	maxDiscoveryDelay   = 3 * time.Second        // for which an answer of discovery is on its way
-	maxCallFault        = 300 * time.Millisecond // for which system calls fail
+	maxPause            = 140 * time.Millisecond // below the 0.15 s for which a mixer may be held up
+	crashDetectionDelay = time.Second            // from a crash until discovery lists the server as left
+	drainDuration       = 10 * time.Second       // from the start of the replacement until a draining server ends
+	replacementDelay    = time.Second            // from the start of a drain until the replacement starts
+	maxTornWrite        = 300 * time.Millisecond // for which a configuration file stays half written
+	maxDiscoveryDelay   = 3 * time.Second        // delay of an answer of discovery
+	maxCallFault        = 300 * time.Millisecond // for which a system call fails
 )
 
-// player plays one trouble.
+// injector injects one trouble into the environment.
 type injector struct {
 	*environment
 	trouble Trouble
 	rng     *rand.Rand
 }
 
-// play waits for a trouble's time and plays it.
+// runTrouble waits until a trouble is due, injects it, and counts it as active until its end.
 func (env *environment) runTrouble(number int, t Trouble) {
 	time.Sleep(time.Until(env.startedAt.Add(t.At)))
 	env.record("", "trouble %d begins: %v", number, t)
@@ -45,6 +45,7 @@
 	env.record("", "trouble %d is over: %v", number, t.Kind)
 }
 
+// inject starts the trouble's effects. Some end by themselves, some in a task at the trouble's end.
 func (inj injector) inject() {
 	end := time.Now().Add(inj.trouble.Length)
 	switch inj.trouble.Kind {
@@ -64,7 +65,7 @@
 		inj.atEnd(func() { inj.catalog.SetDown(false) })
 	case DiscoverySilent:
 		inj.catalog.recordOutage(inj.trouble.Length)
-		inj.catalog.recordWatchSilence() // the watches that are open are silent from here on
+		inj.catalog.recordWatchSilence() // open watches get nothing from now on
 		inj.catalog.Hold(true)
 		inj.atEnd(func() { inj.catalog.Hold(false); inj.catalog.recordWatchSilence(); inj.catalog.Mute() })
 	case WatchesSilent:
@@ -78,7 +79,7 @@
 		inj.atEnd(func() { inj.catalog.SetFailing(0) })
 	case DiscoverySlow:
 		if inj.catalog.pushMode {
-			return // what an agent has counts as told at once; it is beside the mixer
+			return // in push mode the agent is local to the mixer and answers without delay
 		}
 		inj.catalog.SetSlow(time.Duration(inj.rng.Int64N(int64(maxDiscoveryDelay))))
 		inj.atEnd(func() { inj.catalog.SetSlow(0) })
@@ -124,33 +125,34 @@
 	}
 }
 
-// later runs something at the trouble's end.
+// atEnd calls fn after the trouble's length.
 func (inj injector) atEnd(fn func()) { inj.spawn(func() { time.Sleep(inj.trouble.Length); fn() }) }
 
-// somePlaces are the mixers' places that the trouble strikes.
+// affectedSlots draws the slots of the mixers that the trouble affects; each call draws anew.
 func (inj injector) affectedSlots() []*slot {
 	return drawAffected(inj, inj.slots)
 }
 
-// some draws the trouble's part of a list, one at the least.
+// drawAffected draws the trouble's share of a list, at least one element.
 func drawAffected[T any](inj injector, all []T) []T {
 	list := slices.Clone(all)
 	inj.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:max(1, int(inj.trouble.Share*float64(len(list))))]
 }
 
+// allServers returns a copy of the list of current servers.
 func (inj injector) allServers() []*server {
 	inj.mu.Lock()
 	defer inj.mu.Unlock()
 	return slices.Clone(inj.servers)
 }
 
-// someServers are the servers that the trouble strikes.
+// affectedServers draws the servers that the trouble affects; each call draws anew.
 func (inj injector) affectedServers() []*server {
 	return drawAffected(inj, inj.allServers())
 }
 
-// restart ends a mixer, in order or not, and starts it again.
+// restartMixer ends a mixer, by SIGTERM or SIGKILL depending on the kind of trouble, and starts it again.
 func (inj injector) restartMixer(s *slot) {
 	m := s.currentProcess()
 	if m == nil || m.hasEnded() {
@@ -162,10 +164,11 @@
 		m.kill(true)
 	}
 	if !inj.clientsStopping() {
-		_ = s.start() // a failure is noted
+		_ = s.start() // start records a failure as a violation
 	}
 }
 
+// pauseMixers stops and continues mixers one after the other until end.
 func (inj injector) pauseMixers(end time.Time) {
 	for time.Now().Before(end) {
 		for _, s := range inj.affectedSlots() {
@@ -179,7 +182,8 @@
 	}
 }
 
-// reload moves discovery to its other address, perhaps twice, perhaps back.
+// reloadMixer gives a mixer one to three new configurations, each with one of its two discovery addresses at
+// random, possibly the present one.
 func (inj injector) reloadMixer(s *slot) {
 	m := s.currentProcess()
 	if m == nil || m.hasEnded() {
@@ -189,7 +193,7 @@
 		if err := m.Configure(s.addresses[inj.rng.IntN(2)]); err != nil {
 			inj.record("", "%s: %v", m.name, err)
 		}
-		if inj.rng.IntN(4) == 0 { // the signal finds half of it
+		if inj.rng.IntN(4) == 0 { // the mixer reads a partly written file at SIGHUP
 			if err := m.Tear(time.Duration(inj.rng.Int64N(int64(maxTornWrite)))); err != nil {
 				inj.record("", "%s: %v", m.name, err)
 			}
@@ -200,7 +204,7 @@
 	}
 }
 
-// drain has a server drain and leave, and another take its place.
+// drainServer drains a server, starts its replacement, and ends the server.
 func (inj injector) drainServer(s *server) {
 	inj.record("", "server %s drains", s.id)
 	inj.catalog.announceDeparture(s.id, "leaving")
@@ -211,7 +215,7 @@
 	inj.catalog.announceDeparture(s.id, "left")
 }
 
-// crash ends a server at once. Another takes its place, or it comes back under its name.
+// crash ends a server at once. A replacement starts, or the server returns under its ID.
 func (inj injector) crash(s *server) {
 	inj.record("", "server %s crashes", s.id)
 	s.crash()
@@ -225,7 +229,7 @@
 	inj.replaceServer(s, "")
 }
 
-// replace starts a cold server of the same cell, under a name of its own if none is given.
+// replaceServer starts a cold server of the same cell in place of old. An empty name stands for a new one.
 func (inj injector) replaceServer(old *server, name string) {
 	again := name != ""
 	inj.mu.Lock()
@@ -235,7 +239,7 @@
 	}
 	inj.mu.Unlock()
 	if i < 0 || inj.clientsStopping() {
-		return // another trouble has replaced it
+		return // another trouble has replaced the server, or the run ends
 	}
 	s, err := inj.newServer(name, old.cell, true)
 	if err != nil {
@@ -254,7 +258,7 @@
 	}
 }
 
-// failCalls has system calls of mixers fail for moments.
+// failSystemCalls makes system calls of mixers fail with errors that the kernel may return, until end.
 func (inj injector) failSystemCalls(end time.Time) {
 	lists := map[uint32][]unix.Errno{
 		callfaults.Accept:  {unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
@@ -269,7 +273,7 @@
 			if m := s.currentProcess(); m != nil && !m.hasEnded() {
 				call := calls[inj.rng.IntN(len(calls))]
 				length := time.Duration(inj.rng.Int64N(int64(maxCallFault)))
-				if call == callfaults.Send { // an answer that can't be written for longer is late
+				if call == callfaults.Send { // a longer failure would delay answers beyond their deadlines
 					length /= 3
 				}
 				m.faults.Fail(call, length, lists[call]...)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	acceptAfterTerm  = 400 * time.Millisecond  // for which new connections come after SIGTERM
-	killAfter        = 3700 * time.Millisecond // after SIGTERM: the longest deadline, at most 3 s, and 0.7 s
-	excusedAfterTerm = 700 * time.Millisecond  // after SIGTERM: what comes later has to be answered before the kill
-	readyLimit       = 10 * time.Second
+	acceptAfterTerm  = 400 * time.Millisecond  // after SIGTERM: clients still open connections for this long
+	killAfter        = 3700 * time.Millisecond // after SIGTERM: the longest deadline of 3 s, and 0.7 s
+	excusedAfterTerm = 700 * time.Millisecond  // after SIGTERM: requests sent later have to be answered before the kill
+	readyLimit       = 10 * time.Second        // from the start of a process until it is ready
 	endTime          = 15 * time.Second
 )
 
-// slot is a mixer's place in the fleet, which one process after another fills.
+// slot is one member of the fleet; its successive processes run one at a time.
 type slot struct {
 	env       *environment
 	number    int
-	addresses [2]string // of discovery
+	addresses [2]string // of discovery; a configuration has one of them
 
 	mu         sync.Mutex
-	process    *process // nil: none is there
+	process    *process // the latest that became ready; nil before
 	startCount int
 }
 
-// process is one run of a mixer.
+// process is one process of a mixer.
 type process struct {
 	*standin.Mixer
 	env       *environment
@@ -43,15 +43,15 @@
 	faults    *callfaults.Process
 
 	mu             sync.Mutex
-	termSentAt     time.Time   // of SIGTERM
-	endedAt        time.Time   // of SIGKILL
-	killed         bool        // by us
-	killedOutright bool        // killed outright
-	auditSeen      bool        // its last line has come
-	reconfiguredAt []time.Time // when it got new configurations
+	termSentAt     time.Time   // when SIGTERM was sent; zero: not sent
+	endedAt        time.Time   // when SIGKILL was sent or the process ended; zero: it runs
+	killed         bool        // by SIGKILL, at once or after SIGTERM
+	killedOutright bool        // by SIGKILL without the wait of killAfter
+	auditSeen      bool        // the audit line was logged, the last one of an orderly end
+	reconfiguredAt []time.Time // times at which it got new configurations
 }
 
-// start starts a process in the slot and waits until it is ready.
+// start starts a process in the slot and waits until it is ready. A failure is also recorded as a violation.
 func (s *slot) start() error {
 	s.mu.Lock()
 	s.startCount++
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// takes is the process that takes new connections; nil: there is none.
+// acceptingProcess returns the process to which clients may open connections, or nil.
 func (s *slot) acceptingProcess() *process {
 	s.mu.Lock()
 	p := s.process
@@ -111,17 +111,17 @@
 	return p
 }
 
-// present is the process that is there, whatever it does; nil: there is none.
+// currentProcess returns the latest process that became ready, in whatever state, or nil.
 func (s *slot) currentProcess() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process
 }
 
-// discoveries are the addresses at which the process may ask.
+// discoveryAddresses returns the addresses of discovery that the process may be configured with.
 func (p *process) discoveryAddresses() []string { return p.slot.addresses[:] }
 
-// heard looks at each line of the log.
+// handleLogLine checks a line of the process's log for failed invariants, crashes and the final audit.
 func (p *process) handleLogLine(line []byte) {
 	text := string(line)
 	switch {
@@ -141,7 +141,7 @@
 	}
 }
 
-// watch notes how the process ends.
+// awaitExit waits for the end of the process and records a violation if it ended by itself or without its audit.
 func (p *process) awaitExit() {
 	err := <-p.Exit
 	p.mu.Lock()
@@ -163,15 +163,16 @@
 	p.mu.Unlock()
 }
 
+// lastLines joins at most the last 20 lines.
 func lastLines(lines []string) string { return strings.Join(lines[max(0, len(lines)-20):], "\n") }
 
-// term tells the process to end, and kills it when its time is over.
+// terminate sends SIGTERM, and SIGKILL if the process has not ended after killAfter.
 func (p *process) terminate() {
 	p.mu.Lock()
 	p.termSentAt = time.Now()
 	p.mu.Unlock()
 	p.env.record("", "%s is told to end", p.name)
-	_ = p.Cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = p.Cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 	for until := p.termSentAt.Add(killAfter); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if p.hasEnded() {
 			return
@@ -180,7 +181,7 @@
 	p.kill(false)
 }
 
-// shoot kills the process: outright, or at the end of its time.
+// kill sends SIGKILL unless the process has ended. Outright says that no killAfter was granted before.
 func (p *process) kill(outright bool) {
 	p.mu.Lock()
 	if !p.endedAt.IsZero() {
@@ -193,30 +194,30 @@
 	p.Kill()
 }
 
-// over tells whether the process has ended or was killed.
+// hasEnded reports whether the process has ended or was killed.
 func (p *process) hasEnded() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.endedAt.IsZero()
 }
 
-// shotDown tells whether it was killed, outright or when its time was over: what was open then has
-// not crossed a close of its own.
+// wasKilled reports whether SIGKILL was sent. Connections open at that time were cut by the kill, not closed by the
+// mixer while a request was under way to it.
 func (p *process) wasKilled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.killed
 }
 
-// mayRefuse tells whether the process may turn away connections: it ends.
+// mayRefuseConnections reports whether the process is ending or has ended, and so may refuse connections.
 func (p *process) mayRefuseConnections() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.termSentAt.IsZero() || !p.endedAt.IsZero() || p.env.hasEnded()
 }
 
-// excuses tells whether a request may have gone down with the process: that was killed outright,
-// or when its time was over and the request had come soon after it was told to end.
+// mayLose reports whether a request may be lost with the process. That holds if it was killed outright, or killed
+// after killAfter and the request was sent at most excusedAfterTerm after SIGTERM.
 func (p *process) mayLose(r *request) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +227,8 @@
 	return !p.termSentAt.IsZero() && !p.endedAt.IsZero() && p.endedAt.Sub(p.termSentAt) >= killAfter-tolerance && r.sentAt.Sub(p.termSentAt) <= excusedAfterTerm
 }
 
-// settled is from when on what was there at a moment counts as told, as far as new configurations go.
+// reconfiguredBy returns from, or, if a reconfiguration came less than reconfigurationGrace before it, the end of
+// that grace period: only then does a change known at from count as known to the process.
 func (p *process) reconfiguredBy(from time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,14 +240,14 @@
 	return from
 }
 
-// moved notes a new configuration.
+// recordReconfiguration records that the process gets a new configuration now.
 func (p *process) recordReconfiguration() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reconfiguredAt = append(p.reconfiguredAt, time.Now())
 }
 
-// signal sends a signal, if the process is there.
+// signal sends a signal unless the process has ended.
 func (p *process) signal(sig syscall.Signal) {
 	if !p.hasEnded() {
 		_ = p.Cmd.Process.Signal(sig) // it may have ended
--- a/internal/soak/request.go
+++ b/internal/soak/request.go
@@ -6,64 +6,64 @@
 	"time"
 )
 
-// tolerance is added to every limit in time that is measured from outside, for a machine that
-// runs many processes: the stand-ins may be as late to look as a mixer may be held up.
+// tolerance is added to every time limit that is measured outside of the mixer. On a machine that runs many
+// processes the stand-ins may be scheduled as late as a mixer.
 const tolerance = 150 * time.Millisecond
 
 const (
-	ruleSlack      = 50 * time.Millisecond  // the protocol adds it to every limit
-	deadlineSlack  = 150 * time.Millisecond // of the time that a server is told of
-	leaveSlack     = 100 * time.Millisecond // in which an attempt may still begin after a client left
-	answerSlack    = 500 * time.Millisecond // after its time, from when an answer counts as none
-	badClientLimit = 3 * time.Second        // by when a client that stops in the middle gets its error
+	ruleSlack      = 50 * time.Millisecond  // that the protocol adds to every limit
+	deadlineSlack  = 150 * time.Millisecond // of the time left that a part carries to its server
+	leaveSlack     = 100 * time.Millisecond // after a client left, in which attempts may still begin
+	answerSlack    = 500 * time.Millisecond // after the deadline; a later answer counts as lost
+	badClientLimit = 3 * time.Second        // by when a client that stops mid-request gets an error or a close
 )
 
-// effect is what a class says of repeats.
+// repeatPolicy says whether parts of a class of requests may be repeated.
 type repeatPolicy int
 
 const (
-	repeatable repeatPolicy = iota
-	keyed
-	once
+	repeatable repeatPolicy = iota // always
+	keyed                          // within the class's dedupWindow
+	once                           // never, if the first attempt may have run
 )
 
 // class is a class of requests.
 type class struct {
 	name         string
 	repeatPolicy repeatPolicy
-	dedupWindow  time.Duration // keyed: in which servers drop a repeat
+	dedupWindow  time.Duration // keyed: for which servers drop repeats
 }
 
 var classes = []class{{"lookup", repeatable, 0}, {"booking", keyed, 800 * time.Millisecond}, {"once", once, 0}}
 
-// request is a request of a client's, and all that became of it.
+// request is a client's request and what was observed of it.
 type request struct {
 	id       string
 	class    class
 	shards   []int
 	deadline time.Duration
-	process  *process // that it was sent to
+	process  *process // to which it was sent
 	sentAt   time.Time
 
 	mu       sync.Mutex
-	left     time.Time // when its client left; zero: it did not
-	status   int       // of its answer; 0: none
+	left     time.Time // when its client closed the connection; zero: it did not
+	status   int       // HTTP status of its answer; 0: no answer
 	arrivals []*arrival
 }
 
-// arrival is a part as it reached a server.
+// arrival is one attempt of a part, as received by a server.
 type arrival struct {
 	server   *server
 	id       string
 	shard    int
 	text     string
-	told     time.Duration // how long the server was told that it is waited for
-	at       time.Time     // when its first byte came
-	delayed  bool          // it lay unread for a while
-	rejected bool          // it was turned away, and never ran
+	told     time.Duration // time left, as the attempt says
+	at       time.Time     // when its first byte was read
+	delayed  bool          // the server was not reading, so the time of sending is unknown
+	rejected bool          // it was rejected and did not run
 }
 
-// arrived checks a part at the moment in which it reaches a server.
+// recordArrival checks an attempt when it reaches a server, and adds it to its request.
 func (env *environment) recordArrival(a *arrival) {
 	id, _, _ := strings.Cut(a.id, ".")
 	env.mu.Lock()
@@ -81,10 +81,10 @@
 	defer r.mu.Unlock()
 	env.checkRepeat(r, a)
 	r.arrivals = append(r.arrivals, a)
-	if a.delayed { // it was not read when it came: when it was sent is not known
+	if a.delayed { // the time of sending is unknown
 		return
 	}
-	// The time may have passed a server that is held up by the machine; it is not the mixer's.
+	// A server that the machine holds up may read late; that time is not the mixer's, hence the tolerance.
 	if left := r.deadline - a.at.Sub(r.sentAt); a.told > left+deadlineSlack+tolerance {
 		env.recordViolation("deadline", id, "server %s was told %v, the client has %v", a.server.id, a.told, left)
 	}
@@ -97,7 +97,7 @@
 	env.checkSlowStart(a)
 }
 
-// checkRepeat checks a part against those before it. The caller holds r.mu.
+// checkRepeat checks an attempt against earlier ones of the same part. The caller holds r.mu.
 func (env *environment) checkRepeat(r *request, a *arrival) {
 	attempts := 0
 	for _, b := range r.arrivals {
@@ -117,10 +117,11 @@
 	}
 }
 
-// checkCold counts what a server gets that has just started.
+// checkSlowStart checks that a server that has just started gets no more parts within coldWindow than
+// maxColdParts.
 func (env *environment) checkSlowStart(a *arrival) {
 	if env.activeKinds()[ClientsPipeline] {
-		return // there is more to do than the mean that servers are taken to bear
+		return // pipelined requests exceed the mean rate from which the limit is computed
 	}
 	s := a.server
 	s.mu.Lock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// answered checks a request's final answer.
+// recordAnswer checks a request's final answer and counts its outcome.
 func (env *environment) recordAnswer(r *request, status int, body string) {
 	took := time.Since(r.sentAt)
 	r.mu.Lock()
@@ -166,7 +167,8 @@
 	}
 }
 
-// settle checks, once all is over, what can be told only then.
+// checkRefusal checks, at the end of the run, that no part of a refused request may have run, unless its class is
+// repeatable. Parts may arrive after the answer, so the check has to wait until then.
 func (env *environment) checkRefusal(r *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
