--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,6 @@
-// Command benchlink runs many instances of the decision module on the
-// simulator's wire: one batch in, one reply out, until the input ends.
+// Command benchlink connects instances of the decision module to the simulator. It reads
+// batches of the line protocol of package wire from standard input and writes one reply per
+// batch to standard output, until the input ends. A malformed batch ends it with exit code 1.
 package main
 
 import (
@@ -19,6 +20,8 @@
 	}
 }
 
+// run answers the batches of in until its end. It returns the first error of decoding,
+// executing or encoding.
 func run(in io.Reader, out io.Writer) error {
 	decoder, encoder := wire.NewDecoder(in), wire.NewEncoder(out)
 	modules := map[int]*decide.StateMachine{}
@@ -39,8 +42,9 @@
 	}
 }
 
-// step hands each instance all its events of the batch at once, instances in
-// the order in which they first appear.
+// stepInstances creates and destroys instances as the batch says, then steps each running
+// instance once with all its events of the batch and writes its actions. Instances are stepped
+// in the order in which the batch first names them.
 func stepInstances(modules map[int]*decide.StateMachine, batch wire.Batch, encoder *wire.Encoder) error {
 	events := map[int][]decide.Event{}
 	var order []int
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// buildBenchlink compiles the command and returns the path of the binary.
 func buildBenchlink(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "benchlink")
@@ -42,7 +43,7 @@
 		t.Fatalf("replies %q, want three, the first empty", replies)
 	}
 	if !strings.HasPrefix(replies[1], "PLACE\t4\t00000000000000a1\ts:1\t") || strings.Contains(replies[1], "\t2\t0000") {
-		t.Errorf("second reply %q, want one send, none of the instance that was killed", replies[1])
+		t.Errorf("second reply %q, want one send, none of the instance that was destroyed", replies[1])
 	}
 	if !strings.HasPrefix(replies[2], "ANSWER\t4\t00000000000000a0\t1\n") {
 		t.Errorf("third reply %q, want the answer", replies[2])
