--- a/cmd/loft/faults.go
+++ b/cmd/loft/faults.go
@@ -16,21 +16,21 @@
 	"kiteloft/internal/standin/faults"
 )
 
-// faultsReportCmd draws a run of mixers under faults.
+// faultsReportCmd writes an HTML page on a run of mixers under injected faults.
 type faultsReportCmd struct {
 	File string `arg:"" type:"existingfile" help:"A run's record, as the tests leave it where KITELOFT_KEEP names a folder."`
 	Out  string `short:"o" default:"faults.html" type:"path" help:"The page's file."`
 }
 
-// span of time in which one mixer held one member for the same.
+// stateInterval is an interval of a run, counted from its start, during which a state did not change.
 type stateInterval struct {
 	from, to time.Duration
 	state    string
 }
 
-// views turns a run's changes into what each mixer held of each member, and when. What
-// stands in the first change's From held before it; nothing is drawn of members of whom a
-// mixer never said anything.
+// observedStates returns the intervals during which each mixer saw each member in one state.
+// The key is the observing mixer and the member. Before the first change, the member was in
+// that change's From state. Pairs without any change have no entry and are not drawn.
 func observedStates(r faults.Run) map[[2]string][]stateInterval {
 	out := map[[2]string][]stateInterval{}
 	for _, c := range r.Changes {
@@ -55,14 +55,15 @@
 	return out
 }
 
-// downs are the spans in which each mixer did not run, or stood still.
+// downIntervals returns, for each mixer by index, the intervals in which its process did not run
+// or was paused.
 func downIntervals(r faults.Run) (list [][]stateInterval) {
 	list = make([][]stateInterval, len(r.Mixers))
 	since := make([]time.Duration, len(r.Mixers))
 	dead := make([]bool, len(r.Mixers))
 	for _, m := range r.Moments {
 		if m.Mixer < 0 || m.Mixer >= len(list) {
-			continue // a record that was written by hand
+			continue // such an index occurs only in a record written by hand
 		}
 		switch m.Do {
 		case faults.Kill, faults.End:
@@ -84,14 +85,16 @@
 	return list
 }
 
+// stateColors maps the states of members, and of mixers that are down or paused, to colors.
 var stateColors = map[string]color.Color{
 	"alive": color.NRGBA{R: 0x9c, G: 0xc8, B: 0xa4, A: 0xff}, "doubted": color.NRGBA{R: 0xf0, G: 0xb0, B: 0x30, A: 0xff},
 	"gone": color.NRGBA{R: 0xc0, G: 0x30, B: 0x28, A: 0xff}, "left": color.NRGBA{R: 0x60, G: 0x70, B: 0xc0, A: 0xff},
 	"not there": color.NRGBA{A: 0xc0}, "stands still": color.NRGBA{A: 0x60},
 }
 
-// drawRun draws a band for each mixer, a line in it for each member, and over each band
-// when its mixer was not there or stood still.
+// plotRun draws a band for each mixer with one line per member, colored by the state in which
+// the mixer saw that member. Times at which the mixer was down or paused are shaded over its
+// band; dashed lines mark changes of link faults.
 func plotRun(r faults.Run) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds from the start"
@@ -142,7 +145,7 @@
 	return renderSVGSized("What each mixer held of each other one", p, plotWidth, vg.Length(max(9, 2*n))*vg.Centimeter)
 }
 
-// Run writes the page.
+// Run implements the command faults report.
 func (c *faultsReportCmd) Run(out io.Writer) error {
 	r, err := faults.Read(c.File)
 	if err != nil {
@@ -163,7 +166,8 @@
 	return nil
 }
 
-// tally counts, by mixer, how often it held any other one for what.
+// countViews counts, by mixer, how often it came to see other members as doubted or gone, and
+// how often it considered itself cut off.
 func countViews(r faults.Run) (rows []viewCounts) {
 	for _, by := range r.Mixers {
 		row := viewCounts{By: by}
@@ -183,6 +187,7 @@
 	return rows
 }
 
+// viewCounts is a row of the page's table. The template reads its fields by name.
 type viewCounts struct {
 	By                    string
 	Doubted, Gone, CutOff int
--- a/cmd/loft/faults_test.go
+++ b/cmd/loft/faults_test.go
@@ -12,6 +12,8 @@
 	"kiteloft/internal/standin/faults"
 )
 
+// threeMixerRun is a run of 10 s in which n1 is paused, n2 is killed and the links from n0 get
+// faults.
 func threeMixerRun() faults.Run {
 	s := time.Second
 	return faults.Run{Mixers: []string{"n0", "n1", "n2"}, Length: 10 * s,
@@ -53,6 +55,6 @@
 		t.Fatal(err)
 	}
 	if code, _, errOut := runLoft(t, "faults", "report", path, "-o", page); code != exitUsage || !strings.Contains(errOut, "run.json") {
-		t.Errorf("a spoilt record: %d, %s", code, errOut)
+		t.Errorf("a truncated record: %d, %s", code, errOut)
 	}
 }
--- a/cmd/loft/fleet.go
+++ b/cmd/loft/fleet.go
@@ -17,39 +17,42 @@
 	kinds "kiteloft/internal/counts"
 )
 
-// fleetCmd adds up what many mixers counted.
+// fleetCmd sums the counts in the logs of many mixers, by second.
 type fleetCmd struct {
 	Dir  string   `arg:"" type:"existingdir" help:"Folder with the mixers' logs, one file a mixer (*.log)."`
 	Kind []string `help:"Counts to show, by name, in place of the usual ones." placeholder:"NAME"`
 }
 
-// usualCounts are the columns where none are asked for.
+// defaultCounts are the columns that are shown if the command line names none.
 var defaultCounts = []kinds.Kind{kinds.Taken, kinds.Served, kinds.Short, kinds.RefusedTargetUnreachable, kinds.RefusedPartUnavailable,
 	kinds.RefusedTimeExpired, kinds.Failed, kinds.ByOffset, kinds.OffsetAvoided, kinds.NextBestHolder, kinds.LateCopy, kinds.ForcedCopy,
 	kinds.SentToWarmingNode, kinds.OK, kinds.Full, kinds.TimedOut, kinds.ConnectFailed, kinds.ConnectionsDialed, kinds.OpenConnections,
 	kinds.Probes, kinds.DirectoryCalls, kinds.DirectoryFailed, kinds.ListBytes, kinds.ListAgeMillis, kinds.TimerLagMicros,
 	kinds.CPUMicros}
 
-// mostLine is the longest line of a log that is looked at.
+// maxLineBytes is the length of the longest log line that can be read; a longer one is an error.
 const maxLineBytes = 1 << 20
 
-// fleet is the sum over mixers, by second.
+// countSums holds the counts summed over all mixers, by second of the Unix time.
 type countSums struct {
 	seconds   map[int64]*secondSum
-	malformed int // lines that say they are counts and can't be read
+	malformed int // lines of counts that could not be parsed
 }
 
+// secondSum is the sum of the lines of counts that were written in one second.
 type secondSum struct {
 	sum    kinds.Set
-	mixers int // that wrote a line for it
+	mixers int // mixers that wrote a line of counts in it
 }
 
+// readLog adds the lines of counts of one mixer's log. Other lines are skipped; malformed lines
+// of counts are only counted.
 func (f *countSums) readLog(r io.Reader) error {
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		line := in.Bytes()
-		start := bytes.IndexByte(line, '{') // whoever keeps the log may write a time before it
+		start := bytes.IndexByte(line, '{') // log collectors may write a time before the object
 		if start < 0 || !bytes.Contains(line, []byte(`"message":"counts"`)) {
 			continue
 		}
@@ -81,7 +84,8 @@
 	return in.Err()
 }
 
-// Run prints a line a second: sums over all mixers, peaks as the most of any.
+// Run prints one line per second. Counts that are peaks show the maximum over all mixers, other
+// counts the sum.
 func (c *fleetCmd) Run(out io.Writer) error {
 	columns := defaultCounts
 	if len(c.Kind) > 0 {
@@ -126,6 +130,7 @@
 	return nil
 }
 
+// writeTable prints one line per second, with the time counted from the first one.
 func (f *countSums) writeTable(out io.Writer, columns []kinds.Kind) {
 	order := slices.Sorted(maps.Keys(f.seconds))
 	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)
@@ -142,5 +147,5 @@
 		}
 		fmt.Fprintln(t)
 	}
-	_ = t.Flush() // to a pipe that nobody reads, as any print
+	_ = t.Flush() // fails only if the output is closed; like fmt.Fprint, not checked
 }
--- a/cmd/loft/loft_test.go
+++ b/cmd/loft/loft_test.go
@@ -18,8 +18,8 @@
 
 const ms = time.Millisecond
 
-// traces writes a directory of segments: quick queries at s-1, and some that waited
-// for s-2 to stand still, the worst of them retried.
+// writeTraces writes a directory with a segment of 40 queries: fast ones at s-1, and every tenth
+// one slow at s-2. Each two queries share a trace.
 func writeTraces(t *testing.T, lost ...tracing.Loss) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -57,6 +57,7 @@
 	return dir
 }
 
+// runLoft runs the command in this process.
 func runLoft(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var o, e strings.Builder
@@ -71,8 +72,8 @@
 		name string
 		args string
 		code int
-		want []string // in this order in what is printed
-		not  string
+		want []string // expected in the output in this order
+		not  string   // must not be in the output
 	}{
 		{name: "help", args: "--help", want: []string{"trace slowest", "trace report"}},
 		{name: "list", args: "trace list -d DIR --limit 3", want: []string{"q37", "q38", "q39"}, not: "q36"},
@@ -140,7 +141,8 @@
 	}
 }
 
-// TestDamagedFilesAreReadAsFarAsTheyGo cuts one segment and spoils another.
+// TestDamagedFilesAreReadUpToDamage truncates one segment and changes a byte of another. Traces
+// from the intact file must still be shown, and the damaged files be named.
 func TestDamagedFilesAreReadUpToDamage(t *testing.T) {
 	good, cut, corrupt := writeTraces(t), writeTraces(t), writeTraces(t)
 	change := func(dir string, fn func([]byte) []byte) string {
@@ -169,12 +171,13 @@
 		}
 	}
 	if code, _, _ := runLoft(t, "trace", "list", "-d", cut); code != exitDamaged {
-		t.Errorf("exit code %d with nothing but a cut file", code)
+		t.Errorf("exit code %d with nothing but a truncated file", code)
 	}
 }
 
-// TestFleetAddsUpMixers: sums over mixers and peaks as the greatest, by second; logs with
-// a time before each line, other lines between, one that is cut off.
+// TestFleetSumsCountsOfMixers reads logs that have a time before each line, lines of other kinds
+// and a truncated line of counts. Counts must be summed over the mixers by second, and the
+// truncated line be reported.
 func TestFleetSumsCountsOfMixers(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -201,7 +204,7 @@
 		t.Errorf("table (-want +got):\n%s", diff)
 	}
 	if code, _, errOut := runLoft(t, "fleet", dir, "--kind", "nonsense"); code != exitUsage || !strings.Contains(errOut, "nonsense") {
-		t.Errorf("a count that is none: exit code %d, %q", code, errOut)
+		t.Errorf("unknown count: exit code %d, %q", code, errOut)
 	}
 	if code, _, _ := runLoft(t, "fleet", t.TempDir()); code != exitNoMatch {
 		t.Errorf("a folder without logs: exit code %d", code)
--- a/cmd/loft/main.go
+++ b/cmd/loft/main.go
@@ -1,5 +1,6 @@
-// Command loft is the operators' tool: it reads what mixers leave behind and says
-// where the time went.
+// Command loft is the operators' tool. It reads the traces, logs and fault records that mixers
+// leave. It asks the members of a fleet for their view of the members, the settings and the
+// zones, and has the fleet change its settings, its voters and what it sends to a zone.
 package main
 
 import (
@@ -15,14 +16,15 @@
 // Exit codes.
 const (
 	exitOK      = 0
-	exitNoMatch = 1 // nothing fits what was asked for
-	exitUsage   = 2
-	exitDamaged = 3 // a file is cut or corrupt; what could be read was shown
+	exitNoMatch = 1 // nothing matches the request
+	exitUsage   = 2 // wrong command line, or any other error
+	exitDamaged = 3 // a file is truncated or corrupt; what could be read was shown
 )
 
+// errNoMatch says that nothing matches the request; the exit code is then exitNoMatch.
 var errNoMatch = errors.New("nothing fits")
 
-// cli is the command line.
+// cli declares the commands; kong derives their names and flags from its fields.
 type cli struct {
 	Trace struct {
 		List    listCmd    `cmd:"" help:"List traces, one a line."`
@@ -62,7 +64,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run is the program; it returns its exit code.
+// run executes one command line and returns the exit code.
 func run(args []string, out, errOut io.Writer) (code int) {
 	var c cli
 	exitCode := -1
@@ -74,7 +76,7 @@
 	}
 	kongplete.Complete(parser, kongplete.WithPredictor("dir", directoryPredictor{}))
 	ctx, err := parser.Parse(args)
-	if exitCode >= 0 { // help was asked for
+	if exitCode >= 0 { // kong printed the help text and asked to exit
 		return exitCode
 	}
 	if err != nil {
--- a/cmd/loft/members.go
+++ b/cmd/loft/members.go
@@ -12,7 +12,7 @@
 	"kiteloft/internal/fleet/link"
 )
 
-// membersCmd shows a mixer's view of its fleet.
+// membersCmd shows the membership of a fleet as one mixer sees it.
 type membersCmd struct {
 	Address string        `arg:"" help:"Where a mixer listens for the others (fleet.listen)."`
 	Fleet   string        `required:"" help:"Name of the fleet."`
@@ -21,7 +21,7 @@
 	Wait    time.Duration `default:"2s" help:"For an answer."`
 }
 
-// Run implements a command.
+// Run implements the command members.
 func (c membersCmd) Run(out io.Writer) error {
 	keys, err := link.ReadKeys(c.KeyFile)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return w.Flush()
 }
 
-// lines writes one object a line.
+// writeJSONLines writes each element of the list as JSON on a line of its own.
 func writeJSONLines[T any](out io.Writer, list []T) error {
 	for _, x := range list {
 		text, err := jsoniter.Marshal(x)
--- a/cmd/loft/read.go
+++ b/cmd/loft/read.go
@@ -16,7 +16,8 @@
 	"kiteloft/internal/tracing"
 )
 
-// source is where traces are read from, and which.
+// traceSource holds the flags that say which files traces are read from and which traces are
+// selected.
 type traceSource struct {
 	Dir   []string      `name:"dir" short:"d" required:"" predictor:"dir" help:"Directory of segment files, or one file; may be given for each mixer."`
 	Class string        `help:"Only queries of this class."`
@@ -25,20 +26,21 @@
 	Since time.Duration `help:"Only queries that began at most so long before the latest one."`
 }
 
-// damaged are the files that could not be read whole.
+// damagedFiles is the error of files that could be read only in part.
 type damagedFiles struct{ list []*segments.DamageError }
 
 func (d *damagedFiles) Error() string { return fmt.Sprintf("%d damaged files", len(d.list)) }
 
-// found is what was read.
+// traceSet holds the selected traces.
 type traceSet struct {
-	traces     []*otlp.Trace // by when they began
-	losses     []otlp.Lost
-	straySpans int
-	damage     error // *damaged, or nil
+	traces     []*otlp.Trace // ordered by begin
+	losses     []otlp.Lost   // traces that the mixers report as not stored
+	straySpans int           // spans without a root, or not written by kiteloft
+	damage     error         // *damagedFiles, or nil
 }
 
-// read reads all that fits. Files that are damaged are read as far as they can be.
+// read reads the selected traces. A damaged file is read up to the damage and listed in the
+// result's damage; other errors end the reading.
 func (s *traceSource) read() (f traceSet, err error) {
 	var bad damagedFiles
 	for _, dir := range s.Dir {
@@ -73,10 +75,13 @@
 	return f, nil
 }
 
+// addMessage adds the content of one message of a segment file; see otlp.ReadSegment.
 func (f *traceSet) addMessage(list []*otlp.Trace, losses []otlp.Lost, straySpans int) {
 	f.traces, f.losses, f.straySpans = append(f.traces, list...), append(f.losses, losses...), f.straySpans+straySpans
 }
 
+// matches reports whether the flags select t. Latest is when the latest trace began, from which
+// Since counts back.
 func (s *traceSource) matches(t *otlp.Trace, latest time.Time) bool {
 	return (s.Class == "" || t.Class == s.Class) &&
 		(s.Since == 0 || latest.Sub(t.At) <= s.Since) &&
@@ -84,16 +89,17 @@
 		(s.Node == "" || slices.ContainsFunc(t.Attempts, func(a tracing.Attempt) bool { return a.Node == s.Node }))
 }
 
-// over is by how much a query was over its wanted time; one that was not served at
-// all counts until its end.
+// overTarget returns by how much a query exceeded its latency target, or 0. A query that was not
+// served counts until its end.
 func overTarget(t *otlp.Trace) time.Duration { return max(0, t.End-t.TargetTime) }
 
-// bySlowness puts what was furthest over its time first.
+// slowestFirst compares queries so that the one furthest over its latency target sorts first.
 func slowestFirst(a, b *otlp.Trace) int {
 	return cmp.Or(cmp.Compare(overTarget(b), overTarget(a)), cmp.Compare(b.End, a.End), a.At.Compare(b.At))
 }
 
-// byID finds the queries of a trace, by its id, the beginning of it, or a query's id.
+// findByID returns the queries of a trace. The id, in upper or lower case, is the trace's, a
+// prefix of it with at least 4 digits, or that of one of its queries.
 func (f *traceSet) findByID(id string) (list []*otlp.Trace) {
 	id = strings.ToLower(id)
 	for _, t := range f.traces {
@@ -110,7 +116,7 @@
 	return list
 }
 
-// dirs completes directories.
+// directoryPredictor completes names of directories in the shell.
 type directoryPredictor struct{}
 
 // Predict implements complete.Predictor.
--- a/cmd/loft/report.go
+++ b/cmd/loft/report.go
@@ -24,20 +24,21 @@
 const (
 	plotWidth       = 22 * vg.Centimeter
 	plotHeight      = 9 * vg.Centimeter
-	maxPlottedNodes = 14 // nodes in a plot
+	maxPlottedNodes = 14 // nodes shown in one plot
 )
 
+// reportCmd writes an HTML page on traces.
 type reportCmd struct {
 	traceSource
 	Out     string `short:"o" default:"traces.html" type:"path" help:"The page's file."`
 	Slowest int    `default:"15" help:"How many of the slowest queries are shown whole."`
 }
 
-// page is what the template fills in.
+// reportData is the input of pageTemplate, which reads its fields by name.
 type reportData struct {
 	From, To string
 	Queries  int
-	Standing string // how many queries they stand for
+	Standing string // how many queries the sampled ones represent
 	Ended    []namedCount
 	Kept     []namedCount
 	Plots    []figure
@@ -47,26 +48,31 @@
 	Damage   string
 }
 
+// namedCount is a number of queries that have Name in common.
 type namedCount struct {
 	Name string
 	N    int
 }
 
+// figure is a plot with its title.
 type figure struct {
 	Title string
 	SVG   template.HTML // drawn by the plot library from numbers and escaped names
 }
 
+// costTable is a table of costs; By says what they are summed by.
 type costTable struct {
 	By   string
 	Rows []costRow
 }
 
+// costRow is a costSummary as text.
 type costRow struct{ Name, Over, Share, Queries, Attempts, Failed, P50, P99 string }
 
+// slowQuery is a query that is shown as a waterfall.
 type slowQuery struct{ Title, Waterfall string }
 
-// Run writes the page.
+// Run implements the command trace report.
 func (c *reportCmd) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -90,8 +96,8 @@
 	return f.damage
 }
 
-// writeWhole writes a page whole or not at all: one that is cut would pass for one without
-// bad news.
+// writeFileAtomically writes a page through a temporary file and a rename. A reader could not tell
+// a truncated page from one that has no bad results to show.
 func writeFileAtomically(path string, text []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".loft-*")
 	if err != nil {
@@ -107,6 +113,8 @@
 	return err
 }
 
+// newReportData prepares the page. Its last section shows the slowest queries, as many as slowest
+// says. F holds at least one trace.
 func newReportData(f traceSet, slowest int) (*reportData, error) {
 	list := f.traces
 	represented := 0.0
@@ -152,6 +160,7 @@
 	return p, nil
 }
 
+// sortedCounts returns the counts in descending order, equal ones by name.
 func sortedCounts(m map[string]int) (list []namedCount) {
 	for name, n := range m {
 		list = append(list, namedCount{name, n})
@@ -160,6 +169,7 @@
 	return list
 }
 
+// newCostTable sums the costs of the queries by node, zone, cause or class.
 func newCostTable(list []*otlp.Trace, by string) costTable {
 	rows, total := summarizeCosts(list, by)
 	t := costTable{By: by}
@@ -175,7 +185,7 @@
 	red  = color.NRGBA{R: 0xc0, G: 0x30, B: 0x28, A: 0xd0}
 )
 
-// timeline is each query's time, by when it began.
+// plotDurations plots the duration of each query over the time at which it began.
 func plotDurations(list []*otlp.Trace) (figure, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds from the first", "ms"
@@ -209,7 +219,8 @@
 	return renderSVG("How long queries took", p)
 }
 
-// overByNode is the time over wanted that each node is charged for.
+// plotOverTargetByNode plots the time over the latency target that each node is charged for, for
+// the maxPlottedNodes nodes with the most.
 func plotOverTargetByNode(list []*otlp.Trace) (figure, error) {
 	rows, _ := summarizeCosts(list, "node")
 	p := plot.New()
@@ -231,7 +242,8 @@
 	return renderSVG("Time over wanted, by node", p)
 }
 
-// timesByNode is how long answered attempts took at each node.
+// plotDurationsByNode plots the distribution of the durations of answered attempts by node, for
+// those maxPlottedNodes nodes with answered attempts that cost the most.
 func plotDurationsByNode(list []*otlp.Trace) (figure, error) {
 	times := map[string]plotter.Values{}
 	for _, t := range list {
@@ -262,10 +274,12 @@
 	return renderSVG("How long nodes took to answer", p)
 }
 
+// renderSVG renders a plot in the usual size.
 func renderSVG(title string, p *plot.Plot) (figure, error) {
 	return renderSVGSized(title, p, plotWidth, plotHeight)
 }
 
+// renderSVGSized renders a plot as an SVG element that can be embedded in HTML.
 func renderSVGSized(title string, p *plot.Plot, width, height vg.Length) (figure, error) {
 	w, err := p.WriterTo(width, height, "svg")
 	if err != nil {
@@ -276,7 +290,7 @@
 		return figure{}, err
 	}
 	s := b.String()
-	if i := strings.Index(s, "<svg"); i > 0 { // without the head of a file of its own
+	if i := strings.Index(s, "<svg"); i > 0 { // drop the XML header of a stand-alone file
 		s = s[i:]
 	}
 	return figure{title, template.HTML(s)}, nil
--- a/cmd/loft/settings.go
+++ b/cmd/loft/settings.go
@@ -27,7 +27,7 @@
 	"kiteloft/internal/settings"
 )
 
-// member is a mixer that is asked.
+// fleetMember holds the flags that name a mixer of a fleet and how to reach it.
 type fleetMember struct {
 	Address string        `arg:"" help:"Where a mixer listens for the others (fleet.listen); any of them."`
 	Fleet   string        `required:"" help:"Name of the fleet."`
@@ -35,7 +35,9 @@
 	Wait    time.Duration `default:"8s" help:"For an answer."`
 }
 
-// ask asks a mixer. The error of an answer is an error.
+// sendRequest sends a request to the mixer and returns its response. A response that reports an
+// error is returned with that error. Only mixers without fleet.accord answer without a lease
+// duration.
 func (m fleetMember) sendRequest(request accord.Request) (response accord.Response, err error) {
 	keys, err := link.ReadKeys(m.KeyFile)
 	if err != nil {
@@ -58,25 +60,30 @@
 	return response, nil
 }
 
-// evaluate turns a Jsonnet file into the document that mixers take, in one form.
+// evaluateDocument evaluates a Jsonnet file to the JSON document that mixers take. Keys are
+// sorted, so that equal documents have equal texts.
 func evaluateDocument(path string) (string, error) {
 	vm := jsonnet.MakeVM()
 	vm.Importer(&jsonnet.FileImporter{JPaths: []string{filepath.Dir(path)}})
 	text, err := vm.EvaluateFile(path)
 	if err != nil {
-		return "", err // it names file, line and column
+		return "", err // its text names file, line and column
 	}
 	var doc map[string]any
 	if err := stdjson.Unmarshal([]byte(text), &doc); err != nil {
 		return "", fmt.Errorf("%s: want an object: %w", path, err)
 	}
-	out, err := stdjson.Marshal(doc) // keys in order
+	out, err := stdjson.Marshal(doc) // Marshal sorts the keys
 	return string(out), err
 }
 
+// errorKeyPattern matches the key at the beginning of an error on a document: its first group is
+// the outer key, the second the inner key, if any.
 var errorKeyPattern = regexp.MustCompile(`^([a-z_]+)(?:\.([^:]+)|\[\d+\])?:`)
 
-// placed adds to an error on a key of a document the line of the file that names it.
+// withLineNumbers prefixes each line of an error on a document with the file and, if the line
+// begins with a key that the file names, the number of that line in the file. If the file cannot
+// be read, err is returned unchanged.
 func withLineNumbers(path string, err error) error {
 	source, e := os.ReadFile(path)
 	if err == nil || e != nil {
@@ -86,7 +93,7 @@
 	for _, line := range strings.Split(err.Error(), "\n") {
 		location := path
 		if m := errorKeyPattern.FindStringSubmatch(line); m != nil {
-			for _, key := range []string{m[2], m[1]} { // the inner one is nearer
+			for _, key := range []string{m[2], m[1]} { // the inner key is the more exact place
 				if i := lineOfKey(source, key); i > 0 {
 					location = fmt.Sprintf("%s:%d", path, i)
 					break
@@ -98,7 +105,7 @@
 	return errors.Join(list...)
 }
 
-// keyAt is the line on which a key stands as such; 0: none does.
+// lineOfKey returns the number of the first line on which key occurs as a key, or 0.
 func lineOfKey(source []byte, key string) int {
 	if key == "" {
 		return 0
@@ -110,7 +117,7 @@
 	return 1 + bytes.Count(source[:at[1]], []byte("\n"))
 }
 
-// mixerSettings reads the settings of a mixer's configuration file.
+// mixerSettings reads the settings in a mixer's configuration file.
 func mixerSettings(path string) (s settings.Settings, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -125,7 +132,8 @@
 	return settings.Parse(file.Settings)
 }
 
-// checked evaluates a document and checks it as a mixer with these settings would.
+// checkDocument evaluates the document in file and checks it as a mixer with the configuration
+// file conf would. Errors on a key name the line of the document.
 func checkDocument(file, conf string) (text string, rules version.Rules, set settings.Settings, err error) {
 	if text, err = evaluateDocument(file); err != nil {
 		return
@@ -137,12 +145,13 @@
 	return text, rules, set, withLineNumbers(file, err)
 }
 
+// settingsCheckCmd checks a document without asking the fleet.
 type settingsCheckCmd struct {
 	File   string `arg:"" type:"existingfile" help:"The document, in Jsonnet."`
 	Config string `required:"" type:"existingfile" help:"A mixer's configuration file, with the settings that the document lies over."`
 }
 
-// Run implements a command.
+// Run implements the command settings check.
 func (c settingsCheckCmd) Run(out io.Writer) error {
 	text, _, _, err := checkDocument(c.File, c.Config)
 	if err != nil {
@@ -152,13 +161,14 @@
 	return nil
 }
 
+// settingsDiffCmd compares a document with the version in force.
 type settingsDiffCmd struct {
 	File   string      `arg:"" type:"existingfile" help:"The document, in Jsonnet."`
 	Member fleetMember `embed:""`
 	Config string      `type:"existingfile" required:"" help:"A mixer's configuration file."`
 }
 
-// Run implements a command.
+// Run implements the command settings diff.
 func (c settingsDiffCmd) Run(out io.Writer) error {
 	text, next, set, err := checkDocument(c.File, c.Config)
 	if err != nil {
@@ -191,9 +201,11 @@
 	return nil
 }
 
+// difference is a key with its values in two documents.
 type difference struct{ key, old, next string }
 
-// differences are the keys in which two documents differ.
+// differences returns the keys in which two documents differ, sorted; keys of inner objects are
+// written as outer.inner. An empty or malformed document counts as one without keys.
 func differences(old, next string) (list []difference) {
 	flatten := func(text string) map[string]string {
 		out := map[string]string{}
@@ -229,6 +241,7 @@
 	return list
 }
 
+// settingsProposeCmd proposes a document as the next version.
 type settingsProposeCmd struct {
 	File   string      `arg:"" type:"existingfile" help:"The document, in Jsonnet."`
 	Member fleetMember `embed:""`
@@ -237,7 +250,7 @@
 	Mark   string      `help:"Of an earlier try whose answer was lost."`
 }
 
-// Run implements a command.
+// Run implements the command settings propose.
 func (c settingsProposeCmd) Run(out io.Writer) error {
 	text, err := evaluateDocument(c.File)
 	if err != nil {
@@ -246,7 +259,10 @@
 	return propose(out, c.Member, version.Version{Text: text, Why: c.Why, Mark: c.Mark}, c.From, func(err error) error { return withLineNumbers(c.File, err) })
 }
 
-// propose proposes a version, again as long as nobody leads the voters.
+// propose proposes a version on the basis of from, or of the latest version if from is nil. If
+// the outcome is unknown, the error names the mark with which the proposal can be repeated without
+// being made twice. The mixer that is asked repeats it itself while the voters have no leader.
+// LocateError adds the place in a file to errors on the document.
 func propose(out io.Writer, m fleetMember, v version.Version, from *uint64, locateError func(error) error) error {
 	response, err := m.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
@@ -258,7 +274,7 @@
 	}
 	if v.Mark == "" {
 		var b [8]byte
-		_, _ = rand.Read(b[:]) // never fails
+		_, _ = rand.Read(b[:]) // never returns an error
 		v.Mark = hex.EncodeToString(b[:])
 	}
 	response, err = m.sendRequest(accord.Request{Op: accord.OpPropose, Version: v})
@@ -272,14 +288,15 @@
 	return nil
 }
 
+// settingsRollbackCmd withdraws the version that is being rolled out, or restores an older one.
 type settingsRollbackCmd struct {
 	Member fleetMember `embed:""`
 	To     *uint64     `help:"The version to go back to; absent: the one before."`
 	Why    string      `required:"" help:"One line for whoever reads the history."`
 }
 
-// Run implements a command. What is on its way is withdrawn; else the old document is
-// proposed as a new version.
+// Run implements the command settings rollback. A version that is being rolled out is withdrawn,
+// unless a target is given; otherwise the document of the older version is proposed as a new one.
 func (c settingsRollbackCmd) Run(out io.Writer) error {
 	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
@@ -310,12 +327,13 @@
 	return propose(out, c.Member, version.Version{Text: cmp.Or(old.Text, "{}"), Why: c.Why}, &st.Latest, func(err error) error { return err })
 }
 
+// settingsShowCmd shows the document of a version.
 type settingsShowCmd struct {
 	Member fleetMember `embed:""`
 	Number *uint64     `help:"A version; absent: the one in force."`
 }
 
-// Run implements a command.
+// Run implements the command settings show.
 func (c settingsShowCmd) Run(out io.Writer) error {
 	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
@@ -337,11 +355,12 @@
 	return nil
 }
 
+// settingsHistoryCmd lists the versions.
 type settingsHistoryCmd struct {
 	Member fleetMember `embed:""`
 }
 
-// Run implements a command.
+// Run implements the command settings history.
 func (c settingsHistoryCmd) Run(out io.Writer) error {
 	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpShow})
 	if err != nil {
@@ -363,13 +382,14 @@
 	return w.Flush()
 }
 
+// settingsWaitCmd waits until all mixers act on a version.
 type settingsWaitCmd struct {
 	Number   uint64        `arg:"" help:"The version."`
 	Member   fleetMember   `embed:""`
 	Patience time.Duration `default:"60s" help:"How long to wait until all mixers act on it."`
 }
 
-// Run implements a command.
+// Run implements the command settings wait.
 func (c settingsWaitCmd) Run(out io.Writer) error {
 	var last accord.Response
 	for until := time.Now().Add(c.Patience); ; time.Sleep(200 * time.Millisecond) {
@@ -396,7 +416,7 @@
 	}
 }
 
-// behind says of each mixer that does not act on the present stage why.
+// describeLagging returns, for each mixer that does not act on the current stage, the reason.
 func describeLagging(response accord.Response) (list []string) {
 	for _, h := range response.Holders {
 		switch {
@@ -411,13 +431,14 @@
 	return list
 }
 
+// versionsCmd shows which mixer acts on which version.
 type versionsCmd struct {
 	Member fleetMember `embed:""`
 	Local  bool        `help:"What the mixer that is asked acts on itself, also while nobody leads the voters."`
 	JSON   bool        `help:"One object a line."`
 }
 
-// Run implements a command.
+// Run implements the command versions.
 func (c versionsCmd) Run(out io.Writer) error {
 	op := accord.OpVersions
 	if c.Local {
@@ -456,25 +477,29 @@
 	return w.Flush()
 }
 
+// voterCmd holds the arguments of the commands that change the voters.
 type voterCmd struct {
 	Name   string      `arg:"" help:"The mixer."`
 	Member fleetMember `embed:""`
 }
 
+// voterAddCmd adds a voter.
 type voterAddCmd struct{ voterCmd }
 
-// Run implements a command.
+// Run implements the command voters add.
 func (c voterAddCmd) Run(out io.Writer) error {
 	return c.requestChange(out, accord.OpAddVoter, "is asked to vote")
 }
 
+// voterRemoveCmd removes a voter.
 type voterRemoveCmd struct{ voterCmd }
 
-// Run implements a command.
+// Run implements the command voters remove.
 func (c voterRemoveCmd) Run(out io.Writer) error {
 	return c.requestChange(out, accord.OpRemoveVoter, "is to leave the voters")
 }
 
+// requestChange requests op for the named mixer and prints the outcome and the voters.
 func (c voterCmd) requestChange(out io.Writer, op, outcome string) error {
 	response, err := c.Member.sendRequest(accord.Request{Op: op, Name: c.Name})
 	if err != nil {
--- a/cmd/loft/settings_test.go
+++ b/cmd/loft/settings_test.go
@@ -26,23 +26,25 @@
 const mixerConfig = `{"settings":{"failure_domains":["a","b"],"caps":{"max_attempts":4,"second_copies":true,"max_open":60},
 "tenants":[{"name":"retail","allowance_per_s":40}],"rules":{"further_ratio":0.4,"further_spare":10}}}`
 
+// idleModule is a decision module that takes no action.
 type idleModule struct{}
 
 func (idleModule) Step(time.Duration, []decide.Event) []decide.Action { return nil }
 
+// discardLogger is a broker.Logger that discards all lines.
 type discardLogger struct{}
 
 func (discardLogger) Module(string)                        {}
 func (discardLogger) Guard(string, string, string, string) {}
 func (discardLogger) Storm(string, string)                 {}
 
-// nobody checks nodes.
+// noopProber is a broker.Prober that never probes.
 type noopProber struct{}
 
 func (noopProber) Probe(broker.Node, func(decide.Outcome)) {}
 
-// alone is a fleet of one mixer, which is its only voter. It returns where it listens,
-// and the files that the commands take.
+// startSingleMixerFleet starts a fleet of one mixer, which is its only voter, and waits until it
+// leads. It returns the arguments that name the fleet and its configuration file.
 func startSingleMixerFleet(t *testing.T) (flags []string, conf string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -89,11 +91,12 @@
 			return flags, conf
 		}
 		if time.Now().After(until) {
-			t.Fatal("the only voter does not lead")
+			t.Fatal("the only voter did not become the leader within 10 s")
 		}
 	}
 }
 
+// writeDocument writes a document to a file and returns its path.
 func writeDocument(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "doc.jsonnet")
@@ -103,6 +106,8 @@
 	return path
 }
 
+// TestSettingsCommands takes documents from a file through check, proposal, rollout, rollback and
+// history, against a running fleet.
 func TestSettingsCommands(t *testing.T) {
 	flags, conf := startSingleMixerFleet(t)
 	run := func(want int, words ...string) string {
@@ -146,7 +151,8 @@
 	contains(run(exitUsage, with("voters", "add", "n7")...), "n7 is not there")
 }
 
-// TestOrdersOnZones are agreed one after another, and shown.
+// TestZoneOrders sends orders one after another; each must be agreed or refused, and the zones be
+// shown accordingly.
 func TestZoneOrders(t *testing.T) {
 	flags, _ := startSingleMixerFleet(t)
 	zones := func(want int, words ...string) string {
@@ -159,14 +165,14 @@
 	}
 	for until := time.Now().Add(10 * time.Second); !strings.Contains(zones(exitOK), "as it leads"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it does not judge for all")
+			t.Fatal("the mixer gave no verdicts for the whole fleet within 10 s")
 		}
 	}
 	for _, s := range []struct {
 		words string
 		want  int
 		text  string
-		shown string // then, of the zones; "": it is not looked at
+		shown string // what zones show must then contain; "": not checked
 	}{
 		{"leave b --why fire", exitUsage, "a, which would have to carry its work, is unknown", ""},
 		{"leave b --anyway --why fire", exitOK, "b: plan 1 is agreed", "0.00   leaving, held (an operator: fire)"},
@@ -191,7 +197,7 @@
 	}
 	for until := time.Now().Add(20 * time.Second); strings.Contains(zones(exitOK), "returning"); time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("b is not returned to: %s", zones(exitOK))
+			t.Fatalf("b has not been returned to within 20 s: %s", zones(exitOK))
 		}
 	}
 	if out := zones(exitOK, "--json"); !strings.Contains(out, `"phase":"in"`) || strings.Contains(out, "leaving") {
--- a/cmd/loft/tables.go
+++ b/cmd/loft/tables.go
@@ -16,12 +16,13 @@
 	"kiteloft/internal/tracing"
 )
 
+// listCmd lists the latest traces.
 type listCmd struct {
 	traceSource
 	Limit int `default:"50" help:"How many of the latest; 0: all."`
 }
 
-// Run lists the latest traces.
+// Run implements the command trace list.
 func (c *listCmd) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -34,12 +35,13 @@
 	return writeTraceTable(out, f, list)
 }
 
+// slowestCmd lists the queries that exceeded their latency targets the most.
 type slowestCmd struct {
 	traceSource
 	Limit int `short:"n" default:"20" help:"How many."`
 }
 
-// Run lists the slowest queries.
+// Run implements the command trace slowest.
 func (c *slowestCmd) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -50,7 +52,8 @@
 	return writeTraceTable(out, f, list[:min(len(list), c.Limit)])
 }
 
-// table writes traces, a line each.
+// writeTraceTable writes one line per trace of list, then the losses of f. It returns the damage
+// of f, or errNoMatch if there is neither a trace nor damage.
 func writeTraceTable(out io.Writer, f traceSet, list []*otlp.Trace) error {
 	if len(list) == 0 {
 		return cmp.Or(f.damage, errNoMatch)
@@ -69,6 +72,7 @@
 	return f.damage
 }
 
+// describeEnd says how a query ended, with the cause if there is one.
 func describeEnd(t *otlp.Trace) string {
 	s := otlp.HowName(t.Ending)
 	if why := otlp.CauseName(t.EndReason); why != "" {
@@ -77,7 +81,7 @@
 	return s
 }
 
-// saidLost repeats what the mixers said that they could not hold.
+// writeLosses writes, by mixer and class, how many traces the mixers report as not stored.
 func writeLosses(out io.Writer, f traceSet) {
 	type key struct{ mixer, class string }
 	sums := map[key]tracing.Loss{}
@@ -95,7 +99,7 @@
 	}
 }
 
-// costMost names what took the longest stretch of a query's critical path.
+// longestSegment describes the longest segment of a query's critical path, with its duration.
 func longestSegment(t *otlp.Trace) string {
 	var longest tracing.Segment
 	for _, s := range tracing.CriticalPath(&t.Query) {
@@ -109,9 +113,10 @@
 	return fmt.Sprintf("%s %s", describeSegment(t, longest), formatDuration(longest.To-longest.From))
 }
 
-// what are the words for what time goes to.
+// segmentNames are the names of the kinds of segments, as shown to operators.
 var segmentNames = map[tracing.Stage]string{tracing.Mixer: "mixer", tracing.Connect: "connect", tracing.Write: "write", tracing.Node: "answer", tracing.Read: "read"}
 
+// describeSegment names the node of a segment, if it belongs to an attempt, and its kind.
 func describeSegment(t *otlp.Trace, s tracing.Segment) string {
 	if s.Attempt < 0 {
 		return segmentNames[s.Stage]
@@ -119,7 +124,7 @@
 	return t.Attempts[s.Attempt].Node + " " + segmentNames[s.Stage]
 }
 
-// span writes a time as milliseconds, or seconds where there are many.
+// formatDuration writes a duration in milliseconds, or in seconds from 10 s on; 0 is "-".
 func formatDuration(d time.Duration) string {
 	switch {
 	case d == 0:
@@ -132,25 +137,27 @@
 	return fmt.Sprintf("%.1fs", d.Seconds())
 }
 
+// nodesCmd sums the time over the latency targets by node, zone, cause or class.
 type nodesCmd struct {
 	traceSource
 	By string `default:"node" enum:"node,zone,cause,class" help:"What the time is summed up by: node, zone, cause or class."`
 }
 
-// row is a line of the table of costs.
+// costSummary is a row of the table of costs.
 type costSummary struct {
 	name             string
 	overTarget       time.Duration
-	queries          int // that were over their time because of it
+	queries          int // that exceeded their latency targets because of it
 	attempts, failed int
-	latencies        *ddsketch.DDSketch // of its answered attempts, in milliseconds; nil: none
+	latencies        *ddsketch.DDSketch // of its answered attempts, in ms; nil: there were none
 }
 
-// share is the row's part of all the time over wanted.
+// formatShare returns the row's percentage of total, the time over target of all queries.
 func (r *costSummary) formatShare(total time.Duration) string {
 	return fmt.Sprintf("%.1f%%", 100*float64(r.overTarget)/float64(max(total, 1)))
 }
 
+// formatQuantile returns the q-quantile of the latencies, or "-" if there are none.
 func (r *costSummary) formatQuantile(q float64) string {
 	if r.latencies == nil {
 		return "-"
@@ -162,7 +169,7 @@
 	return formatDuration(time.Duration(v * float64(time.Millisecond)))
 }
 
-// Run writes the table.
+// Run implements the command trace nodes.
 func (c *nodesCmd) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -185,7 +192,8 @@
 	return f.damage
 }
 
-// costs sums the time over wanted up, the dearest first, and in all.
+// summarizeCosts sums the time over the latency targets by node, zone, cause or class. Rows are
+// sorted by that time in descending order. Total is the sum of all rows.
 func summarizeCosts(list []*otlp.Trace, by string) (rows []*costSummary, total time.Duration) {
 	all := map[string]*costSummary{}
 	get := func(name string) *costSummary {
@@ -226,17 +234,19 @@
 	return rows, total
 }
 
+// addLatency adds the duration of an answered attempt.
 func (r *costSummary) addLatency(d time.Duration) {
 	if r.latencies == nil {
 		sk, err := ddsketch.NewDefaultDDSketch(0.01)
 		if err != nil {
-			return // the accuracy is a constant within its range
+			return // does not happen: the accuracy is valid
 		}
 		r.latencies = sk
 	}
-	_ = r.latencies.Add(float64(d) / float64(time.Millisecond)) // fails only beyond any time
+	_ = r.latencies.Add(float64(d) / float64(time.Millisecond)) // fails only for values that no duration reaches
 }
 
+// costName returns the name of the row that a segment of t is charged to.
 func costName(t *otlp.Trace, s tracing.Segment, by string) string {
 	switch {
 	case by == "class":
--- a/cmd/loft/waterfall.go
+++ b/cmd/loft/waterfall.go
@@ -12,13 +12,15 @@
 	"kiteloft/internal/tracing"
 )
 
+// showCmd shows the queries of a trace as waterfalls.
 type showCmd struct {
 	traceSource
 	ID    string `arg:"" help:"The trace's id, the beginning of it (4 digits or more), or a query's id."`
 	Width int    `default:"60" help:"Columns of the waterfall."`
 }
 
-// Run shows a trace: the tries of its client, at whichever mixers, in order.
+// Run implements the command trace show. The queries of a trace are the attempts of one client at
+// any mixers; they are shown in the order in which they began.
 func (c *showCmd) Run(out io.Writer) error {
 	f, err := c.read()
 	if err != nil {
@@ -38,7 +40,8 @@
 	return f.damage
 }
 
-// waterfall draws one query: a line for each attempt, under its part.
+// writeWaterfall draws one query, with one line per attempt below the line of its part, and then
+// its events and its critical path. Width is the number of columns of the time axis.
 func writeWaterfall(out io.Writer, t *otlp.Trace, width int) {
 	fmt.Fprintf(out, "\n%s  query %s at %s, class %s over %s: %s after %s, wanted within %s, given up at %s\n", t.At.UTC().Format(time.RFC3339Nano),
 		t.WireID, t.Mixer, t.Class, t.Front, describeEnd(t), formatDuration(t.End), formatDuration(t.TargetTime), formatDuration(t.Deadline))
@@ -95,6 +98,8 @@
 	}
 }
 
+// attemptLabel names an attempt's node, zone, reason and, unless it is the usual one, the rule by
+// which the node was chosen.
 func attemptLabel(t *otlp.Trace, a *tracing.Attempt) string {
 	s := fmt.Sprintf("%s %s", a.Node, otlp.ReasonName(a.Reason))
 	if zone := t.Zone(a); zone != "" {
@@ -106,7 +111,8 @@
 	return s[:min(len(s), 42)]
 }
 
-// bar draws an attempt's stretches.
+// attemptBar draws the phases of an attempt: - connect, ~ write, = answer. Column maps times to
+// columns.
 func attemptBar(t *otlp.Trace, a *tracing.Attempt, width int, column func(time.Duration) int) string {
 	b := []byte(strings.Repeat(" ", width))
 	end := a.End
@@ -128,6 +134,8 @@
 	return string(b)
 }
 
+// attemptOutcome says how an attempt ended and, if it failed, whether the node may have executed it
+// nevertheless.
 func attemptOutcome(t *otlp.Trace, a *tracing.Attempt) string {
 	s := "open at the end"
 	if a.Over {
--- a/cmd/loft/zones.go
+++ b/cmd/loft/zones.go
@@ -14,7 +14,8 @@
 	"kiteloft/internal/fleet/survey"
 )
 
-// judged asks for the fleet's judgement; whoever knows none has no zones.
+// requestZoneView requests a mixer's verdicts on the zones. The view of a mixer that gives none,
+// as older versions do, is the zero View.
 func requestZoneView(m fleetMember, op string) (v survey.View, err error) {
 	response, err := m.sendRequest(accord.Request{Op: op})
 	if err != nil || len(response.Zones) == 0 {
@@ -26,14 +27,14 @@
 	return v, nil
 }
 
-// zonesCmd shows how a fleet, or one mixer, judges the zones.
+// zonesCmd shows the verdicts of a fleet, or of one mixer, on the zones.
 type zonesCmd struct {
 	Member fleetMember `embed:""`
 	Own    bool        `help:"By the evidence of the mixer that is asked alone, also while nobody leads the voters."`
 	JSON   bool        `help:"One object a line."`
 }
 
-// Run implements a command.
+// Run implements the command zones show.
 func (c zonesCmd) Run(out io.Writer) error {
 	op := accord.OpZones
 	if c.Own {
@@ -76,13 +77,15 @@
 	return w.Flush()
 }
 
-// zoneCmd carries out an operator's word on a zone. It is agreed once it returns.
+// zoneCmd holds the arguments of an operator's order on a zone. When the command returns without
+// an error, the fleet has committed the order.
 type zoneCmd struct {
 	Zone   string      `arg:"" help:"The zone."`
 	Member fleetMember `embed:""`
 	Why    string      `required:"" help:"One line for whoever reads the plan."`
 }
 
+// sendOrder has the fleet agree on an order and prints its effect.
 func (c zoneCmd) sendOrder(out io.Writer, order, effect string) error {
 	response, err := c.Member.sendRequest(accord.Request{Op: accord.OpZoneOrder, Name: c.Zone, Order: order, Why: c.Why})
 	if err != nil {
@@ -92,12 +95,13 @@
 	return nil
 }
 
+// zonesLeaveCmd orders the fleet to send nothing to a zone.
 type zonesLeaveCmd struct {
 	zoneCmd
 	Anyway bool `help:"Also where another zone that is to carry its work does not look sound."`
 }
 
-// Run implements a command.
+// Run implements the command zones leave.
 func (c zonesLeaveCmd) Run(out io.Writer) error {
 	v, err := requestZoneView(c.Member, accord.OpZones)
 	if err != nil {
@@ -111,23 +115,26 @@
 	return c.sendOrder(out, "leave", "nothing is sent there but what only its nodes hold, until another word")
 }
 
+// zonesReturnCmd orders the fleet to return to a zone step by step.
 type zonesReturnCmd struct{ zoneCmd }
 
-// Run implements a command.
+// Run implements the command zones return.
 func (c zonesReturnCmd) Run(out io.Writer) error {
 	return c.sendOrder(out, "return", "it is returned to step by step, whatever it looks like")
 }
 
+// zonesHoldCmd orders the fleet to keep a zone's share as it is.
 type zonesHoldCmd struct{ zoneCmd }
 
-// Run implements a command.
+// Run implements the command zones hold.
 func (c zonesHoldCmd) Run(out io.Writer) error {
 	return c.sendOrder(out, "hold", "it stays as it is, until another word")
 }
 
+// zonesFreeCmd ends an operator's order on a zone.
 type zonesFreeCmd struct{ zoneCmd }
 
-// Run implements a command.
+// Run implements the command zones free.
 func (c zonesFreeCmd) Run(out io.Writer) error {
 	return c.sendOrder(out, "free", "the mixers decide again, where they may")
 }
