--- a/cmd/loft/fleet.go
+++ b/cmd/loft/fleet.go
@@ -93,7 +93,7 @@
 		for _, name := range c.Kind {
 			k, ok := kinds.KindByName(name)
 			if !ok {
-				return fmt.Errorf("fleet: %q is not counted", name)
+				return fmt.Errorf("fleet: unknown count %q", name)
 			}
 			columns = append(columns, k)
 		}
--- a/cmd/loft/settings.go
+++ b/cmd/loft/settings.go
@@ -322,7 +322,7 @@
 	}
 	old, ok := st.Find(target)
 	if !ok {
-		return fmt.Errorf("version %d is not remembered", target)
+		return fmt.Errorf("version %d is not in the history", target)
 	}
 	return propose(out, c.Member, version.Version{Text: cmp.Or(old.Text, "{}"), Why: c.Why}, &st.Latest, func(err error) error { return err })
 }
--- a/cmd/loft/zones.go
+++ b/cmd/loft/zones.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	if v.Mixer == "" {
-		return errors.New("the mixer judges no zones: an older program")
+		return errors.New("the mixer gave no verdicts on zones; it may run an older version")
 	}
 	if c.JSON {
 		return writeJSONLines(out, v.Zones)
