--- a/internal/fleet/atomicfile/atomicfile.go
+++ b/internal/fleet/atomicfile/atomicfile.go
@@ -42,6 +42,8 @@
 	f.next <- text
 }
 
+// run writes the latest content; it logs the first failure of a series and the first success
+// after it.
 func (f *File) run() {
 	for text := range f.next {
 		err := Write(f.path, text)
--- a/internal/fleet/link/codec.go
+++ b/internal/fleet/link/codec.go
@@ -245,6 +245,7 @@
 	return p, nil
 }
 
+// readRecord, readDoubt and readNews set the field with a number in one entry of a packet.
 func readRecord(r *member.Record, n protowire.Number, x uint64, v []byte) {
 	switch n {
 	case 1:
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -39,13 +39,13 @@
 	Listen   string // address for both datagrams and connections
 	Announce string // address at which others reach this mixer; "": Listen
 	Keys     Keys
-	Seeds    []string
+	Seeds    []string          // addresses of members to contact first
 	Via      map[string]string // by member: address to use in place of the announced one
 	Snapshot string            // path of the snapshot file; "": none
-	Period   time.Duration
-	Forget   time.Duration
-	Expected int
-	Seed     uint64
+	Period   time.Duration     // between two probes of members, see member.Config
+	Forget   time.Duration     // after which gone members are forgotten, see member.Config
+	Expected int               // number of mixers according to the settings
+	Seed     uint64            // of the random choices
 }
 
 // Fleet is a mixer's membership in its fleet. Its methods and callbacks run on the core's
@@ -156,6 +156,7 @@
 	f.tick()
 }
 
+// tick advances the membership state machine and schedules its next call.
 func (f *Fleet) tick() {
 	f.machine.Tick(f.core.Now())
 	f.applyOutput()
@@ -291,7 +292,7 @@
 	if len(out.Changes) > 0 && f.snapshotFile != nil {
 		text, err := snapshotOf(f.c.ID, f.machine).text()
 		if err != nil {
-			f.log.Error().Err(err).Msg("the fleet's snapshot could not be encoded") // a defect
+			f.log.Error().Err(err).Msg("the fleet's snapshot could not be encoded") // only by a programming error
 			return
 		}
 		f.snapshotFile.Put(text)
@@ -392,12 +393,17 @@
 	done bool
 }
 
+// startExchange dials a member for a full exchange and ends it after twice the timeout of the
+// dial.
 func (f *Fleet) startExchange(x member.Exchange) {
 	d := &outboundExchange{f: f, to: x.Target, msg: x.Message}
 	f.net.Dial(f.dialAddress(x.Target), exchangeTimeout, d, d.connected)
 	f.core.After(2*exchangeTimeout, d.finish)
 }
 
+// connected is called with the connection, or with nil and the reason why there is none. A
+// refused connection is reported to the membership state machine: nobody listens at the
+// address.
 func (d *outboundExchange) connected(conn *transport.Conn, e transport.End) {
 	if conn == nil {
 		if e == transport.Refused {
@@ -414,6 +420,7 @@
 	conn.Write(frame(d.f.sealMessage(d.msg)))
 }
 
+// finish ends the exchange and closes its connection.
 func (d *outboundExchange) finish() {
 	if d.done = true; d.conn != nil {
 		d.conn.Close(transport.LocalDone)
--- a/internal/fleet/link/peer.go
+++ b/internal/fleet/link/peer.go
@@ -77,6 +77,7 @@
 	t.dial()
 }
 
+// write sends a framed packet on the present connection.
 func (t *peer) write(b []byte) {
 	if t.unansweredSince == 0 {
 		t.unansweredSince = t.f.core.Now()
@@ -84,6 +85,7 @@
 	t.conn.Write(b)
 }
 
+// dial opens a connection, unless a dial is under way or the last one was too recent.
 func (t *peer) dial() {
 	now := t.f.core.Now()
 	if t.dialing || now < t.nextDialAt {
@@ -99,6 +101,8 @@
 	t.f.net.Dial(t.f.dialAddress(member.Target{ID: t.id, Addr: at.Addr}), exchangeTimeout, l, l.connected)
 }
 
+// connected is called with the connection, or with nil if the dial failed. If the member has
+// connected to this mixer meanwhile, that connection is kept and the new one closed.
 func (l *outbound) connected(conn *transport.Conn, _ transport.End) {
 	l.t.dialing, l.conn = false, conn
 	switch {
@@ -142,6 +146,7 @@
 	}
 }
 
+// handlePacket handles one packet; only messages of the peer are acceptable.
 func (l *outbound) handlePacket(p packet) bool {
 	if p.Kind != kindMessage || p.From != l.t.id {
 		return false
--- a/internal/fleet/link/snapshot.go
+++ b/internal/fleet/link/snapshot.go
@@ -30,6 +30,7 @@
 	Addr string `json:"addr"`
 }
 
+// checksum returns the checksum of all other fields.
 func (s snapshot) checksum() string {
 	text := fmt.Sprintf("%q %d", s.Name, s.Generation)
 	for _, k := range s.Members {
--- a/internal/fleet/nodelist/nodelist.go
+++ b/internal/fleet/nodelist/nodelist.go
@@ -104,7 +104,8 @@
 // Hold sets whether nodes missing from discovery's list are kept for as long as it is set.
 func (r *Sharer) Hold(on bool) { r.nodeView.Hold = on }
 
-// Watch implements broker.Directory.
+// Watch implements broker.Directory. It starts this mixer's own watch of discovery only if it
+// owns a watch duty or hears from no watcher.
 func (r *Sharer) Watch(on bool) {
 	r.enabled = on
 	if !on {
@@ -178,6 +179,7 @@
 	return ""
 }
 
+// send sends a message to one mixer.
 func (r *Sharer) send(to string, w message) {
 	text, err := json.Marshal(w)
 	if err != nil {
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/steer/steer.go
@@ -128,6 +128,7 @@
 	s.updateEffectivePlan()
 }
 
+// parsePlan parses a plan; the empty text is the empty plan.
 func parsePlan(text string) (p zone.Plan, err error) {
 	if text != "" {
 		err = json.UnmarshalFromString(text, &p)
@@ -226,6 +227,7 @@
 	s.order(name, order, why, 0, done)
 }
 
+// order carries out an order, and tries again later while another plan is being agreed on.
 func (s *Controller) order(name, order, why string, try int, done func(error)) {
 	o := zone.ParseOrder(order)
 	p, err := s.planAtLeader()
@@ -329,6 +331,7 @@
 	}
 }
 
+// checkRandomNode checks a random running node of a zone, by its number.
 func (s *Controller) checkRandomNode(in int) {
 	var list []broker.ListedNode
 	s.core.EachNode(func(m broker.ListedNode) {
--- a/internal/fleet/survey/codec.go
+++ b/internal/fleet/survey/codec.go
@@ -50,6 +50,7 @@
 
 var errMalformedReport = errors.New("malformed zone report")
 
+// encode returns a report as protobuf.
 func encode(r zone.Report) []byte {
 	b := fields.AppendString(nil, fMixer, r.Mixer)
 	b = fields.AppendString(b, fZone, r.Zone)
@@ -70,6 +71,8 @@
 	return b
 }
 
+// decode parses a report. It limits names, zones and counts, and rejects reports without
+// sender, zone or number.
 func decode(b []byte) (r zone.Report, err error) {
 	r.Zones = map[string]zone.Evidence{}
 	whole := fields.Each(b, func(n protowire.Number, x uint64, v []byte) bool {
@@ -95,6 +98,7 @@
 	return r, nil
 }
 
+// decodeEvidence parses the evidence on one zone; ok is false if it is malformed.
 func decodeEvidence(b []byte) (name string, e zone.Evidence, ok bool) {
 	counts, nodes := counts(&e), nodes(&e)
 	whole := fields.Each(b, func(n protowire.Number, x uint64, v []byte) bool {
--- a/internal/fleet/survey/survey.go
+++ b/internal/fleet/survey/survey.go
@@ -288,6 +288,7 @@
 	}
 }
 
+// notifyJudgement calls OnJudgement.
 func (s *Survey) notifyJudgement() {
 	if s.OnJudgement != nil {
 		s.OnJudgement(s.leads)
