--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -36,8 +36,8 @@
 	return c
 }
 
-// ReadContext is like ParseContext but returns nil if there is no valid traceparent. It
-// avoids an allocation in the common case that the headers are absent.
+// ReadContext is like ParseContext but returns nil if there is no valid traceparent, as
+// most clients send none.
 func ReadContext(parent, state string) *Context {
 	if parent == "" {
 		return nil
--- a/internal/tracing/critical_path.go
+++ b/internal/tracing/critical_path.go
@@ -11,7 +11,7 @@
 
 // The stages.
 const (
-	Mixer   Stage = iota // in the mixer: no node may take the part yet, or the mixer's event loop has not run
+	Mixer   Stage = iota // in the mixer: waiting for a node that may take the part, or for the mixer's own processing
 	Connect              // waiting for a connection to the node
 	Write                // writing the part, until its last byte was written
 	Node                 // waiting for the node, until its answer began or the attempt was no longer waited for
--- a/internal/tracing/record.go
+++ b/internal/tracing/record.go
@@ -2,135 +2,136 @@
 
 import "time"
 
-// Ending is the way in which a query ended.
+// Ending tells how a query ended.
 type Ending uint8
 
-// The ways to end.
+// The endings of a query. Open is that of a query which has not ended.
 const (
 	Open     Ending = iota
-	Served          // whole
-	Short           // served from less than all that was asked for
-	Refused         // asking again is harmless
-	Failed          // it may have had an effect
-	Expired         // failed for want of time
-	Deserted        // its client has gone
+	Served          // answered completely
+	Short           // answered from a subset of the parts
+	Refused         // refused without effect; a retry is harmless
+	Failed          // failed; it may have had an effect
+	Expired         // failed because its time ran out
+	Deserted        // its client disconnected or cancelled it
 )
 
-// Reason is why an attempt was made.
+// Reason tells why an attempt was made.
 type Reason uint8
 
-// The reasons of an attempt.
+// The reasons for an attempt.
 const (
 	FirstAttempt Reason = iota
-	RetryAttempt        // the earlier ones have ended without an answer
-	CopyAttempt         // an earlier one is still out
+	RetryAttempt        // the earlier attempts have ended without an answer
+	CopyAttempt         // an earlier attempt is still open
 )
 
-// Outcome is how an attempt ended. Its values are those of the decision module.
+// Outcome tells how an attempt ended. Its values are those of decide.Outcome.
 type Outcome uint8
 
-// KeepReasons says why a trace is kept; more than one may hold. Zero is a query that
-// nothing sets apart.
+// KeepReasons is the set of reasons for which a trace is always kept. A query without any
+// is kept or not by random sampling.
 type KeepReasons uint16
 
-// The reasons for which a trace is always kept.
+// The reasons for which a trace is always kept, as bits.
 const (
-	Slow            KeepReasons = 1 << iota // over its wanted time, or so near that its client may have seen it so
-	NotServed                               // failed, refused, expired, or left by its client
-	Retried                                 // a part was sent again
-	CopyWon                                 // a second copy answered first
-	PartlyAnswered                          // served in part
-	GuardIntervened                         // a guard stepped in
-	Repeat                                  // a client's retry
-	RetriedByClient                         // its client has asked again
+	Slow            KeepReasons = 1 << iota // missed its latency target, or so close to it that its client may have seen it missed
+	NotServed                               // failed, refused, expired, or abandoned by its client
+	Retried                                 // a part was retried
+	CopyWon                                 // a copy answered before the earlier attempt
+	PartlyAnswered                          // answered from a subset of the parts
+	GuardIntervened                         // a guard of the core overruled a decision
+	Repeat                                  // the query is a client's retry
+	RetriedByClient                         // its client has retried it
 )
 
-// Part is a part of a query.
+// Part records a part of a query.
 type Part struct {
-	Place      int32 // in the order in which parts were recorded, whatever has been dropped since
+	Place      int32 // in the order of recording; later drops don't change it
 	Step       uint8 // 0 or 1
 	Answered   bool
 	Shard      int32
 	Weight     float32
-	Begin, End time.Duration // End: when its answer came; 0: it did not
+	Begin, End time.Duration // End: when its answer came; 0: no answer
 }
 
-// Attempt is one send of a part.
+// Attempt records one attempt to send a part.
 type Attempt struct {
-	Place      int32 // as a part's
-	Part       int32 // index
-	Number     uint8 // among the part's
+	Place      int32 // as Part.Place
+	Part       int32 // index in Query.Parts
+	Number     uint8 // index among the attempts of its part, at most 255
 	Reason     Reason
-	NodeChoice uint8 // the module's word on its choice of node
+	NodeChoice uint8 // a decide.SendReason: why this node was chosen
 	Outcome    Outcome
-	Over       bool
-	Won        bool // it gave the part's answer
+	Over       bool // it has ended
+	Won        bool // its answer became that of the part
 	MayHaveRun bool
 	Zone       int16
 	Cell       int32
 	Node       string
 	Address    string
 	Begin      time.Duration
-	Connected  time.Duration // when a connection was there; 0: none yet
-	Written    time.Duration // when its last byte was handed to the kernel; 0: not known
-	Heard      time.Duration // when the first byte of its answer came
+	Connected  time.Duration // when it got a connection; 0: none yet
+	Written    time.Duration // when its last byte was passed to the kernel; 0: unknown
+	Heard      time.Duration // when the first byte of its answer arrived
 	End        time.Duration
 }
 
-// Event is something that happened to a query.
+// Event records something that happened to a query or to one of its parts.
 type Event struct {
 	At   time.Duration
-	Part int32 // index; -1: the query's own
+	Part int32 // index in Query.Parts; -1: the whole query
 	Kind EventKind
 	Text string
 }
 
-// EventKind is what an event is.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	GuardTriggered EventKind = iota // a guard of the core's stepped in
-	CopyDenied                      // a late part was not copied for want of a token
-	RetryDenied                     // a further attempt was not made for want of budget
-	ColdNodeDenied                  // a cold node's budget was spent
-	ClientRetried                   // its client asked again
-	JoinedTrace                     // it joined its first try's trace; the text says by what
+	GuardTriggered EventKind = iota // a guard of the core overruled a decision
+	CopyDenied                      // a late part was not copied: no copy token was left
+	RetryDenied                     // a part was not sent again: the retry budget was spent
+	ColdNodeDenied                  // a part was not sent: the budget of cold nodes was spent
+	ClientRetried                   // its client retried the query
+	JoinedTrace                     // the query is a retry; the text says what identified its first try, "" if it is unknown
 )
 
-// Query is the story of one query at this mixer: all that its spans are made from.
+// Query is the record of one query at this mixer, from which its spans are built. Methods
+// that record do nothing on a nil Query.
 type Query struct {
 	Trace         TraceID
 	Root          SpanID
-	Parent        SpanID // the client's span, or the first try's root; zero: none
+	Parent        SpanID // the client's span, or the root of the first try; zero: none
 	State         string
 	Front         string
 	Class         int
 	WireID        string
-	Version       uint64 // of the settings that its mixer acted on; 0: its own
+	Version       uint64 // of the fleet's settings that the mixer used; 0: the mixer's own settings
 	Begin         time.Duration
-	TargetTime    time.Duration // when its answer is wanted
-	Deadline      time.Duration // when its client gives up
+	TargetTime    time.Duration // when its answer is wanted, by the latency target of its class
+	Deadline      time.Duration // when its client stops waiting
 	End           time.Duration
 	Ending        Ending
-	EndReason     uint8 // the module's word on its end
+	EndReason     uint8 // a decide.EndReason
 	KeepReasons   KeepReasons
-	SamplingShift uint8 // a kept query without a reason stands for 2^Shift of its kind
+	SamplingShift uint8 // a query kept by sampling stands for 2^SamplingShift queries
 	Step2Begin    time.Duration
 	Parts         []Part
 	Attempts      []Attempt
 	Events        []Event
-	Dropped       Dropped // what was held of it and is no more
+	Dropped       Dropped // what was not recorded, or was dropped to free memory
 
 	r           *Recorder
-	rootOnly    bool // nothing but the root is recorded
+	rootOnly    bool // only the root span is recorded
 	contentHash uint64
 	recordState recordState
 	decideBy    time.Duration
-	size        int // bytes that it is counted for
+	size        int // bytes counted for this record
 }
 
-// Dropped counts what a trace no longer holds.
+// Dropped counts parts, attempts and events that a trace does not hold.
 type Dropped struct{ Parts, Attempts, Events int }
 
 type recordState uint8
@@ -143,16 +144,16 @@
 )
 
 const (
-	querySize   = 400 // bytes of a Query with its entries in maps, about
+	querySize   = 400 // bytes of a Query with its entries in maps, approximately
 	partSize    = 40
 	attemptSize = 136
 	eventSize   = 64
-	maxAttempts = 4096 // of one query that are recorded; the settings allow fewer
+	maxAttempts = 4096 // recorded for one query; the settings allow fewer
 	maxEvents   = 64
 	maxText     = 200
 )
 
-// TraceIDString is the trace's id as text; "" without one.
+// TraceIDString returns the trace id in hex, or "" if q is nil.
 func (q *Query) TraceIDString() string {
 	if q == nil {
 		return ""
@@ -160,7 +161,8 @@
 	return q.Trace.String()
 }
 
-// AddPart records a part and returns its index, or -1 if it is not recorded.
+// AddPart records a part, of the second step if second is set. It returns the index of
+// the part, or -1 if there was no room to record it.
 func (q *Query) AddPart(now time.Duration, second bool, shard int, weight float64) int32 {
 	if q == nil {
 		return -1
@@ -182,7 +184,8 @@
 	return int32(len(q.Parts) - 1)
 }
 
-// AddAttempt records a send and returns its index, or -1 if it is not recorded.
+// AddAttempt records the start of an attempt. It returns the index of the attempt, or -1
+// if it was not recorded.
 func (q *Query) AddAttempt(a Attempt) int32 {
 	if q == nil {
 		return -1
@@ -200,7 +203,7 @@
 	return int32(len(q.Attempts) - 1)
 }
 
-// at returns an attempt that may still be changed.
+// at returns the attempt at an index, or nil if it was not recorded or the query has ended.
 func (q *Query) at(i int32) *Attempt {
 	if q == nil || i < 0 || int(i) >= len(q.Attempts) || q.recordState != recordOpen {
 		return nil
@@ -208,28 +211,28 @@
 	return &q.Attempts[i]
 }
 
-// Connected notes when a connection was there for an attempt.
+// Connected records when an attempt got a connection.
 func (q *Query) Connected(i int32, now time.Duration) {
 	if a := q.at(i); a != nil {
 		a.Connected = now
 	}
 }
 
-// Written notes when an attempt's last byte was written.
+// Written records when the last byte of an attempt was written.
 func (q *Query) Written(i int32, now time.Duration) {
 	if a := q.at(i); a != nil {
 		a.Written = now
 	}
 }
 
-// Heard notes when the first byte of an attempt's answer came.
+// Heard records when the first byte of the answer to an attempt arrived.
 func (q *Query) Heard(i int32, at time.Duration) {
 	if a := q.at(i); a != nil && a.Heard == 0 {
 		a.Heard = max(at, a.Begin)
 	}
 }
 
-// EndAttempt notes an attempt's end. Won tells that it gave the part's answer.
+// EndAttempt records the end of an attempt; won says that its answer became the part's.
 func (q *Query) EndAttempt(i int32, now time.Duration, o Outcome, mayHaveRun, won bool) {
 	a := q.at(i)
 	if a == nil {
@@ -245,7 +248,8 @@
 	}
 }
 
-// Event records something that happened to a part, or to the query with -1.
+// Event records an event of a part, or of the whole query if part is -1. Text beyond
+// maxText bytes is cut.
 func (q *Query) Event(now time.Duration, part int32, kind EventKind, text string) {
 	if q == nil {
 		return
@@ -261,7 +265,7 @@
 		return
 	}
 	if q.recordState == recordReleased {
-		return // to make room for it, the record itself was let go
+		return // the record itself was released to make room
 	}
 	text = text[:min(len(text), maxText)]
 	q.Events = append(q.Events, Event{At: now, Part: part, Kind: kind, Text: text})
@@ -273,7 +277,7 @@
 	q.r.bytes += n
 }
 
-// Spans is how many spans the trace has.
+// Spans returns the number of spans of the trace.
 func (q *Query) Spans() int {
 	n := 1 + len(q.Parts) + len(q.Attempts)
 	if len(q.Parts) > 0 {
@@ -285,31 +289,31 @@
 	return n
 }
 
-// Places of spans in the tree, for SpanID.Child: the root is 0, the steps are 1
-// and 2, then come parts and attempts in the order in which they were recorded.
+// Places of spans in the tree, for SpanID.Child: the root has 0, the steps have 1 and 2,
+// followed by parts and attempts in the order of recording.
 const (
 	firstPartPlace    = 3
 	firstAttemptPlace = 1 << 16
 )
 
-// StepSpan is the span of a step, 0 or 1.
+// StepSpan returns the span id of a step, 0 or 1.
 func (q *Query) StepSpan(step int) SpanID { return q.Root.Child(1 + step) }
 
-// PartSpan is the span of the part at an index.
+// PartSpan returns the span id of the part at an index.
 func (q *Query) PartSpan(i int) SpanID { return q.Root.Child(firstPartPlace + int(q.Parts[i].Place)) }
 
-// AttemptSpan is the span of the attempt at an index.
+// AttemptSpan returns the span id of the attempt at an index.
 func (q *Query) AttemptSpan(i int) SpanID {
 	return q.Root.Child(firstAttemptPlace + int(q.Attempts[i].Place))
 }
 
-// Parentage is what an attempt's node is told: the headers traceparent and
-// tracestate. Both are empty where the attempt is not recorded.
+// Parentage returns the headers traceparent and tracestate to send to the node of an
+// attempt. Both are empty if the attempt is not recorded.
 func (q *Query) Parentage(i int32) (parent, state string) {
 	if q == nil || i < 0 {
 		return "", ""
 	}
-	// Whether the trace is kept is decided at its end; the flag says what is likely.
+	// Whether the trace is kept is decided at its end; the flag is the best guess so far.
 	flags := byte(randomFlag)
 	if q.KeepReasons != 0 || q.r.sampledByChance(q) {
 		flags |= sampledFlag
@@ -317,7 +321,7 @@
 	return Traceparent(q.Trace, q.AttemptSpan(int(i)), flags), q.State
 }
 
-// boring tells whether a part was answered by its first attempt and by no other.
+// answeredByOnlyAttempt reports whether a part was answered and needed only one attempt.
 func (q *Query) answeredByOnlyAttempt(part int32) bool {
 	if !q.Parts[part].Answered {
 		return false
--- a/internal/tracing/recorder.go
+++ b/internal/tracing/recorder.go
@@ -8,36 +8,37 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Class is what the recorder has to know of a class of query.
+// Class holds what the recorder needs to know of a class of queries.
 type Class struct {
 	Name                 string
-	LatencyTarget        time.Duration // an answer is wanted within it
+	LatencyTarget        time.Duration // how soon an answer is wanted
 	LatencyTargetPerWork float64       // the target grows by this multiple of the query's own work
-	Deadline             time.Duration // of all tries of a client
+	Deadline             time.Duration // how long a client waits, over all its tries
 }
 
-// Config is what a Recorder is made from.
+// Config configures a Recorder.
 type Config struct {
 	Classes     []Class
-	MemoryBytes int     // bytes that all traces held may take, about
-	Spans       float64 // spans a second and class that may be kept; what is always kept has precedence
-	Seed        uint64  // of the ids
+	MemoryBytes int     // approximate limit of all records together, in bytes
+	Spans       float64 // limit of kept spans per second and class; always-kept traces take precedence
+	Seed        uint64  // for generating ids
 }
 
 const (
-	// slackShare of the aim before its end, but at least slackLeast, an answer counts
-	// as over it: its client counts from when it asked to when it has the last byte.
+	// An answer counts as late from this share of its latency target before the target,
+	// and at least minClientDelay before it: the client measures from sending the query
+	// to receiving the last byte.
 	clientDelayShare = 0.1
 	minClientDelay   = 25 * time.Millisecond
-	maxDecisionWait  = 10 * time.Second // how long a query may wait for a sign that it mattered
-	maxFirstTries    = 8192             // first tries that are remembered by content
-	firstTrySize     = 96               // bytes of one, about
-	rootOnlyShare    = 0.75             // share of the memory beyond which new queries are recorded as roots only
-	maxFreeRecords   = 64               // records kept for use again
+	maxDecisionWait  = 10 * time.Second // how long the decision to keep a query may wait for a retry of its client
+	maxFirstTries    = 8192             // first tries that are remembered by the hash of their content
+	firstTrySize     = 96               // bytes of a firstTry with its index entry, approximately
+	rootOnlyShare    = 0.75             // share of the memory limit above which only the roots of new queries are recorded
+	maxFreeRecords   = 64               // released records kept for reuse
 )
 
-// Recorder records queries, and decides which are kept. All of its methods may be
-// called on a nil Recorder, which records nothing.
+// Recorder records queries and decides which traces are kept. A nil Recorder records
+// nothing. A Recorder is not safe for concurrent use.
 type Recorder struct {
 	cfg           Config
 	rng           *rand.Rand
@@ -45,17 +46,17 @@
 	now           time.Duration
 	bytes         int
 	open          int
-	byTrace       map[TraceID]*Query // open and waiting ones, the latest of each trace
+	byTrace       map[TraceID]*Query // open queries and those waiting for a decision, the latest of each trace
 	firstTries    map[uint64]firstTry
-	firstTryOrder []uint64   // of firsts, by time
-	waiting       queryQueue // ended, of no interest so far
+	firstTryOrder []uint64   // keys of firstTries, oldest first
+	waiting       queryQueue // ended without a reason to be kept so far
 	kept          keptTraces
 	lost          []Loss
 	free          []*Query
 	stats         Stats
 }
 
-// first is a first try, remembered by its content.
+// firstTry is the trace of a query that may be retried, found by the hash of its content.
 type firstTry struct {
 	trace TraceID
 	root  SpanID
@@ -64,22 +65,22 @@
 
 // Stats counts what a Recorder has done since its start.
 type Stats struct {
-	Queries int64 // that ended
-	Always  int64 // kept for a reason
-	Chance  int64 // kept by chance
-	NotKept int64 // not kept
+	Queries int64 // queries that ended
+	Always  int64 // traces kept for a reason
+	Chance  int64 // traces kept by sampling
+	NotKept int64 // traces rejected by sampling
 	Bytes   int   // held now
 }
 
-// Loss counts what could not be held of a class.
+// Loss counts traces of a class that were lost for want of memory.
 type Loss struct {
 	Class      int
-	Always     int // traces that were to be kept for a reason and are not
-	Chance     int // traces that were to be kept by chance and are not
-	Unrecorded int // queries of which nothing was recorded
+	Always     int // lost traces that had a reason to be kept
+	Chance     int // lost traces that sampling had chosen
+	Unrecorded int // queries that were not recorded at all
 }
 
-// New returns a Recorder that has seen nothing.
+// New returns an empty Recorder.
 func New(cfg Config) *Recorder {
 	r := &Recorder{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x7472616365)), byTrace: map[TraceID]*Query{},
 		firstTries: map[uint64]firstTry{}, samplers: make([]sampler, len(cfg.Classes)), lost: make([]Loss, len(cfg.Classes))}
@@ -90,21 +91,22 @@
 	return r
 }
 
-// Start is what is known of a query when it begins.
+// Start describes a query at its begin.
 type Start struct {
 	Context     Context
 	Front       string
-	Class       int // index
+	Class       int // index in Config.Classes
 	WireID      string
-	Key         string // idempotency key
-	ContentHash uint64 // of what is asked for, by Content; 0: not known
-	Repeat      bool   // the client says that it asks again
-	Left        time.Duration
-	Work        time.Duration
-	Version     uint64 // of the settings that the mixer acts on; 0: its own
+	Key         string        // idempotency key
+	ContentHash uint64        // as returned by ContentHash; 0: unknown
+	Repeat      bool          // the client marked the query as a retry
+	Left        time.Duration // until its deadline
+	Work        time.Duration // the query's own work, which raises its latency target
+	Version     uint64        // of the fleet's settings that the mixer uses; 0: the mixer's own settings
 }
 
-// ContentHash sums up what a query asks for, so that a retry is known by it.
+// ContentHash returns a hash of what a query asks for, by which a retry is recognized. It
+// is never 0.
 func ContentHash(class int, text []byte, shards []int) uint64 {
 	h := xxh3.Hash(text)
 	var b [16]byte
@@ -118,11 +120,11 @@
 	return max(1, xxh3.Hash(b[:]))
 }
 
-// KeyHash sums up an idempotency key of a class.
+// KeyHash returns a hash of an idempotency key and its class. It is never 0.
 func KeyHash(class int, key string) uint64 { return max(1, xxh3.HashStringSeed(key, uint64(class))) }
 
-// Begin opens a query's record. It returns nil where nothing can be recorded, which
-// is counted as a loss; all methods of a nil Query do nothing.
+// Begin opens the record of a query. It returns nil if there is no memory for it, which is
+// counted as a loss; recording on a nil Query does nothing.
 func (r *Recorder) Begin(now time.Duration, s Start) *Query {
 	if r == nil {
 		return nil
@@ -148,8 +150,8 @@
 	return q
 }
 
-// join finds the trace that a query belongs to: the one that its client names, or
-// that of its first try, or a new one.
+// assignTrace sets the trace of a query: the one that its client sent, that of its first
+// try, or a new one.
 func (r *Recorder) assignTrace(q *Query, s Start) {
 	again := s.Repeat
 	switch {
@@ -174,12 +176,12 @@
 		} else {
 			r.generateTraceID(&q.Trace)
 			if again {
-				r.markClientRetry(q, "") // its first try was elsewhere, or is forgotten
+				r.markClientRetry(q, "") // its first try was at another mixer, or is no longer remembered
 			}
 		}
 	}
 	if old := r.byTrace[q.Trace]; old != nil && again && old.Class == q.Class {
-		// Its first try mattered, whether it is open or has ended.
+		// A retried query is always kept, whether it is open or has ended.
 		old.Event(q.Begin, -1, ClientRetried, q.WireID)
 	}
 	r.byTrace[q.Trace] = q
@@ -193,7 +195,7 @@
 	q.Event(q.Begin, -1, JoinedTrace, by)
 }
 
-// remember keeps a first try for the time in which it may be asked again.
+// rememberFirstTry stores a first try for the time in which it may be retried.
 func (r *Recorder) rememberFirstTry(content uint64, f firstTry) {
 	if _, ok := r.firstTries[content]; !ok {
 		r.firstTryOrder = append(r.firstTryOrder, content)
@@ -224,8 +226,8 @@
 	}
 }
 
-// End closes a query's record. What is of interest is kept at once; the rest waits
-// for as long as its client may ask again.
+// End closes the record of a query. A trace with a reason to be kept is kept at once. The
+// others wait for a decision for as long as their client may retry, at most maxDecisionWait.
 func (r *Recorder) End(now time.Duration, q *Query, how Ending, why uint8) {
 	if r == nil || q == nil || q.recordState != recordOpen {
 		return
@@ -256,7 +258,7 @@
 	r.makeRoom(0)
 }
 
-// settle decides on a query that has waited for a sign that it mattered.
+// decide keeps or releases a query that has waited for a reason to be kept.
 func (r *Recorder) decide(q *Query) {
 	switch {
 	case q.KeepReasons != 0:
@@ -281,14 +283,14 @@
 	r.kept.push(q)
 }
 
-// unindex forgets where a query is found by its trace.
+// unindex removes a query from the index by trace.
 func (r *Recorder) unindex(q *Query) {
 	if r.byTrace[q.Trace] == q {
 		delete(r.byTrace, q.Trace)
 	}
 }
 
-// release gives a record back.
+// release frees a record for reuse.
 func (r *Recorder) release(q *Query) {
 	r.unindex(q)
 	r.bytes -= q.size
@@ -309,7 +311,8 @@
 	return q
 }
 
-// tick settles what has waited for long enough.
+// advance sets the time, decides on queries that have waited long enough, and removes
+// first tries that can no longer be retried.
 func (r *Recorder) advance(now time.Duration) {
 	r.now = max(r.now, now)
 	for i := range r.samplers {
@@ -323,8 +326,8 @@
 	}
 }
 
-// Take returns kept traces of about so many spans, oldest first; they are the
-// caller's from then on.
+// Take removes kept traces of about spans spans in total, and returns them oldest first.
+// The caller owns them.
 func (r *Recorder) Take(now time.Duration, spans int) (list []*Query) {
 	if r == nil {
 		return nil
@@ -340,7 +343,7 @@
 	return list
 }
 
-// TakeLoss returns what was lost since the last call.
+// TakeLoss returns, by class, what was lost since the last call.
 func (r *Recorder) TakeLoss() (list []Loss) {
 	if r == nil {
 		return nil
@@ -354,7 +357,7 @@
 	return list
 }
 
-// Flush settles all that waits: the mixer ends.
+// Flush decides on all queries that wait for a decision. It is called when the mixer ends.
 func (r *Recorder) Flush(now time.Duration) {
 	if r == nil {
 		return
@@ -365,7 +368,7 @@
 	}
 }
 
-// Stats tells what the Recorder has done.
+// Stats returns the counters of the Recorder.
 func (r *Recorder) Stats() Stats {
 	if r == nil {
 		return Stats{}
@@ -375,5 +378,5 @@
 	return s
 }
 
-// ClassName is the name of a class.
+// ClassName returns the name of the class at an index of Config.Classes.
 func (r *Recorder) ClassName(class int) string { return r.cfg.Classes[class].Name }
--- a/internal/tracing/sampling.go
+++ b/internal/tracing/sampling.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	adaptInterval    = time.Second // how often a class's probability may change
-	newRateWeight    = 0.3         // of a new second in the rates
-	minSampledShare  = 0.05        // of the budget that chance keeps, whatever is always kept
-	doubleBelowShare = 0.7         // of its room that chance must leave free before it keeps twice as many
+	adaptInterval    = time.Second // how often the sampling probability of a class may change
+	newRateWeight    = 0.3         // weight of the latest window in the smoothed rates
+	minSampledShare  = 0.05        // share of the limit that sampling keeps, however much is always kept
+	doubleBelowShare = 0.7         // the probability is doubled only if sampling then takes at most this share of its room
 	maxShift         = 30
 )
 
-// budget is what a class may spend on traces that chance keeps. Their probability
-// is a power of a half, so that what one mixer keeps at a lower one is kept at any
-// higher one too: mixers that adapt on their own choose alike as far as they can.
+// sampler adapts the probability with which traces of a class are kept by sampling to a
+// limit of spans per second. The probability is a power of 1/2, and a trace kept at a lower
+// probability is also kept at any higher one. So mixers that adapt independently keep the
+// same traces as far as possible.
 type sampler struct {
-	limit                   float64 // spans a second
-	shift                   uint8   // probability 2^-shift
-	alwaysRate, otherRate   float64 // spans a second, smoothed
-	alwaysSpans, otherSpans int     // spans in this window
+	limit                   float64 // spans per second
+	shift                   uint8   // the probability is 2^-shift
+	alwaysRate, otherRate   float64 // spans per second, smoothed
+	alwaysSpans, otherSpans int     // spans in the current window
 	windowBegin             time.Duration
 	begun                   bool
 }
@@ -34,8 +35,8 @@
 	}
 }
 
-// adapt sets the probability anew once a window is over. It falls at once and
-// rises by one step a window: a budget is a promise, a fuller picture is not.
+// adapt updates the probability at the end of a window. It falls at once, as the limit has
+// to hold, and rises by one step per window, as keeping more traces can wait.
 func (b *sampler) adapt(now time.Duration) {
 	if !b.begun {
 		b.begun, b.windowBegin = true, now
@@ -64,20 +65,21 @@
 	}
 }
 
-// chosen tells whether chance keeps a query's trace. It goes by the trace's id
-// alone, as OpenTelemetry's consistent probability sampling has it.
+// sampledByChance reports whether sampling keeps the trace of a query. It depends on the
+// trace id and the probability of the class alone, as in OpenTelemetry's consistent
+// probability sampling.
 func (r *Recorder) sampledByChance(q *Query) bool {
 	return q.Trace.random() >= threshold(r.samplers[q.Class].shift)
 }
 
-// threshold is OpenTelemetry's rejection threshold for a probability of 2^-shift.
+// threshold returns OpenTelemetry's rejection threshold for a probability of 2^-shift.
 func threshold(shift uint8) uint64 {
 	const all = uint64(1) << randomBits
 	return all - all>>shift
 }
 
-// Threshold is the value th of OpenTelemetry's tracestate for a trace that stands
-// for 2^shift of its kind.
+// Threshold returns the value of th in OpenTelemetry's tracestate for a trace that stands
+// for 2^shift traces.
 func Threshold(shift uint8) string {
 	if shift == 0 {
 		return "0"
@@ -87,8 +89,8 @@
 	return strings.TrimRight(s, "0")
 }
 
-// Weight is how many queries a kept trace stands for, so that rates can be
-// computed from what is kept: 1 for one that is kept for a reason.
+// Weight returns how many queries a kept trace stands for, so that rates can be computed
+// from kept traces. It is 1 for a trace that was kept for a reason.
 func (q *Query) Weight() float64 {
 	if q.KeepReasons != 0 {
 		return 1
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,7 +11,8 @@
 	"kiteloft/internal/standin/pure"
 )
 
-// TestPure: no I/O, no clock, no goroutine, and nothing of the rest of the program.
+// TestImportsArePure checks that the package imports nothing that does I/O, reads a clock
+// or starts goroutines, and no other package of the program.
 func TestImportsArePure(t *testing.T) {
 	pure.Imports(t, "cmp", "crypto/sha256", "encoding/binary", "encoding/hex", "math/rand/v2", "slices", "strconv", "strings", "time",
 		"github.com/zeebo/xxh3")
@@ -25,7 +26,7 @@
 		{Name: "booking", LatencyTarget: 1500 * ms, Deadline: 4 * time.Second}}})
 }
 
-// play records a query of one part, answered by its first attempt after so long.
+// recordQuery records a query of one part, answered by its first attempt after took.
 func recordQuery(r *Recorder, at time.Duration, s Start, took time.Duration) *Query {
 	if s.Left == 0 {
 		s.Left = 4 * time.Second
@@ -46,7 +47,7 @@
 	whole := "00-" + trace + "-" + span + "-01"
 	tests := []struct {
 		name, parent, state string
-		want                string // as a header again; "": ignored
+		want                string // the context as a traceparent; "": ignored
 		wantState           string
 	}{
 		{"whole", whole, "rojo=00f067aa0ba902b7,congo=t61rcWkgMzE", whole, "rojo=00f067aa0ba902b7,congo=t61rcWkgMzE"},
@@ -113,7 +114,7 @@
 	})
 }
 
-// ending is a query without parts that ends so.
+// endQuery returns a function that records a query without parts and with that ending.
 func endQuery(how Ending, why uint8) func(*Recorder) *Query {
 	return func(r *Recorder) *Query {
 		q := r.Begin(0, Start{Left: time.Second})
@@ -162,8 +163,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newTestRecorder(1<<20, 1e-9) // chance keeps next to nothing
-			for i := range 3000 {             // the budget has learned that
+			r := newTestRecorder(1<<20, 1e-9) // sampling keeps next to nothing
+			for i := range 3000 {             // lets the sampler lower the probability
 				recordQuery(r, time.Duration(i)*ms, Start{}, 0)
 			}
 			r.Flush(20 * time.Second)
@@ -178,7 +179,7 @@
 	}
 }
 
-// TestRetriesJoinTheirFirstTries is the table of ways in which a retry is known.
+// TestRetryJoinsTraceOfFirstTry covers the ways in which a retry is recognized.
 func TestRetryJoinsTraceOfFirstTry(t *testing.T) {
 	ctx := ParseContext("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01", "")
 	other := ParseContext("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b8-01", "")
@@ -186,10 +187,10 @@
 		name         string
 		first, again Start
 		open         bool // the first try is still open
-		elsewhere    bool // the retry comes to another mixer
+		elsewhere    bool // the retry reaches another mixer
 		later        time.Duration
-		same         bool // trace
-		noted        bool // on the first try
+		same         bool // both have the same trace
+		noted        bool // the first try is marked as retried
 	}{
 		{name: "by key, first try over", first: Start{Class: 1, Key: "k"}, again: Start{Class: 1, Key: "k"}, same: true, noted: true},
 		{name: "by key, first try open", first: Start{Class: 1, Key: "k"}, again: Start{Class: 1, Key: "k"}, open: true, same: true, noted: true},
@@ -241,8 +242,8 @@
 	}
 }
 
-// TestChanceKeepsWithinItsBudgetAndSaysItsWeight has one class flood: the kept spans
-// fit the budget, and the weights add up to what came.
+// TestSamplingStaysWithinLimitAndReportsWeight floods one class: the kept spans stay near
+// the limit, and the weights add up to the number of queries.
 func TestSamplingStaysWithinLimitAndReportsWeight(t *testing.T) {
 	const perSecond, spans = 500, 100.0
 	r := newTestRecorder(64<<20, spans)
@@ -270,8 +271,8 @@
 	}
 }
 
-// TestMixersChooseAlike: what one keeps at a lower probability, any keeps at a
-// higher one.
+// TestSamplingIsConsistentAcrossMixers checks that a trace kept at a lower probability is
+// also kept at a higher one.
 func TestSamplingIsConsistentAcrossMixers(t *testing.T) {
 	a, b := newTestRecorder(1<<20, 1), newTestRecorder(1<<20, 1)
 	a.samplers[0].shift, b.samplers[0].shift = 3, 5
@@ -294,7 +295,7 @@
 	}
 }
 
-// TestCriticalPath checks the stretches that a query's time is charged to.
+// TestCriticalPath checks to which segments the time of a query is attributed.
 func TestCriticalPath(t *testing.T) {
 	type step struct {
 		Stage    Stage
