--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,5 @@
-// Command soak plays seeds of the fault soak and says which rules were broken.
+// Command soak runs the fault soak for a range of seeds and prints which rules were broken. It exits with status 1
+// if a rule was broken, and with 2 if --add names an unknown kind of trouble.
 package main
 
 import (
@@ -37,7 +38,7 @@
 	os.Exit(f.run())
 }
 
-// total adds up runs.
+// summary adds up the reports of all runs. Its add may be called from several goroutines.
 type summary struct {
 	mu          sync.Mutex
 	seeds       int
@@ -49,6 +50,7 @@
 	violations  map[string]int
 }
 
+// run runs all seeds, Parallel at a time, and returns the exit status.
 func (f flags) run() int {
 	program, err := filepath.Abs(f.Program)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return 0
 }
 
-// play plays a seed with some of its troubles.
+// runWith runs a seed with the given troubles.
 func (f flags) runWith(seed uint64, troubles []soak.Trouble) (soak.Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -94,6 +96,7 @@
 		Length: f.Length, Troubles: troubles})
 }
 
+// seed runs a seed with the troubles that the flags select, adds its report to sum, and explains violations.
 func (f flags) seed(seed uint64, sum *summary) {
 	troubles := soak.DrawTroubles(seed, f.Length)
 	if len(f.Only) > 0 {
@@ -123,7 +126,7 @@
 	}
 }
 
-// explain prints what broke, with its request's timeline.
+// printViolations prints the troubles and violations of a run, with the timeline of the first violation of each rule.
 func printViolations(seed uint64, troubles []soak.Trouble, r soak.Report) {
 	text := fmt.Sprintf("seed %d: %d breaks\n", seed, len(r.Violations))
 	for i, t := range troubles {
@@ -140,7 +143,7 @@
 	fmt.Print(text)
 }
 
-// shrink leaves out troubles one at a time, for as long as the rule still breaks.
+// shrink removes troubles one at a time while the rule is still broken without them, and prints those that remain.
 func (f flags) shrink(seed uint64, troubles []soak.Trouble, rule string) {
 	for i := 0; i < len(troubles); {
 		fewer := slices.Delete(slices.Clone(troubles), i, i+1)
@@ -157,6 +160,7 @@
 	}
 }
 
+// add adds a seed's report and prints its line.
 func (s *summary) add(seed uint64, r soak.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,6 +184,7 @@
 	fmt.Printf("seed %d: %d requests, %d breaks\n", seed, r.Requests, len(r.Violations))
 }
 
+// print prints the totals.
 func (s *summary) print() {
 	fmt.Printf("%d seeds, %d requests, %d pairs of kinds that overlapped (%d times)\n", s.seeds, s.requests, len(s.overlaps), sumCounts(s.overlaps))
 	fmt.Println("outcomes:", s.outcomes)
@@ -191,6 +196,7 @@
 	fmt.Println("broken rules:", s.violations, "in seeds", s.failedSeeds)
 }
 
+// sumCounts returns the sum of the values.
 func sumCounts[K comparable](m map[K]int) (n int) {
 	for _, c := range m {
 		n += c
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,20 +16,20 @@
 	"kiteloft/internal/standin"
 )
 
-// client asks one mixer, as the clients of a zone's front would.
+// client sends requests to the mixer in one slot, as the clients of a zone's front do.
 type client struct {
 	env  *environment
 	slot *slot
 	rng  *rand.Rand
-	rest chan *connection // connections that rest
+	rest chan *connection // idle connections, for reuse
 }
 
-// line is a client's connection.
+// connection is a client's connection to a process.
 type connection struct {
 	net.Conn
 	r       *bufio.Reader
 	process *process
-	used    bool // an answer has come on it
+	used    bool // an answer was read from it
 }
 
 const (
@@ -37,7 +37,8 @@
 	dialTimeout        = 2 * time.Second
 )
 
-// run asks until the world is over, whatever becomes of the requests before.
+// run sends requests at random intervals with a mean of 1/Rate until clients have to stop. It doesn't wait for
+// earlier requests to be answered.
 func (c *client) run() {
 	for !c.env.clientsStopping() {
 		time.Sleep(time.Duration(c.rng.ExpFloat64() / c.env.o.Rate * float64(time.Second)))
@@ -67,7 +68,7 @@
 	}
 }
 
-// draw draws a request.
+// draw returns a random request; active kinds of trouble may shorten its deadline.
 func (c *client) draw(t [kindCount]bool) *request {
 	r := &request{id: c.env.nextRequestID(), class: classes[c.rng.IntN(len(classes))], deadline: 300*time.Millisecond + time.Duration(c.rng.IntN(2700))*time.Millisecond}
 	if t[ShortDeadlines] && c.rng.IntN(2) == 0 {
@@ -80,6 +81,7 @@
 	return r
 }
 
+// text returns the request in HTTP/1.1.
 func (r *request) text() string {
 	body := standin.Query{Shards: r.shards}.Body()
 	key := ""
@@ -90,7 +92,7 @@
 		r.class.name, r.id, r.deadline.Milliseconds(), key, len(body), body)
 }
 
-// connect returns a connection that rests, or a new one; nil where the mixer takes none.
+// connect returns an idle connection or a new one, or nil if the mixer accepts none.
 func (c *client) connect() *connection {
 	select {
 	case conn := <-c.rest:
@@ -100,7 +102,8 @@
 	}
 }
 
-// dial returns a new connection; nil where the mixer takes none.
+// dial returns a new connection, or nil if the mixer accepts none. It records a violation if the mixer may not
+// refuse.
 func (c *client) dial() *connection {
 	p := c.slot.acceptingProcess()
 	if p == nil {
@@ -116,7 +119,8 @@
 	return &connection{Conn: conn, r: bufio.NewReader(conn), process: p}
 }
 
-// ask sends requests at once and waits for their answers.
+// sendAndAwait pipelines requests on one connection and waits for their answers, or closes the connection after
+// leave if that is positive.
 func (c *client) sendAndAwait(list []*request, leave time.Duration, pieces bool) {
 	conn := c.connect()
 	if conn == nil {
@@ -131,12 +135,12 @@
 	if len(rest) == 0 {
 		return
 	}
-	// A close may have crossed the requests on a connection that had rested: they are sent once
-	// more. So are those that were sent behind the answer with which the mixer closed.
+	// The mixer may have closed an idle connection while the requests were under way to it. They are sent once
+	// more, as are pipelined requests behind the answer with which the mixer closed the connection.
 	if conn.used && !conn.process.wasKilled() {
 		c.env.record(rest[0].id, "closed without an answer on a connection that had been used: sent once more")
 		if conn = c.dial(); conn == nil {
-			return // the front would send it to another mixer
+			return // the front would send the requests to another mixer
 		}
 		c.sendRequests(conn, rest, false)
 		rest = c.readAnswers(conn, rest)
@@ -146,7 +150,7 @@
 	}
 }
 
-// lost notes a request without an answer.
+// reportLost counts a request without an answer, as a violation unless the mixer may lose it.
 func (c *client) reportLost(conn *connection, r *request) {
 	if conn == nil || conn.process.mayLose(r) {
 		c.env.countOutcome("went down with its mixer")
@@ -155,12 +159,13 @@
 	c.env.recordViolation("lost", r.id, "no answer from %s within %v, sent %v ago", conn.process.name, r.deadline, time.Since(r.sentAt))
 }
 
+// sendRequests registers the requests and writes them, in small pieces with pauses if pieces is set.
 func (c *client) sendRequests(conn *connection, list []*request, pieces bool) {
 	var text strings.Builder
 	for _, r := range list {
 		text.WriteString(r.text())
 		r.process = conn.process
-		// Until it is whole, what it is told of counts from now.
+		// A first value, for attempts that start before the whole request is written.
 		r.sentAt = time.Now()
 		c.env.registerRequest(r)
 		c.env.record(r.id, "%s to %s, deadline %v", r.class.name, conn.process.name, r.deadline)
@@ -180,10 +185,10 @@
 		r.sentAt = time.Now()
 		r.mu.Unlock()
 	}
-	_, _ = io.WriteString(conn, b) // an error shows when the answer is read
+	_, _ = io.WriteString(conn, b) // reading the answer reports the error
 }
 
-// leave closes the connection with requests open.
+// leave closes or resets the connection, with requests still open, after a delay.
 func (c *client) leave(conn *connection, list []*request, after time.Duration) {
 	time.Sleep(after)
 	if tcp, ok := conn.Conn.(*net.TCPConn); ok && c.env.randomBelow(2) == 0 {
@@ -199,7 +204,8 @@
 	}
 }
 
-// answers reads the answers to the requests and returns those that got none.
+// readAnswers reads the answers to the requests in order, and returns the requests that got none and may be sent
+// again. It keeps a connection that stays open for reuse.
 func (c *client) readAnswers(conn *connection, list []*request) (rest []*request) {
 	for i, r := range list {
 		longest := r.deadline
@@ -234,7 +240,7 @@
 	return nil
 }
 
-// checkAnswer checks what a client was served.
+// checkAnswerBody checks that an answer is complete if it says so, and that each part has the value of this request.
 func (env *environment) checkAnswerBody(r *request, body string) {
 	var answer struct {
 		Entire bool
@@ -257,7 +263,8 @@
 	}
 }
 
-// stall stops in the middle of a request and stays: it is owed an error or a close.
+// stallMidRequest sends half of a request and stays connected. The mixer has to send an error or close the
+// connection within badClientLimit.
 func (c *client) stallMidRequest() {
 	conn := c.connect()
 	if conn == nil {
@@ -275,7 +282,7 @@
 	}
 }
 
-// flood sends without end, and then goes without a word.
+// flood writes malformed requests without reading answers, up to a limit or an error, and closes the connection.
 func (c *client) flood() {
 	conn := c.connect()
 	if conn == nil {
@@ -291,7 +298,7 @@
 	}
 }
 
-// crowd connects and says nothing.
+// connectSilently connects and sends nothing, until the mixer closes the connection or 5 s have passed.
 func (c *client) connectSilently() {
 	p := c.slot.acceptingProcess()
 	if p == nil {
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -33,12 +33,12 @@
 
 const (
 	cells               = 8
-	cellsPerSlice       = 2
-	maxAttempts         = 4
-	coldDuration        = 4 * time.Second
-	coldStartShare      = 0.3
-	coldWindow          = time.Second
-	coldMultiple        = 3.0
+	cellsPerSlice       = 2               // adjacent cells whose servers hold a slice
+	maxAttempts         = 4               // of a part
+	coldDuration        = 4 * time.Second // slow start of a server
+	coldStartShare      = 0.3             // of the full load, at the beginning of a slow start
+	coldWindow          = time.Second     // over which parts to a cold server are counted
+	coldMultiple        = 3.0             // allowed load within coldWindow, as a multiple of the capacity
 	meanPartsPerRequest = 2.5             // by the draw of 1 to 4 slices per request
 	minCapacityFactor   = 1.0             // least capacity that the mixer may assume of a warm server, as a multiple of its mean share of the parts
 	settleTime          = 6 * time.Second // between the last request of the clients and the end of the mixers
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	minWork        = 3 * time.Millisecond // of a part
-	maxExtraWork   = 25 * time.Millisecond
-	maxFrameBytes  = 1 << 20
-	unreadMargin   = 300 * time.Millisecond // after it did not read, what it reads may have been sent before
-	idleCloseAfter = 300 * time.Millisecond // after which a server in that trouble closes a connection
+	minWork        = 3 * time.Millisecond   // least processing time of a part
+	maxExtraWork   = 25 * time.Millisecond  // random addition to it
+	maxFrameBytes  = 1 << 20                // larger frames break the protocol
+	unreadMargin   = 300 * time.Millisecond // after a server resumes reading, parts that it reads may have been sent earlier
+	idleCloseAfter = 300 * time.Millisecond // idle time after which a server closes a connection, under CloseIdle
 )
 
-// server is a stand-in server that behaves as it is told.
+// server is a stand-in server whose behaviour the injector sets.
 type server struct {
 	env      *environment
 	id       string
@@ -34,16 +34,17 @@
 	mu           sync.Mutex
 	rng          *rand.Rand
 	ended        bool
-	connections  map[net.Conn]time.Time // and when each was last used
-	hangEnd      time.Time              // until when it answers nothing
-	deafEnd      time.Time              // until when it does not read
-	spoils       time.Time              // until when some answers are spoilt
-	idleCloseEnd time.Time              // until when it closes connections that rest
-	startedAt    time.Time              // its last start
-	cold         bool                   // it was started while we ran
-	partArrivals []time.Time            // parts since its start
+	connections  map[net.Conn]time.Time // open connections, with the time of their last use
+	hangEnd      time.Time              // until then it answers nothing
+	deafEnd      time.Time              // until then it doesn't read
+	spoils       time.Time              // until then some answers are corrupt
+	idleCloseEnd time.Time              // until then it closes idle connections
+	startedAt    time.Time              // its start
+	cold         bool                   // it was started during the run, so slow start applies
+	partArrivals []time.Time            // times of the parts within coldDuration of its start
 }
 
+// newServer starts a server of a cell on a free local port.
 func (env *environment) newServer(id string, cell int, cold bool) (*server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,6 +57,7 @@
 	return s, nil
 }
 
+// acceptConnections serves each new connection until the listener is closed.
 func (s *server) acceptConnections() {
 	for {
 		c, err := s.listener.Accept()
@@ -73,7 +75,7 @@
 	}
 }
 
-// crash ends the server: it listens no more and its connections are reset.
+// crash ends the server: it stops listening, and its connections are reset.
 func (s *server) crash() {
 	s.mu.Lock()
 	s.ended = true
@@ -83,8 +85,8 @@
 	s.resetConnections()
 }
 
-// hold keeps the address of a server that has crashed, so that nobody else's server is found
-// there: connections to it are refused.
+// reserveAddress binds the address of a crashed server without listening, so that connections to it are refused and
+// no other server can get the port.
 func (s *server) reserveAddress() {
 	if s.env.hasEnded() {
 		return
@@ -95,14 +97,14 @@
 		s.env.record("", "server %s: its address is not held: %v", s.id, err)
 		return
 	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // for what is left of its connections
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // connections of the crashed server may still hold the port
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Port: at.Port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		s.env.record("", "server %s: its address is not held: %v", s.id, err)
 	}
 	s.env.trackSocket(fd)
 }
 
-// reset resets all connections.
+// resetConnections resets all open connections.
 func (s *server) resetConnections() {
 	s.mu.Lock()
 	list := s.connections
@@ -114,6 +116,8 @@
 	}
 }
 
+// closeIdleConnections closes idle connections while idleCloseEnd is in the future. It returns when the server has
+// ended.
 func (s *server) closeIdleConnections() {
 	for ; !s.hasEnded(); time.Sleep(50 * time.Millisecond) {
 		s.mu.Lock()
@@ -127,26 +131,28 @@
 	}
 }
 
+// hasEnded reports whether the server or the run has ended.
 func (s *server) hasEnded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ended || s.env.hasEnded()
 }
 
-// set changes the server's behaviour.
+// update calls change with s.mu held.
 func (s *server) update(change func(s *server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
+// deafUntil returns the time until which the server doesn't read.
 func (s *server) deafUntil() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.deafEnd
 }
 
-// serve reads calls from a connection.
+// serveConnection reads frames from a connection until it is closed or breaks the protocol.
 func (s *server) serveConnection(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
@@ -158,7 +164,7 @@
 	send := func(b []byte) {
 		writing.Lock()
 		defer writing.Unlock()
-		_, _ = c.Write(b) // the mixer may have gone
+		_, _ = c.Write(b) // the mixer may have closed the connection
 	}
 	r := bufio.NewReader(c)
 	for {
@@ -191,6 +197,7 @@
 	}
 }
 
+// frame handles one frame: '1' carries parts, '3' is a probe, which a hanging server doesn't answer.
 func (s *server) frame(c net.Conn, send func([]byte), letter byte, rest string, came time.Time) {
 	switch letter {
 	case '1':
@@ -216,13 +223,15 @@
 	}
 }
 
+// isHanging reports whether the server answers nothing now.
 func (s *server) isHanging() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Now().Before(s.hangEnd)
 }
 
-// part does the work of one part.
+// handlePart records the arrival of a part and answers it after a random processing time. While spoils is in the
+// future, some answers are corrupt.
 func (s *server) handlePart(c net.Conn, send func([]byte), words []string, text string, came time.Time) {
 	a := &arrival{server: s, id: words[0], text: text, at: came, delayed: time.Since(s.deafUntil()) < unreadMargin}
 	a.shard, _ = strconv.Atoi(words[1])
@@ -242,15 +251,15 @@
 	time.AfterFunc(work, func() {
 		switch {
 		case s.isHanging():
-		case spoils && draw < 0.1: // half of an answer, then a reset
+		case spoils && draw < 0.1: // half of the answer, then a reset
 			send(answer[:len(answer)/2])
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
-		case spoils && draw < 0.2: // half of an answer, and no more
+		case spoils && draw < 0.2: // half of the answer, and nothing more
 			send(answer[:len(answer)/2])
 		case spoils && draw < 0.3:
 			send(answerFrame(words[0] + " E 0 -\n"))
-		case spoils && draw < 0.35: // twice
+		case spoils && draw < 0.35: // the answer twice
 			send(append(append([]byte{}, answer...), answer...))
 		default:
 			send(answer)
@@ -258,12 +267,14 @@
 	})
 }
 
-// value is what a server makes of a part: a client can tell whether it is its own.
+// partValue returns a server's result for a part. It names the request and the slice, so that a client can check
+// that the result is its own.
 func partValue(id, shard string) string {
 	request, _, _ := strings.Cut(id, ".")
 	return "v-" + request + "-" + shard
 }
 
+// answerFrame encodes a frame of letter '5', an answer.
 func answerFrame(text string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(1+len(text)))
 	return append(append(b, '5'), text...)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,7 +15,7 @@
 	os.Exit(m.Run())
 }
 
-// program builds the mixer.
+// buildMixer builds the mixer and returns its path.
 func buildMixer(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "kiteloft")
@@ -25,7 +25,7 @@
 	return path
 }
 
-// TestShortSoak plays a few small fleets. make soak plays large ones for longer.
+// TestShortSoak runs three seeds with small fleets for 12 s each. make soak runs larger fleets for longer.
 func TestShortSoak(t *testing.T) {
 	path := buildMixer(t)
 	for seed := range uint64(3) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestSchedulesAreOfTheirSeeds: the same seed has the same troubles, most of them beside others.
+// TestScheduleIsDeterminedBySeed checks that a seed always draws the same troubles, that they lie within the run,
+// that all kinds occur, and that on average at least two pairs overlap per seed.
 func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	const seeds, length = 200, 30 * time.Second
 	overlaps, seen := 0, map[Kind]bool{}
