--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -50,7 +50,7 @@
 	for i, k := range steps {
 		for j := max(0, i-1); j <= min(i+1, len(steps)-1); j++ { // adjacent steps run in one fleet
 			if _, err := steps[j].open(k.seal([]byte("words"))); err != nil {
-				t.Errorf("step %d to step %d: %v", i, j, err)
+				t.Errorf("a packet sealed in step %d is rejected in step %d: %v", i, j, err)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		}
 		keys, err := ReadKeys(path)
 		if len(keys) != want || (err == nil) != (want > 0) {
-			t.Errorf("%q: %d keys, %v", text, len(keys), err)
+			t.Errorf("key file %q: %d keys, %v", text, len(keys), err)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		want bool
 	}{{5, true}, {5, false}, {3, true}, {3, false}, {70, true}, {5, false}, {7, true}, {6, false}, {1000, true}, {70, false}} {
 		if got := s.markSeen(c.n); got != c.want {
-			t.Errorf("%d: %v", c.n, got)
+			t.Errorf("packet number %d: new is %v", c.n, got)
 		}
 	}
 }
--- a/internal/fleet/nodelist/nodelist.go
+++ b/internal/fleet/nodelist/nodelist.go
@@ -28,7 +28,7 @@
 	watcherTimeout     = 5 * time.Second // without a message from a watcher, after which this mixer watches discovery itself
 	watchDutyPrefix    = "watch/"
 	entryKeyPrefix     = "roll/"
-	maxLinesPerMessage = 400 // lines in one word
+	maxLinesPerMessage = 400 // further lines are left out
 )
 
 // Core is what this package needs of the core.
