--- a/cmd/loft/faults.go
+++ b/cmd/loft/faults.go
@@ -36,12 +36,12 @@
 	for _, c := range r.Changes {
 		key := [2]string{c.By, c.Member}
 		list := out[key]
-		begun := time.Duration(0)
+		start := time.Duration(0)
 		if n := len(list); n > 0 {
-			begun = list[n-1].to
+			start = list[n-1].to
 		}
-		if c.At > begun && (len(list) > 0 || c.From != c.To) {
-			list = append(list, stateInterval{begun, c.At, c.From})
+		if c.At > start && (len(list) > 0 || c.From != c.To) {
+			list = append(list, stateInterval{start, c.At, c.From})
 		}
 		out[key] = append(list, stateInterval{c.At, c.At, c.To})
 	}
@@ -60,26 +60,26 @@
 func downIntervals(r faults.Run) (list [][]stateInterval) {
 	list = make([][]stateInterval, len(r.Mixers))
 	since := make([]time.Duration, len(r.Mixers))
-	dead := make([]bool, len(r.Mixers))
+	isDown := make([]bool, len(r.Mixers))
 	for _, m := range r.Moments {
 		if m.Mixer < 0 || m.Mixer >= len(list) {
 			continue // such an index occurs only in a record written by hand
 		}
 		switch m.Do {
 		case faults.Kill, faults.End:
-			dead[m.Mixer], since[m.Mixer] = true, m.At
+			isDown[m.Mixer], since[m.Mixer] = true, m.At
 		case faults.Start:
-			if dead[m.Mixer] {
-				list[m.Mixer] = append(list[m.Mixer], stateInterval{since[m.Mixer], m.At, "not there"})
+			if isDown[m.Mixer] {
+				list[m.Mixer] = append(list[m.Mixer], stateInterval{since[m.Mixer], m.At, "down"})
 			}
-			dead[m.Mixer] = false
+			isDown[m.Mixer] = false
 		case faults.Pause:
-			list[m.Mixer] = append(list[m.Mixer], stateInterval{m.At, min(m.At+m.For, r.Length), "stands still"})
+			list[m.Mixer] = append(list[m.Mixer], stateInterval{m.At, min(m.At+m.For, r.Length), "paused"})
 		}
 	}
-	for i, is := range dead {
-		if is {
-			list[i] = append(list[i], stateInterval{since[i], r.Length, "not there"})
+	for i, down := range isDown {
+		if down {
+			list[i] = append(list[i], stateInterval{since[i], r.Length, "down"})
 		}
 	}
 	return list
@@ -89,7 +89,7 @@
 var stateColors = map[string]color.Color{
 	"alive": color.NRGBA{R: 0x9c, G: 0xc8, B: 0xa4, A: 0xff}, "doubted": color.NRGBA{R: 0xf0, G: 0xb0, B: 0x30, A: 0xff},
 	"gone": color.NRGBA{R: 0xc0, G: 0x30, B: 0x28, A: 0xff}, "left": color.NRGBA{R: 0x60, G: 0x70, B: 0xc0, A: 0xff},
-	"not there": color.NRGBA{A: 0xc0}, "stands still": color.NRGBA{A: 0x60},
+	"down": color.NRGBA{A: 0xc0}, "paused": color.NRGBA{A: 0x60},
 }
 
 // plotRun draws a band for each mixer with one line per member, colored by the state in which
@@ -110,14 +110,14 @@
 		p.Add(poly)
 		return nil
 	}
-	seen, down := observedStates(r), downIntervals(r)
+	observed, down := observedStates(r), downIntervals(r)
 	ticks := make([]plot.Tick, 0, n)
-	for i, by := range r.Mixers {
+	for i, observer := range r.Mixers {
 		base := float64(n-1-i) * band
-		ticks = append(ticks, plot.Tick{Value: base + float64(n)/2, Label: by})
+		ticks = append(ticks, plot.Tick{Value: base + float64(n)/2, Label: observer})
 		for j, m := range r.Mixers {
 			low := base + float64(n-1-j)
-			for _, h := range seen[[2]string{by, m}] {
+			for _, h := range observed[[2]string{observer, m}] {
 				if err := box(h.from, h.to, low, low+0.8, stateColors[h.state]); err != nil {
 					return figure{}, err
 				}
--- a/cmd/loft/faults_test.go
+++ b/cmd/loft/faults_test.go
@@ -32,7 +32,7 @@
 	if diff := cmp.Diff(want, observedStates(threeMixerRun()), cmp.AllowUnexported(stateInterval{})); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([][]stateInterval{nil, {{2 * s, 3 * s, "stands still"}}, {{4 * s, 10 * s, "not there"}}}, downIntervals(threeMixerRun()), cmp.AllowUnexported(stateInterval{})); diff != "" {
+	if diff := cmp.Diff([][]stateInterval{nil, {{2 * s, 3 * s, "paused"}}, {{4 * s, 10 * s, "down"}}}, downIntervals(threeMixerRun()), cmp.AllowUnexported(stateInterval{})); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/cmd/loft/read.go
+++ b/cmd/loft/read.go
@@ -42,7 +42,7 @@
 // read reads the selected traces. A damaged file is read up to the damage and listed in the
 // result's damage; other errors end the reading.
 func (s *traceSource) read() (f traceSet, err error) {
-	var bad damagedFiles
+	var damaged damagedFiles
 	for _, dir := range s.Dir {
 		list := []string{dir}
 		info, err := os.Stat(dir)
@@ -58,7 +58,7 @@
 			err := otlp.ReadSegment(path, f.addMessage)
 			var damage *segments.DamageError
 			if errors.As(err, &damage) {
-				bad.list = append(bad.list, damage)
+				damaged.list = append(damaged.list, damage)
 			} else if err != nil {
 				return f, err
 			}
@@ -69,8 +69,8 @@
 		latest := f.traces[len(f.traces)-1].At
 		f.traces = slices.DeleteFunc(f.traces, func(t *otlp.Trace) bool { return !s.matches(t, latest) })
 	}
-	if len(bad.list) > 0 {
-		f.damage = &bad
+	if len(damaged.list) > 0 {
+		f.damage = &damaged
 	}
 	return f, nil
 }
--- a/cmd/loft/settings_test.go
+++ b/cmd/loft/settings_test.go
@@ -110,11 +110,11 @@
 // history, against a running fleet.
 func TestSettingsCommands(t *testing.T) {
 	flags, conf := startSingleMixerFleet(t)
-	run := func(want int, words ...string) string {
+	run := func(want int, args ...string) string {
 		t.Helper()
-		code, out, errOut := runLoft(t, words...)
+		code, out, errOut := runLoft(t, args...)
 		if code != want {
-			t.Fatalf("%v: %d, %s%s", words, code, out, errOut)
+			t.Fatalf("%v: %d, %s%s", args, code, out, errOut)
 		}
 		return out + errOut
 	}
@@ -126,40 +126,40 @@
 			}
 		}
 	}
-	with := func(words ...string) []string { return append(words, flags...) }
-
-	half := writeDocument(t, "local whole = 40;\n{\n  attempts: 3,\n  allowances: { retail: whole / 2 },\n  max_open: 30,\n}\n")
-	contains(run(exitOK, "settings", "check", half, "--config", conf), "is sound", `"retail":20`)
-	contains(run(exitOK, with("settings", "diff", half, "--config", conf)...), "attempts", "-> 3", "contradict", "allowances.retail", "against version 0")
-	contains(run(exitOK, with("settings", "propose", half, "--why", "a test")...), "version 1 is proposed", "n0")
-	contains(run(exitOK, with("settings", "wait", "1", "--patience", "20s")...), "all 1 mixers act on version 1")
-	contains(run(exitOK, with("settings", "diff", half, "--config", conf)...), "nothing changes")
-	contains(run(exitUsage, with("settings", "propose", half, "--why", "late", "--from", "0")...), "made from version 0, the latest is 1")
-	contains(run(exitOK, with("settings", "show")...), "version 1, made from 0", `"attempts": 3`)
-
-	less := writeDocument(t, "{ attempts: 2 }")
-	contains(run(exitOK, with("settings", "propose", less, "--why", "another")...), "version 2")
-	run(exitOK, with("settings", "wait", "2", "--patience", "20s")...)
-	contains(run(exitOK, with("settings", "rollback", "--why", "it was wrong")...), "version 3 is proposed")
-	run(exitOK, with("settings", "wait", "3", "--patience", "20s")...)
-	contains(run(exitOK, with("settings", "history")...), "in force", "replaced", "it was wrong")
-	contains(run(exitOK, with("settings", "show", "--number", "3")...), `"retail": 20`)
-	contains(run(exitUsage, with("settings", "wait", "2", "--patience", "1s")...), "version 2 was replaced by version 3")
-	contains(run(exitOK, with("versions")...), "version 3 in force, steady", "n0", "voters n0")
-	contains(run(exitOK, with("versions", "--json", "--local")...), `"leased":true`)
-	contains(run(exitUsage, with("voters", "remove", "n0")...), "the only voter")
-	contains(run(exitUsage, with("voters", "add", "n7")...), "n7 is not there")
+	withFlags := func(args ...string) []string { return append(args, flags...) }
+
+	firstDocument := writeDocument(t, "local whole = 40;\n{\n  attempts: 3,\n  allowances: { retail: whole / 2 },\n  max_open: 30,\n}\n")
+	contains(run(exitOK, "settings", "check", firstDocument, "--config", conf), "is sound", `"retail":20`)
+	contains(run(exitOK, withFlags("settings", "diff", firstDocument, "--config", conf)...), "attempts", "-> 3", "contradict", "allowances.retail", "against version 0")
+	contains(run(exitOK, withFlags("settings", "propose", firstDocument, "--why", "a test")...), "version 1 is proposed", "n0")
+	contains(run(exitOK, withFlags("settings", "wait", "1", "--patience", "20s")...), "all 1 mixers act on version 1")
+	contains(run(exitOK, withFlags("settings", "diff", firstDocument, "--config", conf)...), "nothing changes")
+	contains(run(exitUsage, withFlags("settings", "propose", firstDocument, "--why", "late", "--from", "0")...), "made from version 0, the latest is 1")
+	contains(run(exitOK, withFlags("settings", "show")...), "version 1, made from 0", `"attempts": 3`)
+
+	secondDocument := writeDocument(t, "{ attempts: 2 }")
+	contains(run(exitOK, withFlags("settings", "propose", secondDocument, "--why", "another")...), "version 2")
+	run(exitOK, withFlags("settings", "wait", "2", "--patience", "20s")...)
+	contains(run(exitOK, withFlags("settings", "rollback", "--why", "it was wrong")...), "version 3 is proposed")
+	run(exitOK, withFlags("settings", "wait", "3", "--patience", "20s")...)
+	contains(run(exitOK, withFlags("settings", "history")...), "in force", "replaced", "it was wrong")
+	contains(run(exitOK, withFlags("settings", "show", "--number", "3")...), `"retail": 20`)
+	contains(run(exitUsage, withFlags("settings", "wait", "2", "--patience", "1s")...), "version 2 was replaced by version 3")
+	contains(run(exitOK, withFlags("versions")...), "version 3 in force, steady", "n0", "voters n0")
+	contains(run(exitOK, withFlags("versions", "--json", "--local")...), `"leased":true`)
+	contains(run(exitUsage, withFlags("voters", "remove", "n0")...), "the only voter")
+	contains(run(exitUsage, withFlags("voters", "add", "n7")...), "n7 is not there")
 }
 
 // TestZoneOrders sends orders one after another; each must be agreed or refused, and the zones be
 // shown accordingly.
 func TestZoneOrders(t *testing.T) {
 	flags, _ := startSingleMixerFleet(t)
-	zones := func(want int, words ...string) string {
+	zones := func(want int, args ...string) string {
 		t.Helper()
-		code, out, errOut := runLoft(t, append(append([]string{"zones"}, words...), flags...)...)
+		code, out, errOut := runLoft(t, append(append([]string{"zones"}, args...), flags...)...)
 		if code != want {
-			t.Fatalf("%v: %d, %s%s", words, code, out, errOut)
+			t.Fatalf("%v: %d, %s%s", args, code, out, errOut)
 		}
 		return out + errOut
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, s := range []struct {
-		words string
+		args  string
 		want  int
 		text  string
 		shown string // what zones show must then contain; "": not checked
@@ -183,15 +183,15 @@
 		{"hold a --why exercise", exitOK, "a: plan", "1.00   in, held (an operator: exercise)"},
 		{"free a --why over", exitOK, "a: plan", ""},
 	} {
-		if out := zones(s.want, strings.Fields(s.words)...); !strings.Contains(out, s.text) {
-			t.Errorf("%s: %s; want %q", s.words, out, s.text)
+		if out := zones(s.want, strings.Fields(s.args)...); !strings.Contains(out, s.text) {
+			t.Errorf("%s: %s; want %q", s.args, out, s.text)
 		}
 		if s.shown == "" {
 			continue
 		}
 		for until := time.Now().Add(10 * time.Second); !strings.Contains(zones(exitOK), s.shown); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(until) {
-				t.Fatalf("%s: %s; want %q", s.words, zones(exitOK), s.shown)
+				t.Fatalf("%s: %s; want %q", s.args, zones(exitOK), s.shown)
 			}
 		}
 	}
