--- a/internal/segments/segments.go
+++ b/internal/segments/segments.go
@@ -182,10 +182,10 @@
 	defer func() { _ = f.Close() }() // read only
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(f, head); err != nil {
-		return &DamageError{Path: path, Truncated: true, Detail: "no whole first line"}
+		return &DamageError{Path: path, Truncated: true, Detail: "the header is incomplete"}
 	}
 	if string(head) != magic {
-		return &DamageError{Path: path, Detail: "no file of traces, or of a later format"}
+		return &DamageError{Path: path, Detail: "not a file of traces, or of a later format"}
 	}
 	at := int64(len(magic))
 	for {
@@ -194,19 +194,19 @@
 		case err == io.EOF:
 			return nil
 		case err != nil:
-			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "a message's head is not whole"}
+			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "the length and checksum of a message are incomplete"}
 		}
 		n := binary.BigEndian.Uint32(h[:])
 		// A corrupt length must not make the reader allocate up to 4 GiB.
 		if n > maxMessage {
-			return &DamageError{Path: path, Offset: at, Detail: fmt.Sprintf("a message of %d bytes", n)}
+			return &DamageError{Path: path, Offset: at, Detail: fmt.Sprintf("a message of %d bytes exceeds the limit", n)}
 		}
 		b := make([]byte, n)
 		if _, err := io.ReadFull(f, b); err != nil {
-			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "a message is not whole"}
+			return &DamageError{Path: path, Offset: at, Truncated: true, Detail: "a message is incomplete"}
 		}
 		if crc32.Checksum(b, castagnoli) != binary.BigEndian.Uint32(h[4:]) {
-			return &DamageError{Path: path, Offset: at, Detail: "the checksum differs"}
+			return &DamageError{Path: path, Offset: at, Detail: "the checksum of a message differs"}
 		}
 		if err := take(b); err != nil {
 			return &DamageError{Path: path, Offset: at, Detail: err.Error()}
