--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -50,8 +50,8 @@
 }
 
 func parseTraceparent(s string) (c Context, ok bool) {
-	const whole = 2 + 1 + 32 + 1 + 16 + 1 + 2
-	if len(s) < whole || s[2] != '-' || s[35] != '-' || s[52] != '-' {
+	const length = 2 + 1 + 32 + 1 + 16 + 1 + 2
+	if len(s) < length || s[2] != '-' || s[35] != '-' || s[52] != '-' {
 		return c, false
 	}
 	var version, flags [1]byte
@@ -62,9 +62,9 @@
 	switch {
 	case version[0] == 0xff, c.Trace.IsZero(), c.Parent.IsZero():
 		return c, false
-	case version[0] == 0 && len(s) != whole:
+	case version[0] == 0 && len(s) != length:
 		return c, false
-	case len(s) > whole && s[whole] != '-': // a later version may add fields after a dash
+	case len(s) > length && s[length] != '-': // a later version may add fields after a dash
 		return c, false
 	}
 	c.Flags = flags[0] & (sampledFlag | randomFlag)
--- a/internal/tracing/memory_test.go
+++ b/internal/tracing/memory_test.go
@@ -14,8 +14,8 @@
 	type phase int
 	const (
 		full phase = iota
-		noBoring
-		noChance
+		uneventfulDropped
+		sampledDropped
 		rootsOnly
 		lost
 	)
@@ -39,26 +39,26 @@
 		if r.bytes > r.cfg.MemoryBytes {
 			t.Fatalf("%d bytes held, %d allowed", r.bytes, r.cfg.MemoryBytes)
 		}
-		now2 := at
+		reached := at
 		head := r.kept.peek()
 		switch {
 		case r.lost[0].Always > 0:
-			now2 = lost
+			reached = lost
 		case head.Dropped.Parts == 3:
-			now2 = rootsOnly
+			reached = rootsOnly
 		case head.Dropped.Parts > 0:
-			now2 = noBoring
+			reached = uneventfulDropped
 		}
-		if now2 < at {
-			t.Fatalf("from phase %d back to %d", at, now2)
+		if reached < at {
+			t.Fatalf("from phase %d back to %d", at, reached)
 		}
-		if now2 == noBoring && at < noBoring {
+		if reached == uneventfulDropped && at < uneventfulDropped {
 			if head.Dropped.Parts != 2 || len(head.Attempts) != 2 || head.Dropped.Attempts != 2 {
-				t.Errorf("of three parts, two boring: %d dropped with %d attempts, %d attempts left", head.Dropped.Parts,
+				t.Errorf("of three parts, two uneventful: %d dropped with %d attempts, %d attempts left", head.Dropped.Parts,
 					head.Dropped.Attempts, len(head.Attempts))
 			}
 		}
-		at = now2
+		at = reached
 	}
 	if at != lost {
 		t.Errorf("only phase %d was reached", at)
@@ -67,14 +67,14 @@
 	for _, q := range r.Take(time.Minute, 1<<30) {
 		taken++
 		if len(q.Parts)+q.Dropped.Parts != 3 || len(q.Attempts)+q.Dropped.Attempts != 4 {
-			t.Errorf("a trace with %d parts and %d dropped: it lies", len(q.Parts), q.Dropped.Parts)
+			t.Errorf("a trace with %d parts and %d dropped: the counts don't add up", len(q.Parts), q.Dropped.Parts)
 		}
 	}
 	if l := r.TakeLoss(); len(l) != 1 || taken+l[0].Always != 400 {
 		t.Errorf("%d taken and %+v lost of 400", taken, l)
 	}
 	if r.bytes != 0 {
-		t.Errorf("%d bytes counted for nothing", r.bytes)
+		t.Errorf("%d bytes counted without any record", r.bytes)
 	}
 }
 
@@ -84,11 +84,11 @@
 	const n = 10000
 	r := newTestRecorder(1<<20, 100)
 	var open []*Query
-	nothing := 0
+	unrecorded := 0
 	for i := range n {
 		q := r.Begin(time.Duration(i), Start{Left: time.Hour, WireID: "0123456789abcdef"})
 		if q == nil {
-			nothing++
+			unrecorded++
 			continue
 		}
 		for shard := range 4 {
@@ -106,13 +106,13 @@
 		for _, k := range r.Take(time.Second, 1<<30) {
 			taken++
 			if len(k.Parts)+k.Dropped.Parts != 4 || len(k.Attempts)+k.Dropped.Attempts != 4 {
-				t.Fatalf("a trace with %d parts and %d dropped: it lies", len(k.Parts), k.Dropped.Parts)
+				t.Fatalf("a trace with %d parts and %d dropped: the counts don't add up", len(k.Parts), k.Dropped.Parts)
 			}
 		}
 	}
 	loss := r.TakeLoss()
-	if nothing == 0 || len(loss) != 1 || loss[0].Unrecorded != nothing || taken+nothing+loss[0].Always != n {
-		t.Errorf("%d taken, %d not recorded, lost %+v", taken, nothing, loss)
+	if unrecorded == 0 || len(loss) != 1 || loss[0].Unrecorded != unrecorded || taken+unrecorded+loss[0].Always != n {
+		t.Errorf("%d taken, %d not recorded, lost %+v", taken, unrecorded, loss)
 	}
 }
 
--- a/internal/tracing/recorder.go
+++ b/internal/tracing/recorder.go
@@ -235,8 +235,8 @@
 	r.advance(now)
 	r.open--
 	q.End, q.Ending, q.EndReason = now, how, why
-	aim := q.TargetTime - q.Begin
-	if now > q.TargetTime-max(minClientDelay, time.Duration(clientDelayShare*float64(aim))) {
+	target := q.TargetTime - q.Begin
+	if now > q.TargetTime-max(minClientDelay, time.Duration(clientDelayShare*float64(target))) {
 		q.KeepReasons |= Slow
 	}
 	switch how {
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -82,7 +82,7 @@
 	}
 	long := strings.Repeat("k0123456789=v0123456789,", 40)
 	if c := ParseContext(whole, strings.ReplaceAll(long, "k0", "k0")); c.State != "" {
-		t.Error("a key forty times was kept")
+		t.Error("a tracestate with a key forty times was kept")
 	}
 	var many []string
 	for i := range 40 {
@@ -103,13 +103,13 @@
 		}
 		if c.IsZero() {
 			if c != (Context{}) {
-				t.Errorf("none, yet %+v", c)
+				t.Errorf("no context, yet %+v", c)
 			}
 			return
 		}
 		again := ParseContext(Traceparent(c.Trace, c.Parent, c.Flags), c.State)
 		if diff := cmp.Diff(c, again); diff != "" {
-			t.Errorf("does not survive: %s", diff)
+			t.Errorf("parsing the formatted context again gives a difference: %s", diff)
 		}
 	})
 }
@@ -236,7 +236,7 @@
 				t.Error("the retry is no child of its first try")
 			}
 			if a.Root == b.Root {
-				t.Error("two roots of one id")
+				t.Error("two roots have the same id")
 			}
 		})
 	}
@@ -360,6 +360,6 @@
 	q := tests[0].make()
 	costs := Over(q)
 	if len(costs) != 1 || costs[0].Over != 40 || q.Attempts[costs[0].Attempt].Node != "slow" {
-		t.Errorf("40 over its time is charged to %+v", costs)
+		t.Errorf("an excess of 40 is attributed to %+v", costs)
 	}
 }
