--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -40,7 +40,7 @@
 	coldWindow          = time.Second     // over which parts to a cold server are counted
 	coldMultiple        = 3.0             // allowed load within coldWindow, as a multiple of the capacity
 	meanPartsPerRequest = 2.5             // by the draw of 1 to 4 slices per request
-	minCapacityFactor   = 1.0             // least capacity that the mixer may assume of a warm server, as a multiple of its mean share of the parts
+	minCapacityFactor   = 1.0             // least capacity of a warm server, as a multiple of its mean share of the parts
 	settleTime          = 6 * time.Second // between the last request of the clients and the end of the mixers
 	pushModeOneIn       = 3               // discovery is in push mode in one of 3 seeds
 	loadedShutdownOneIn = 2               // in one of 2 seeds, half of the mixers end under load while all servers hang
