--- a/internal/standin/callfaults/callfaults.go
+++ b/internal/standin/callfaults/callfaults.go
@@ -24,10 +24,10 @@
 const LaunchArgument = "launch-with-call-faults"
 
 const (
-	offerFile  = "call-faults-offer"  // process id and descriptor, by the one that starts
-	accessFile = "call-faults-access" // says that the descriptor was taken
-	filePace   = 2 * time.Millisecond
-	fileTime   = 10 * time.Second
+	offerFile        = "call-faults-offer"  // process id and descriptor, by the one that starts
+	accessFile       = "call-faults-access" // says that the descriptor was taken
+	filePollInterval = 2 * time.Millisecond
+	fileTimeout      = 10 * time.Second
 )
 
 // Calls that may fail.
@@ -40,7 +40,7 @@
 	Sync    = unix.SYS_FSYNC
 )
 
-var trapped = []uint32{Accept, Connect, Socket, Send, Wait, Sync}
+var interceptedCalls = []uint32{Accept, Connect, Socket, Send, Wait, Sync}
 
 // Seccomp's numbers, which the unix package lacks.
 const (
@@ -76,36 +76,36 @@
 	if errno != 0 {
 		return fmt.Errorf("setting the filter: %w", errno)
 	}
-	if err := writeWhole(offerFile, fmt.Sprintf("%d %d", os.Getpid(), fd)); err != nil {
+	if err := writeFileAtomically(offerFile, fmt.Sprintf("%d %d", os.Getpid(), fd)); err != nil {
 		return err
 	}
-	if _, err := readWhole(accessFile); err != nil {
+	if _, err := waitForFile(accessFile); err != nil {
 		return err
 	}
 	return unix.Exec(args[0], args, os.Environ())
 }
 
-// filter hands the trapped calls on and allows all others.
+// filter hands the intercepted calls on and allows all others.
 func filter() []unix.SockFilter {
 	const load, equals, result = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, unix.BPF_RET | unix.BPF_K
 	code := []unix.SockFilter{{Code: load, K: offsetOfCall}}
-	for i, call := range trapped {
-		code = append(code, unix.SockFilter{Code: equals, Jt: uint8(len(trapped) - i), K: call})
+	for i, call := range interceptedCalls {
+		code = append(code, unix.SockFilter{Code: equals, Jt: uint8(len(interceptedCalls) - i), K: call})
 	}
 	return append(code, unix.SockFilter{Code: result, K: retAllow}, unix.SockFilter{Code: result, K: retNotify})
 }
 
-// writeWhole has a file appear with all of its text.
-func writeWhole(path, text string) error {
+// writeFileAtomically has a file appear with all of its text.
+func writeFileAtomically(path, text string) error {
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// readWhole waits for a file.
-func readWhole(path string) (string, error) {
-	for until := time.Now().Add(fileTime); ; time.Sleep(filePace) {
+// waitForFile waits for a file.
+func waitForFile(path string) (string, error) {
+	for until := time.Now().Add(fileTimeout); ; time.Sleep(filePollInterval) {
 		text, err := os.ReadFile(path)
 		if err == nil {
 			return string(text), nil
@@ -118,10 +118,10 @@
 
 // Process is a process whose calls may fail.
 type Process struct {
-	fd    int
-	mu    sync.Mutex
-	rules map[uint32]rule
-	count map[uint32]int // of calls that failed
+	fd          int
+	mu          sync.Mutex
+	rules       map[uint32]rule
+	failedCalls map[uint32]int // of calls that failed
 }
 
 type rule struct {
@@ -132,7 +132,7 @@
 
 // Attach takes hold of the process that is started in the folder by Launch.
 func Attach(dir string) (*Process, error) {
-	offer, err := readWhole(filepath.Join(dir, offerFile))
+	offer, err := waitForFile(filepath.Join(dir, offerFile))
 	if err != nil {
 		return nil, err
 	}
@@ -151,9 +151,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("taking its filter: %w", err)
 	}
-	p := &Process{fd: fd, rules: map[uint32]rule{}, count: map[uint32]int{}}
+	p := &Process{fd: fd, rules: map[uint32]rule{}, failedCalls: map[uint32]int{}}
 	go p.serve()
-	return p, writeWhole(filepath.Join(dir, accessFile), "taken")
+	return p, writeFileAtomically(filepath.Join(dir, accessFile), "taken")
 }
 
 // Fail has all calls of a kind fail from now on for a while, with each of the errors in turn.
@@ -167,11 +167,11 @@
 func (p *Process) Failed(call uint32) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.count[call]
+	return p.failedCalls[call]
 }
 
-// answer says what becomes of a call: 0 lets it go on.
-func (p *Process) answer(call uint32) unix.Errno {
+// nextErrno says what becomes of a call: 0 lets it go on.
+func (p *Process) nextErrno(call uint32) unix.Errno {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r, ok := p.rules[call]
@@ -181,7 +181,7 @@
 	errno := r.errors[r.next%len(r.errors)]
 	r.next++
 	p.rules[call] = r
-	p.count[call]++
+	p.failedCalls[call]++
 	return errno
 }
 
@@ -221,7 +221,7 @@
 			continue // the caller was interrupted meanwhile
 		}
 		r := response{id: n.id, flags: responseContinue}
-		if errno := p.answer(n.call); errno != 0 {
+		if errno := p.nextErrno(n.call); errno != 0 {
 			r.flags, r.failed = 0, -int32(errno)
 		}
 		_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(p.fd), notifySend, uintptr(unsafe.Pointer(&r))) // it may be gone
