--- a/internal/standin/callfaults/callfaults.go
+++ b/internal/standin/callfaults/callfaults.go
@@ -1,7 +1,7 @@
-// Package callfaults has system calls of a process fail, as their manual pages say they may,
-// without a change to its program: a seccomp filter that the process gives itself hands chosen
-// calls to whoever started it, which lets them go on or answers for the system. It needs no
-// special rights. Tests and the soak use it; the mixer does not.
+// Package callfaults injects system call errors into a child process without changing its
+// program. The child installs a seccomp user-notification filter before it executes the program;
+// its parent receives each intercepted call and either lets it continue or returns an error that
+// the call's manual page allows. No special privileges are needed. Only tests and the soak use it.
 package callfaults
 
 import (
@@ -19,18 +19,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// LaunchArgument is the first argument by which a program that calls Launch is told to start
-// another one.
+// LaunchArgument is the first argument that makes a program that calls Launch execute the
+// command in the remaining arguments.
 const LaunchArgument = "launch-with-call-faults"
 
 const (
-	offerFile        = "call-faults-offer"  // process id and descriptor, by the one that starts
-	accessFile       = "call-faults-access" // says that the descriptor was taken
+	offerFile        = "call-faults-offer"  // written by the child: process id and number of the filter's descriptor
+	accessFile       = "call-faults-access" // written by the parent once it has duplicated the descriptor
 	filePollInterval = 2 * time.Millisecond
 	fileTimeout      = 10 * time.Second
 )
 
-// Calls that may fail.
+// System calls that Process.Fail can make fail.
 const (
 	Accept  = unix.SYS_ACCEPT4
 	Connect = unix.SYS_CONNECT
@@ -42,7 +42,7 @@
 
 var interceptedCalls = []uint32{Accept, Connect, Socket, Send, Wait, Sync}
 
-// Seccomp's numbers, which the unix package lacks.
+// Seccomp constants that package unix does not define.
 const (
 	setModeFilter    = 1
 	flagNewListener  = 1 << 3
@@ -54,13 +54,14 @@
 	offsetOfCall     = 0
 )
 
-// Launch starts the program that the arguments name, in place of this one, where the first is
-// LaunchArgument; else it returns. The folder is the present one.
+// Launch replaces this process by the command in args[1:] if args[0] is LaunchArgument, and
+// returns otherwise. It installs the filter first and waits until Attach was called for the
+// current directory. If that fails, it exits with status 70.
 func Launch(args []string) {
 	if len(args) < 2 || args[0] != LaunchArgument {
 		return
 	}
-	runtime.LockOSThread() // the filter is this thread's
+	runtime.LockOSThread() // the filter applies to the calling thread
 	err := launch(args[1:])
 	fmt.Fprintln(os.Stderr, "call faults:", err)
 	os.Exit(70)
@@ -68,13 +69,13 @@
 
 func launch(args []string) error {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return fmt.Errorf("no new privileges: %w", err)
+		return fmt.Errorf("setting no_new_privs: %w", err)
 	}
 	code := filter()
 	program := unix.SockFprog{Len: uint16(len(code)), Filter: &code[0]}
 	fd, _, errno := unix.Syscall(unix.SYS_SECCOMP, setModeFilter, flagNewListener, uintptr(unsafe.Pointer(&program)))
 	if errno != 0 {
-		return fmt.Errorf("setting the filter: %w", errno)
+		return fmt.Errorf("installing the seccomp filter: %w", errno)
 	}
 	if err := writeFileAtomically(offerFile, fmt.Sprintf("%d %d", os.Getpid(), fd)); err != nil {
 		return err
@@ -85,7 +86,7 @@
 	return unix.Exec(args[0], args, os.Environ())
 }
 
-// filter hands the intercepted calls on and allows all others.
+// filter returns the program that notifies the parent of interceptedCalls and allows all others.
 func filter() []unix.SockFilter {
 	const load, equals, result = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, unix.BPF_RET | unix.BPF_K
 	code := []unix.SockFilter{{Code: load, K: offsetOfCall}}
@@ -95,7 +96,7 @@
 	return append(code, unix.SockFilter{Code: result, K: retAllow}, unix.SockFilter{Code: result, K: retNotify})
 }
 
-// writeFileAtomically has a file appear with all of its text.
+// writeFileAtomically writes to a temporary file and renames it, so that no reader sees a part.
 func writeFileAtomically(path, text string) error {
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
@@ -103,7 +104,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// waitForFile waits for a file.
+// waitForFile returns the file's text once it exists; it fails after fileTimeout.
 func waitForFile(path string) (string, error) {
 	for until := time.Now().Add(fileTimeout); ; time.Sleep(filePollInterval) {
 		text, err := os.ReadFile(path)
@@ -111,17 +112,17 @@
 			return string(text), nil
 		}
 		if time.Now().After(until) {
-			return "", fmt.Errorf("waited in vain: %w", err)
+			return "", fmt.Errorf("file did not appear in time: %w", err)
 		}
 	}
 }
 
-// Process is a process whose calls may fail.
+// Process is a child process whose system calls can be made to fail. It is safe for concurrent use.
 type Process struct {
 	fd          int
 	mu          sync.Mutex
 	rules       map[uint32]rule
-	failedCalls map[uint32]int // of calls that failed
+	failedCalls map[uint32]int // by system call
 }
 
 type rule struct {
@@ -130,7 +131,8 @@
 	next   int
 }
 
-// Attach takes hold of the process that is started in the folder by Launch.
+// Attach connects to the process that Launch starts in dir: it duplicates the descriptor of the
+// process's filter and answers its notifications until the process ends.
 func Attach(dir string) (*Process, error) {
 	offer, err := waitForFile(filepath.Join(dir, offerFile))
 	if err != nil {
@@ -144,33 +146,34 @@
 	}
 	pidfd, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
-		return nil, fmt.Errorf("finding the process: %w", err)
+		return nil, fmt.Errorf("opening a descriptor of the process: %w", err)
 	}
-	defer func() { _ = unix.Close(pidfd) }() // it was only needed here
+	defer func() { _ = unix.Close(pidfd) }() // only needed to duplicate the descriptor
 	fd, err := unix.PidfdGetfd(pidfd, number, 0)
 	if err != nil {
-		return nil, fmt.Errorf("taking its filter: %w", err)
+		return nil, fmt.Errorf("duplicating the descriptor of its filter: %w", err)
 	}
 	p := &Process{fd: fd, rules: map[uint32]rule{}, failedCalls: map[uint32]int{}}
 	go p.serve()
 	return p, writeFileAtomically(filepath.Join(dir, accessFile), "taken")
 }
 
-// Fail has all calls of a kind fail from now on for a while, with each of the errors in turn.
+// Fail makes every use of the system call fail for the given time from now on, with the errors in
+// rotation. It replaces an earlier rule for the same call; at least one error has to be given.
 func (p *Process) Fail(call uint32, length time.Duration, errs ...unix.Errno) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rules[call] = rule{until: time.Now().Add(length), errors: errs}
 }
 
-// Failed is how many calls of a kind have failed.
+// Failed returns how often Process has made the system call fail.
 func (p *Process) Failed(call uint32) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failedCalls[call]
 }
 
-// nextErrno says what becomes of a call: 0 lets it go on.
+// nextErrno returns the error for an intercepted call and counts it, or 0 to let the call continue.
 func (p *Process) nextErrno(call uint32) unix.Errno {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,7 +188,7 @@
 	return errno
 }
 
-// notification and response are the system's own structures.
+// notification and response have the layout of the kernel's seccomp_notif and seccomp_notif_resp.
 type notification struct {
 	id           uint64
 	pid, flags   uint32
@@ -202,9 +205,9 @@
 	flags  uint32
 }
 
-// serve answers for the system until the process has ended.
+// serve answers the filter's notifications until the process has ended.
 func (p *Process) serve() {
-	defer func() { _ = unix.Close(p.fd) }() // the process is gone
+	defer func() { _ = unix.Close(p.fd) }() // the process has ended
 	for {
 		poll := []unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}
 		if _, err := unix.Poll(poll, -1); err != nil && !errors.Is(err, unix.EINTR) {
@@ -218,12 +221,12 @@
 		}
 		var n notification
 		if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(p.fd), notifyReceive, uintptr(unsafe.Pointer(&n))); errno != 0 {
-			continue // the caller was interrupted meanwhile
+			continue // the calling thread was interrupted in the meantime
 		}
 		r := response{id: n.id, flags: responseContinue}
 		if errno := p.nextErrno(n.call); errno != 0 {
 			r.flags, r.failed = 0, -int32(errno)
 		}
-		_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(p.fd), notifySend, uintptr(unsafe.Pointer(&r))) // it may be gone
+		_, _, _ = unix.Syscall(unix.SYS_IOCTL, uintptr(p.fd), notifySend, uintptr(unsafe.Pointer(&r))) // the calling thread may have ended
 	}
 }
--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults is the record of a run of several mixers under faults: what was done to
-// them, and what each then held of the others. Stand-ins write it and can play it again;
+// Package faults records a run of several mixers under injected faults: what was done to them,
+// and how each then judged the state of the others. Stand-ins write the record and can replay it;
 // loft draws it.
 package faults
 
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// Fault is what is wrong with one directed link between two mixers.
+// Fault describes the faults injected into one directed link between two mixers.
 type Fault struct {
 	Drop      float64       `json:"drop,omitempty"`      // share of datagrams lost; 1: the link is cut, for connections too
-	Double    float64       `json:"double,omitempty"`    // share that comes twice
-	Corrupt   float64       `json:"corrupt,omitempty"`   // share of which a byte is changed
-	Delay     time.Duration `json:"delay,omitempty"`     // most, drawn for each: so they overtake each other
-	Least     time.Duration `json:"least,omitempty"`     // of each delay, and of each piece of a connection
-	Oversized bool          `json:"oversized,omitempty"` // each is followed by one that is too large
+	Double    float64       `json:"double,omitempty"`    // share of datagrams delivered twice
+	Corrupt   float64       `json:"corrupt,omitempty"`   // share of datagrams in which one byte is changed
+	Delay     time.Duration `json:"delay,omitempty"`     // upper bound, drawn per datagram, so that datagrams are reordered
+	Least     time.Duration `json:"least,omitempty"`     // lower bound of each delay; also applies to each chunk of a connection
+	Oversized bool          `json:"oversized,omitempty"` // each datagram is followed by an oversized one
 }
 
-// What can be done to mixers.
+// Values of Moment.Do.
 const (
 	Start = "start"
 	Kill  = "kill"
-	End   = "end" // as a planned restart does
+	End   = "end" // graceful stop, as in a planned restart
 	Pause = "pause"
 	Links = "links"
 )
 
-// Moment is something that was done.
+// Moment is one action on the mixers or their links.
 type Moment struct {
-	At    time.Duration `json:"at"` // since the run began
+	At    time.Duration `json:"at"` // since the start of the run
 	Do    string        `json:"do"`
 	Mixer int           `json:"mixer,omitempty"`
-	For   time.Duration `json:"for,omitempty"`  // of a pause
-	From  []int         `json:"from,omitempty"` // links: of these mixers; none: of all
-	To    []int         `json:"to,omitempty"`   // links: to these
-	Fault Fault         `json:"fault,omitzero"` // links: the zero one mends them
+	For   time.Duration `json:"for,omitempty"`  // length of a pause
+	From  []int         `json:"from,omitempty"` // links: the sending mixers; empty means all
+	To    []int         `json:"to,omitempty"`   // links: the receiving mixers
+	Fault Fault         `json:"fault,omitzero"` // links: the zero value removes the fault
 }
 
 func (m Moment) String() string {
@@ -51,17 +51,17 @@
 	return fmt.Sprintf("%v %s n%d", at, m.Do, m.Mixer)
 }
 
-// Change is a line of a mixer's log on the state of a member.
+// Change is a mixer's log line on a change of a member's state.
 type Change struct {
 	At     time.Duration `json:"at"`
 	By     string        `json:"by"`
-	Member string        `json:"member"` // By itself: what it thinks of its own place
+	Member string        `json:"member"` // equal to By where the mixer reports its own state
 	From   string        `json:"from"`
 	To     string        `json:"to"`
 	Cause  string        `json:"cause,omitempty"`
 }
 
-// Run is a whole run.
+// Run is the record of a whole run.
 type Run struct {
 	Mixers  []string      `json:"mixers"`
 	Length  time.Duration `json:"length"`
@@ -69,7 +69,7 @@
 	Changes []Change      `json:"changes"`
 }
 
-// Write writes a run to a file.
+// Write writes the run to a file as indented JSON.
 func (r Run) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -78,7 +78,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Read reads a run from a file.
+// Read reads a run from a file. It fails for a run without mixers or with a length of zero or less.
 func Read(path string) (r Run, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -88,7 +88,7 @@
 		return r, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(r.Mixers) == 0 || r.Length <= 0 {
-		return r, fmt.Errorf("%s: no run of mixers", path)
+		return r, fmt.Errorf("%s: not the record of a run: it names no mixers or has no length", path)
 	}
 	return r, nil
 }
--- a/internal/standin/listed/listed.go
+++ b/internal/standin/listed/listed.go
@@ -1,19 +1,19 @@
-// Package listed is the list of nodes as a test's core has it, in place of the real one's.
+// Package listed is a fixed list of nodes that tests use in place of the core's node list.
 package listed
 
 import "kiteloft/internal/broker"
 
-// Nodes are the nodes listed.
+// Nodes is a fixed node list.
 type Nodes []broker.ListedNode
 
-// EachNode goes over them.
+// EachNode calls do for each node in order.
 func (l Nodes) EachNode(do func(broker.ListedNode)) {
 	for _, m := range l {
 		do(m)
 	}
 }
 
-// ListedNode is one of them; the zero ListedNode: it is not listed.
+// ListedNode returns the node with the given id, or the zero ListedNode if it is not listed.
 func (l Nodes) ListedNode(id string) broker.ListedNode {
 	for _, m := range l {
 		if m.ID == id {
--- a/internal/standin/pure/pure.go
+++ b/internal/standin/pure/pure.go
@@ -1,4 +1,4 @@
-// Package pure holds packages that decide to their word: no I/O, no clock, no goroutine.
+// Package pure checks in tests that a package has no side effects: no I/O, no clock, no goroutine.
 package pure
 
 import (
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-// clocks are what package time has beside durations.
+// clocks are the functions of package time that read a clock or wait.
 var clocks = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
 
-// Imports fails the test if the package in the test's directory, tests aside, imports
-// anything that is not allowed, reads a clock or starts a goroutine.
+// Imports fails the test if a non-test file in the test's directory imports a package that is
+// not in allowed, reads a clock or starts a goroutine.
 func Imports(t testing.TB, allowed ...string) {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
 	if err != nil || len(paths) == 0 {
-		t.Fatal("no package here", err)
+		t.Fatal("no Go files in the test's directory", err)
 	}
 	for _, path := range paths {
 		if strings.HasSuffix(path, "_test.go") {
--- a/internal/standin/queue/queue.go
+++ b/internal/standin/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue is the events of a world that a test runs on a clock of its own: in the
-// order of their times, those of one time in the order in which they were added.
+// Package queue is the event queue of a test's simulation on a virtual clock. Events run in the
+// order of their times; events with the same time run in the order in which they were added.
 package queue
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Queue holds what is still to happen. The zero Queue is empty.
+// Queue holds the pending events. The zero Queue is empty. It is not safe for concurrent use.
 type Queue struct {
 	list events
 	n    uint64
@@ -33,13 +33,13 @@
 	return x
 }
 
-// Add has something happen at a time.
+// Add schedules do at the given time of the virtual clock.
 func (q *Queue) Add(at time.Duration, do func()) {
 	q.n++
 	heap.Push(&q.list, event{at, q.n, do})
 }
 
-// Next takes what happens next, if that is by the end.
+// Next removes and returns the earliest event, if it is due by end (inclusive).
 func (q *Queue) Next(end time.Duration) (at time.Duration, do func(), ok bool) {
 	if len(q.list) == 0 || q.list[0].at > end {
 		return 0, nil, false
@@ -48,8 +48,8 @@
 	return e.at, e.do, true
 }
 
-// Run has all happen that is due within a while, and moves the clock on by it. Then is
-// called after each event, if it is not nil.
+// Run runs all events that are due within d, also those added meanwhile, and advances the clock
+// by d. It calls then after each event, if then is not nil.
 func (q *Queue) Run(now *time.Duration, d time.Duration, then func()) {
 	end := *now + d
 	for at, do, ok := q.Next(end); ok; at, do, ok = q.Next(end) {
