--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	flushPace      = time.Second
-	redialPace     = 2 * time.Second
+	flushInterval  = time.Second
+	redialDelay    = 2 * time.Second
 	connectTimeout = time.Second
-	maxQueue       = 4096 // flows that wait for the collector
+	maxQueuedFlows = 4096 // flows that wait for the collector
 )
 
 // Core is what the exporter needs of the core.
@@ -27,15 +27,15 @@
 // TCP: on the platform UDP reaches only other mixers. All of it runs on the
 // core's goroutine.
 type Exporter struct {
-	core    Core
-	net     transport.Dialer
-	addr    string
-	stream  Stream
-	log     zerolog.Logger
-	conn    *transport.Conn
-	queue   []Flow
-	dropped int
-	down    bool // logged
+	core       Core
+	net        transport.Dialer
+	addr       string
+	stream     Stream
+	log        zerolog.Logger
+	conn       *transport.Conn
+	queue      []Flow
+	dropped    int
+	downLogged bool // logged
 }
 
 // NewExporter returns an Exporter whose observation domain is made from the
@@ -49,12 +49,12 @@
 // Start begins to send.
 func (e *Exporter) Start() {
 	e.dial()
-	e.tick()
+	e.flushPeriodically()
 }
 
-func (e *Exporter) tick() {
+func (e *Exporter) flushPeriodically() {
 	e.Flush()
-	e.core.After(flushPace, e.tick)
+	e.core.After(flushInterval, e.flushPeriodically)
 }
 
 func (e *Exporter) dial() { e.net.Dial(e.addr, connectTimeout, e, e.dialed) }
@@ -64,7 +64,7 @@
 		e.Ended(end)
 		return
 	}
-	e.conn, e.down = c, false
+	e.conn, e.downLogged = c, false
 	e.stream.sequence = 0 // each connection is a stream of its own
 	c.Write(e.stream.Templates(time.Now()))
 	e.log.Info().Str("collector", e.addr).Msg("flow export is up")
@@ -74,12 +74,12 @@
 // Add takes the record of a connection that has ended.
 func (e *Exporter) Add(s transport.Stats) {
 	f := Flow{Source: addrPort(s.Remote), Destination: addrPort(s.Local), Start: s.Opened, End: s.Ended,
-		Sent: uint64(s.In), Received: uint64(s.Out), Reason: reason(s.End)}
+		Sent: uint64(s.In), Received: uint64(s.Out), Reason: endReason(s.End)}
 	if s.Dialed {
 		f.Source, f.Destination, f.Sent, f.Received = f.Destination, f.Source, f.Received, f.Sent
 	}
 	// Guards memory against a collector that is away for long.
-	if len(e.queue) >= maxQueue {
+	if len(e.queue) >= maxQueuedFlows {
 		e.dropped++
 		return
 	}
@@ -97,7 +97,7 @@
 	return ap
 }
 
-func reason(e transport.End) Reason {
+func endReason(e transport.End) Reason {
 	switch e {
 	case transport.LocalIdle:
 		return IdleTimeout
@@ -133,9 +133,9 @@
 // Ended implements transport.Handler.
 func (e *Exporter) Ended(end transport.End) {
 	e.conn = nil
-	if !e.down {
-		e.down = true
+	if !e.downLogged {
+		e.downLogged = true
 		e.log.Warn().Str("collector", e.addr).Stringer("end", end).Msg("flow export is down")
 	}
-	e.core.After(redialPace, e.dial)
+	e.core.After(redialDelay, e.dial)
 }
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	version     = 10
-	headerSize  = 16
-	setHeader   = 4
-	templateSet = 2
-	template4   = 256
-	template6   = 257
-	protocolTCP = 6
-	maxMessage  = 16 << 10 // far under the 65,535 bytes that a message may have
+	protocolVersion = 10
+	headerSize      = 16
+	setHeaderSize   = 4
+	templateSetID   = 2
+	templateIPv4    = 256
+	templateIPv6    = 257
+	protocolTCP     = 6
+	maxMessage      = 16 << 10 // far under the 65,535 bytes that a message may have
 )
 
 // Reason is why a flow has ended, by the numbers of flowEndReason.
@@ -56,7 +56,7 @@
 
 type field struct{ element, length uint16 }
 
-func fields(source, destination, size uint16) []field {
+func templateFields(source, destination, size uint16) []field {
 	return []field{{flowStartMilliseconds, 8}, {flowEndMilliseconds, 8}, {source, size}, {destination, size},
 		{sourceTransportPort, 2}, {destinationTransportPort, 2}, {protocolIdentifier, 1}, {initiatorOctets, 8},
 		{responderOctets, 8}, {flowEndReason, 1}}
@@ -65,7 +65,7 @@
 var templates = []struct {
 	id     uint16
 	fields []field
-}{{template4, fields(sourceIPv4Address, destinationIPv4Address, 4)}, {template6, fields(sourceIPv6Address, destinationIPv6Address, 16)}}
+}{{templateIPv4, templateFields(sourceIPv4Address, destinationIPv4Address, 4)}, {templateIPv6, templateFields(sourceIPv6Address, destinationIPv6Address, 16)}}
 
 // Stream encodes the messages of one connection to a collector.
 type Stream struct {
@@ -75,9 +75,9 @@
 
 // Templates returns the message that opens a stream.
 func (s *Stream) Templates(now time.Time) []byte {
-	b := s.begin(now)
+	b := s.newMessage(now)
 	at := len(b)
-	b = binary.BigEndian.AppendUint16(b, templateSet)
+	b = binary.BigEndian.AppendUint16(b, templateSetID)
 	b = binary.BigEndian.AppendUint16(b, 0)
 	for _, t := range templates {
 		b = binary.BigEndian.AppendUint16(b, t.id)
@@ -88,17 +88,17 @@
 		}
 	}
 	binary.BigEndian.PutUint16(b[at+2:], uint16(len(b)-at))
-	return end(b)
+	return setLength(b)
 }
 
 // Records returns messages with a data record for each flow.
 func (s *Stream) Records(now time.Time, flows []Flow) (messages [][]byte) {
 	for len(flows) > 0 {
-		b := s.begin(now)
+		b := s.newMessage(now)
 		sent := uint32(0)
 		for len(flows) > 0 && len(b) < maxMessage {
-			id, n := kind(flows[0]), 1
-			for n < len(flows) && kind(flows[n]) == id && len(b)+n*64 < maxMessage {
+			id, n := templateID(flows[0]), 1
+			for n < len(flows) && templateID(flows[n]) == id && len(b)+n*64 < maxMessage {
 				n++
 			}
 			at := len(b)
@@ -111,28 +111,28 @@
 			flows, sent = flows[n:], sent+uint32(n)
 		}
 		s.sequence += sent
-		messages = append(messages, end(b))
+		messages = append(messages, setLength(b))
 	}
 	return messages
 }
 
-func kind(f Flow) uint16 {
+func templateID(f Flow) uint16 {
 	if f.Source.Addr().Unmap().Is4() && f.Destination.Addr().Unmap().Is4() {
-		return template4
+		return templateIPv4
 	}
-	return template6
+	return templateIPv6
 }
 
-// begin writes a message's header; its length is put in by end.
-func (s *Stream) begin(now time.Time) []byte {
-	b := binary.BigEndian.AppendUint16(nil, version)
+// newMessage writes a message's header; its length is put in by end.
+func (s *Stream) newMessage(now time.Time) []byte {
+	b := binary.BigEndian.AppendUint16(nil, protocolVersion)
 	b = binary.BigEndian.AppendUint16(b, 0)
 	b = binary.BigEndian.AppendUint32(b, uint32(now.Unix()))
 	b = binary.BigEndian.AppendUint32(b, s.sequence)
 	return binary.BigEndian.AppendUint32(b, s.Domain)
 }
 
-func end(b []byte) []byte {
+func setLength(b []byte) []byte {
 	binary.BigEndian.PutUint16(b[2:], uint16(len(b)))
 	return b
 }
@@ -141,7 +141,7 @@
 	b = binary.BigEndian.AppendUint64(b, uint64(f.Start.UnixMilli()))
 	b = binary.BigEndian.AppendUint64(b, uint64(f.End.UnixMilli()))
 	for _, a := range []netip.Addr{f.Source.Addr(), f.Destination.Addr()} {
-		if kind(f) == template4 {
+		if templateID(f) == templateIPv4 {
 			v := a.Unmap().As4()
 			b = append(b, v[:]...)
 		} else {
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -17,7 +17,7 @@
 	flow6 = Flow{Source: netip.MustParseAddrPort("[::1]:1"), Destination: netip.MustParseAddrPort("[::2]:2"), Start: start, End: start}
 )
 
-func unhex(s string) string {
+func decodeHex(s string) string {
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
 		panic(err)
@@ -25,18 +25,18 @@
 	return string(b)
 }
 
-// TestBytes compares with messages put together by hand from RFC 7011.
-func TestBytes(t *testing.T) {
+// TestMessagesMatchRFC7011Encoding compares with messages put together by hand from RFC 7011.
+func TestMessagesMatchRFC7011Encoding(t *testing.T) {
 	s := Stream{Domain: 5}
 	now := time.Unix(0x11223344, 0)
 	templates := "000a 006c 11223344 00000000 00000005 0002 005c" +
 		"0100 000a 0098 0008 0099 0008 0008 0004 000c 0004 0007 0002 000b 0002 0004 0001 00e7 0008 00e8 0008 0088 0001" +
 		"0101 000a 0098 0008 0099 0008 001b 0010 001c 0010 0007 0002 000b 0002 0004 0001 00e7 0008 00e8 0008 0088 0001"
-	if diff := cmp.Diff(unhex(templates), string(s.Templates(now))); diff != "" {
+	if diff := cmp.Diff(decodeHex(templates), string(s.Templates(now))); diff != "" {
 		t.Error(diff)
 	}
 	record := "0000000102030405 0000000102030406 0a000001 0a000002 0102 1f40 06 0000000000000007 0000000000000009 03"
-	want := []string{unhex("000a 0070 11223344 00000000 00000005 0100 0060" + record + record)}
+	want := []string{decodeHex("000a 0070 11223344 00000000 00000005 0100 0060" + record + record)}
 	var got []string
 	for _, m := range s.Records(now, []Flow{flow4, flow4}) {
 		got = append(got, string(m))
