--- a/cmd/kiteloft/traces.go
+++ b/cmd/kiteloft/traces.go
@@ -37,7 +37,7 @@
 		return nil, nil
 	}
 	rc := tracing.Config{MemoryBytes: t.MemoryKB << 10, Spans: t.Spans, Seed: cfg.Seed ^ uint64(epoch.UnixNano())}
-	src := otlp.Source{Mixer: cfg.Name, Version: revision(), Epoch: epoch, Zones: cfg.Settings.Zones}
+	src := otlp.Encoder{Mixer: cfg.Name, Version: revision(), Epoch: epoch, Zones: cfg.Settings.Zones}
 	for _, c := range cfg.Settings.Module.Classes {
 		rc.Classes = append(rc.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, LatencyTargetPerWork: c.LatencyTargetPerWork, Deadline: c.Deadline})
 		src.Classes = append(src.Classes, c.Name)
@@ -94,7 +94,7 @@
 			return
 		}
 		t.offer(1 << 30)
-		t.exp.Finish(max(left, 0), func() { t.core.Post(done) })
+		t.exp.Shutdown(max(left, 0), func() { t.core.Post(done) })
 	}
 	try()
 }
--- a/cmd/kiteloft/traces_test.go
+++ b/cmd/kiteloft/traces_test.go
@@ -48,7 +48,7 @@
 	}
 	all := map[string]*otlp.Trace{}
 	for _, path := range list {
-		err := otlp.ReadSegment(path, func(traces []*otlp.Trace, lost []otlp.Lost, strays int) {
+		err := otlp.ReadSegment(path, func(traces []*otlp.Trace, lost []otlp.LossReport, strays int) {
 			if len(lost) > 0 || strays > 0 {
 				t.Fatalf("%d losses, %d strays", len(lost), strays)
 			}
--- a/cmd/loft/loft_test.go
+++ b/cmd/loft/loft_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	src := otlp.Source{Mixer: "n0", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup", "booking"}, Zones: []string{"mixco", "zona-12"}}
+	src := otlp.Encoder{Mixer: "n0", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup", "booking"}, Zones: []string{"mixco", "zona-12"}}
 	var list []*tracing.Query
 	for i := range 40 {
 		begin := time.Hour + time.Duration(i)*50*ms
--- a/cmd/loft/read.go
+++ b/cmd/loft/read.go
@@ -33,10 +33,10 @@
 
 // traceSet holds the selected traces.
 type traceSet struct {
-	traces     []*otlp.Trace // ordered by begin
-	losses     []otlp.Lost   // traces that the mixers report as not stored
-	straySpans int           // spans without a root, or not written by kiteloft
-	damage     error         // *damagedFiles, or nil
+	traces     []*otlp.Trace     // ordered by begin
+	losses     []otlp.LossReport // traces that the mixers report as not stored
+	straySpans int               // spans without a root, or not written by kiteloft
+	damage     error             // *damagedFiles, or nil
 }
 
 // read reads the selected traces. A damaged file is read up to the damage and listed in the
@@ -76,7 +76,7 @@
 }
 
 // addMessage adds the content of one message of a segment file; see otlp.ReadSegment.
-func (f *traceSet) addMessage(list []*otlp.Trace, losses []otlp.Lost, straySpans int) {
+func (f *traceSet) addMessage(list []*otlp.Trace, losses []otlp.LossReport, straySpans int) {
 	f.traces, f.losses, f.straySpans = append(f.traces, list...), append(f.losses, losses...), f.straySpans+straySpans
 }
 
--- a/internal/otlp/decode.go
+++ b/internal/otlp/decode.go
@@ -21,8 +21,8 @@
 	Weight float64   // how many queries it stands for
 }
 
-// Lost is what a mixer said that it could not hold of a class.
-type Lost struct {
+// LossReport is what a mixer said that it could not hold of a class.
+type LossReport struct {
 	Mixer, Class string
 	At           time.Time
 	tracing.Loss
@@ -50,7 +50,7 @@
 
 // Decode reads the traces of a message back. Spans whose root is not among them, or
 // that kiteloft did not write, are counted as strays.
-func Decode(data *trace.TracesData) (list []*Trace, lost []Lost, strays int, err error) {
+func Decode(data *trace.TracesData) (list []*Trace, lost []LossReport, strays int, err error) {
 	for _, rs := range data.GetResourceSpans() {
 		mixer := attributes(rs.GetResource().GetAttributes()).text(keyInstance)
 		for _, ss := range rs.GetScopeSpans() {
@@ -64,7 +64,7 @@
 	return list, lost, strays, nil
 }
 
-func decodeSpans(mixer string, spans []*trace.Span) (list []*Trace, lost []Lost, strays int, err error) {
+func decodeSpans(mixer string, spans []*trace.Span) (list []*Trace, lost []LossReport, strays int, err error) {
 	var cur *Trace
 	var parts map[int64]int32
 	for _, sp := range spans {
@@ -73,7 +73,7 @@
 		case len(sp.GetTraceId()) != 16 || len(sp.GetSpanId()) != 8:
 			return list, lost, strays, fmt.Errorf("span %q has no sound id", name)
 		case name == nameLoss:
-			lost = append(lost, Lost{Mixer: mixer, Class: at.text(keyClass), At: time.Unix(0, int64(sp.GetStartTimeUnixNano())),
+			lost = append(lost, LossReport{Mixer: mixer, Class: at.text(keyClass), At: time.Unix(0, int64(sp.GetStartTimeUnixNano())),
 				Loss: tracing.Loss{Always: int(at.integer(keyLostFor)), Chance: int(at.integer(keyLostBy)),
 					Unrecorded: int(at.integer(keyLostAll))}})
 		case sp.GetKind() == trace.Span_SPAN_KIND_SERVER:
--- a/internal/otlp/encode.go
+++ b/internal/otlp/encode.go
@@ -12,8 +12,8 @@
 	"kiteloft/internal/tracing"
 )
 
-// Source is what is the same for all traces of a mixer.
-type Source struct {
+// Encoder is what is the same for all traces of a mixer.
+type Encoder struct {
 	Mixer   string
 	Version string
 	Epoch   time.Time // of the core's clock
@@ -135,7 +135,7 @@
 
 // Encode turns traces, and what was lost since the last ones, into a message for a
 // collector.
-func (s Source) Encode(list []*tracing.Query, lost []tracing.Loss, now time.Duration) *trace.TracesData {
+func (s Encoder) Encode(list []*tracing.Query, lost []tracing.Loss, now time.Duration) *trace.TracesData {
 	spans := make([]*trace.Span, 0, 8*len(list))
 	for _, q := range list {
 		spans = s.appendQuery(spans, q)
@@ -149,11 +149,11 @@
 		ScopeSpans: []*trace.ScopeSpans{{Scope: &common.InstrumentationScope{Name: scopeName, Version: s.Version}, Spans: spans}}}}}
 }
 
-func (s Source) time(t time.Duration) uint64 { return uint64(s.Epoch.Add(t).UnixNano()) }
+func (s Encoder) time(t time.Duration) uint64 { return uint64(s.Epoch.Add(t).UnixNano()) }
 
-func (s Source) class(i int) string { return words(s.Classes).name(i) }
+func (s Encoder) class(i int) string { return words(s.Classes).name(i) }
 
-func (s Source) appendQuery(spans []*trace.Span, q *tracing.Query) []*trace.Span {
+func (s Encoder) appendQuery(spans []*trace.Span, q *tracing.Query) []*trace.Span {
 	span := func(id, parent tracing.SpanID, name string, kind trace.Span_SpanKind, from, to time.Duration) *trace.Span {
 		sp := &trace.Span{TraceId: append([]byte(nil), q.Trace[:]...), SpanId: append([]byte(nil), id[:]...), Name: name, Kind: kind,
 			StartTimeUnixNano: s.time(from), EndTimeUnixNano: s.time(max(from, to))}
@@ -200,7 +200,7 @@
 
 type adder func(id, parent tracing.SpanID, name string, kind trace.Span_SpanKind, from, to time.Duration) *trace.Span
 
-func (s Source) root(sp *trace.Span, q *tracing.Query) {
+func (s Encoder) root(sp *trace.Span, q *tracing.Query) {
 	sp.TraceState = q.State
 	if q.KeepReasons == 0 {
 		state := "ot=th:" + tracing.Threshold(q.SamplingShift)
@@ -247,7 +247,7 @@
 	}
 }
 
-func (s Source) attempt(span adder, q *tracing.Query, i int) {
+func (s Encoder) attempt(span adder, q *tracing.Query, i int) {
 	a := &q.Attempts[i]
 	end := a.End
 	if !a.Over {
@@ -283,7 +283,7 @@
 
 // loss is a span that says what was not held: the kept traces must not pass for all
 // there were.
-func (s Source) loss(l tracing.Loss, now time.Duration) *trace.Span {
+func (s Encoder) loss(l tracing.Loss, now time.Duration) *trace.Span {
 	id := tracing.KeyedTrace(s.Mixer+s.Epoch.String(), s.class(l.Class)+now.String())
 	return &trace.Span{TraceId: id[:], SpanId: append([]byte(nil), id[:8]...), Name: nameLoss, Kind: trace.Span_SPAN_KIND_INTERNAL,
 		StartTimeUnixNano: s.time(now), EndTimeUnixNano: s.time(now),
--- a/internal/otlp/exporter.go
+++ b/internal/otlp/exporter.go
@@ -33,7 +33,7 @@
 // goroutines of its own; Offer never blocks. While it is busy, what is to come
 // waits with the recorder, which bounds it.
 type Exporter struct {
-	src   Source
+	src   Encoder
 	disk  *segments.Writer // nil: none
 	send  *Sender          // nil: none
 	log   zerolog.Logger
@@ -44,20 +44,20 @@
 	ctx   context.Context
 	stop  context.CancelFunc
 	down  bool // the collector's being away is logged
-	stats Sent
+	stats ExportStats
 }
 
-// Sent counts what an Exporter has done.
-type Sent struct {
-	Spans    atomic.Int64 // taken by the collector
-	Rejected atomic.Int64 // spans that it refused for good
-	Skipped  atomic.Int64 // messages not sent to it; they are on disk
-	Written  atomic.Int64 // messages on disk
-	Again    atomic.Int64 // sends of the same message again
+// ExportStats counts what an Exporter has done.
+type ExportStats struct {
+	AcceptedSpans   atomic.Int64 // taken by the collector
+	RejectedSpans   atomic.Int64 // spans that it refused for good
+	SkippedMessages atomic.Int64 // messages not sent to it; they are on disk
+	WrittenMessages atomic.Int64 // messages on disk
+	Retries         atomic.Int64 // sends of the same message again
 }
 
 // NewExporter returns an Exporter that runs. Either of disk and send may be nil.
-func NewExporter(src Source, disk *segments.Writer, send *Sender, log zerolog.Logger) *Exporter {
+func NewExporter(src Encoder, disk *segments.Writer, send *Sender, log zerolog.Logger) *Exporter {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Exporter{src: src, disk: disk, send: send, log: log, in: make(chan Batch, 1), next: make(chan *trace.TracesData, beside),
 		done: make(chan struct{}), ctx: ctx, stop: stop}
@@ -75,11 +75,11 @@
 }
 
 // Stats counts what was done.
-func (e *Exporter) Stats() *Sent { return &e.stats }
+func (e *Exporter) Stats() *ExportStats { return &e.stats }
 
-// Finish has what was offered exported, and then calls done, at the latest when the
+// Shutdown has what was offered exported, and then calls done, at the latest when the
 // time is up. Nothing may be offered any more.
-func (e *Exporter) Finish(within time.Duration, done func()) {
+func (e *Exporter) Shutdown(within time.Duration, done func()) {
 	close(e.in)
 	go func() {
 		t := time.NewTimer(within)
@@ -123,7 +123,7 @@
 			select {
 			case e.next <- data:
 			default: // guards memory against a collector that is away for long
-				e.stats.Skipped.Add(1)
+				e.stats.SkippedMessages.Add(1)
 			}
 		}
 	}
@@ -148,7 +148,7 @@
 		e.log.Warn().Err(err).Int("spans", spans(data)).Msg("traces can't be written")
 		return
 	}
-	e.stats.Written.Add(1)
+	e.stats.WrittenMessages.Add(1)
 }
 
 // deliver sends a message until it is taken, refused for good, or all ends.
@@ -156,11 +156,11 @@
 	pause := firstPause
 	for {
 		part, err := e.send.Send(e.ctx, data, time.Now())
-		var retry *Retry
+		var retry *RetryableError
 		switch {
 		case err == nil:
-			e.stats.Spans.Add(int64(spans(data)) - part.Rejected)
-			e.stats.Rejected.Add(part.Rejected)
+			e.stats.AcceptedSpans.Add(int64(spans(data)) - part.Rejected)
+			e.stats.RejectedSpans.Add(part.Rejected)
 			if part.Rejected > 0 || part.Message != "" {
 				e.log.Warn().Int64("spans", part.Rejected).Str("words", part.Message[:min(len(part.Message), 200)]).
 					Msg("collector took traces in part")
@@ -171,7 +171,7 @@
 			}
 			return
 		case !errors.As(err, &retry):
-			e.stats.Rejected.Add(int64(spans(data)))
+			e.stats.RejectedSpans.Add(int64(spans(data)))
 			e.log.Warn().Err(err).Int("spans", spans(data)).Msg("collector refused traces")
 			return
 		}
@@ -179,7 +179,7 @@
 			e.down = true
 			e.log.Warn().Err(err).Msg("trace export is down")
 		}
-		e.stats.Again.Add(1)
+		e.stats.Retries.Add(1)
 		wait := time.Duration((0.5 + rand.Float64()) * float64(pause))
 		if pause = min(2*pause, mostPause); retry.After > 0 {
 			wait = min(retry.After, longPause)
--- a/internal/otlp/exporter_test.go
+++ b/internal/otlp/exporter_test.go
@@ -18,7 +18,7 @@
 	"kiteloft/internal/tracing"
 )
 
-var source = otlp.Source{Mixer: "n0", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup"}}
+var source = otlp.Encoder{Mixer: "n0", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup"}}
 
 func batch(from, n int) (b otlp.Batch) {
 	for i := range n {
@@ -46,7 +46,7 @@
 func finish(t *testing.T, e *otlp.Exporter, within time.Duration) {
 	t.Helper()
 	done := make(chan struct{})
-	e.Finish(within, func() { close(done) })
+	e.Shutdown(within, func() { close(done) })
 	select {
 	case <-done:
 	case <-time.After(within + 5*time.Second):
@@ -131,8 +131,8 @@
 				t.Errorf("%d messages taken of %d asked, want %d and %d; wrong: %v", took, asked, tt.taken, tt.asked, wrong)
 			}
 			st := e.Stats()
-			if n := st.Rejected.Load(); n != tt.rejected || st.Spans.Load() != 5-tt.rejected {
-				t.Errorf("%d spans rejected and %d taken, want %d of 5 rejected", n, st.Spans.Load(), tt.rejected)
+			if n := st.RejectedSpans.Load(); n != tt.rejected || st.AcceptedSpans.Load() != 5-tt.rejected {
+				t.Errorf("%d spans rejected and %d taken, want %d of 5 rejected", n, st.AcceptedSpans.Load(), tt.rejected)
 			}
 			if !strings.Contains(log.String(), tt.log) {
 				t.Errorf("log: %s, want %q in it", log.String(), tt.log)
@@ -156,7 +156,7 @@
 	wait(t, "the first is taken", func() bool { return len(c.Took()) == 1 && e.Ready() })
 	c.Close()
 	e.Offer(batch(1, 2))
-	wait(t, "it is tried again", func() bool { return e.Stats().Again.Load() >= 2 })
+	wait(t, "it is tried again", func() bool { return e.Stats().Retries.Load() >= 2 })
 	if e.Ready() {
 		t.Error("the exporter takes more while it is stuck: nothing would bound what it holds")
 	}
@@ -206,14 +206,14 @@
 		offer(t, e, batch(i, 1))
 	}
 	finish(t, e, 100*time.Millisecond)
-	wait(t, "the segment is closed", func() bool { return e.Stats().Written.Load() == n })
+	wait(t, "the segment is closed", func() bool { return e.Stats().WrittenMessages.Load() == n })
 	list, err := segments.List(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
 	for _, path := range list {
-		if err := otlp.ReadSegment(path, func(traces []*otlp.Trace, _ []otlp.Lost, _ int) {
+		if err := otlp.ReadSegment(path, func(traces []*otlp.Trace, _ []otlp.LossReport, _ int) {
 			for _, tr := range traces {
 				got = append(got, tr.WireID)
 			}
@@ -224,7 +224,7 @@
 	if len(got) != n || got[0] != "0" || got[n-1] != fmt.Sprint(n-1) {
 		t.Errorf("%d traces on disk of %d", len(got), n)
 	}
-	if e.Stats().Skipped.Load() == 0 {
+	if e.Stats().SkippedMessages.Load() == 0 {
 		t.Error("nothing was left out for the collector: what waits for it is not bounded")
 	}
 }
--- a/internal/otlp/otlp_test.go
+++ b/internal/otlp/otlp_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-var source = Source{Mixer: "n0", Version: "v", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup", "report"}, Zones: []string{"a", "b"}}
+var source = Encoder{Mixer: "n0", Version: "v", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup", "report"}, Zones: []string{"a", "b"}}
 
 // sample is a query with all that a trace can hold.
 func sample() *tracing.Query {
--- a/internal/otlp/sender.go
+++ b/internal/otlp/sender.go
@@ -38,74 +38,74 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// Partial is what a collector that took a message did not take of it.
-type Partial struct {
+// PartialSuccess is what a collector that took a message did not take of it.
+type PartialSuccess struct {
 	Rejected int64 // spans
 	Message  string
 }
 
-// Rejection is a collector's answer that sending the same again won't change.
-type Rejection struct{ Status int }
+// RejectedError is a collector's answer that sending the same again won't change.
+type RejectedError struct{ Status int }
 
-func (r *Rejection) Error() string {
+func (r *RejectedError) Error() string {
 	return fmt.Sprintf("the collector answered %d", r.Status)
 }
 
-// Retry is a failure after which the same message may be sent again.
-type Retry struct {
+// RetryableError is a failure after which the same message may be sent again.
+type RetryableError struct {
 	After time.Duration // as the collector asked; 0: it did not
 	Err   error
 }
 
-func (r *Retry) Error() string { return r.Err.Error() }
+func (r *RetryableError) Error() string { return r.Err.Error() }
 
 // Unwrap is the failure itself.
-func (r *Retry) Unwrap() error { return r.Err }
+func (r *RetryableError) Unwrap() error { return r.Err }
 
 // Send posts a message, once. Its error is a *Retry or a *Rejection; OTLP's
 // specification names the statuses that may be tried again.
-func (s *Sender) Send(ctx context.Context, data *trace.TracesData, now time.Time) (Partial, error) {
+func (s *Sender) Send(ctx context.Context, data *trace.TracesData, now time.Time) (PartialSuccess, error) {
 	// A request of the service has the form of TracesData. Its own package is left
 	// out: it brings a gateway for servers along.
 	body, err := proto.Marshal(data)
 	if err != nil {
-		return Partial{}, &Rejection{}
+		return PartialSuccess{}, &RejectedError{}
 	}
 	var zipped bytes.Buffer
 	z := gzip.NewWriter(&zipped)
 	_, err = z.Write(body) // into memory: never fails
 	if err = errors.Join(err, z.Close()); err != nil {
-		return Partial{}, &Rejection{}
+		return PartialSuccess{}, &RejectedError{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, &zipped)
 	if err != nil {
-		return Partial{}, &Rejection{}
+		return PartialSuccess{}, &RejectedError{}
 	}
 	req.Header.Set("Content-Type", contentType)
 	req.Header.Set("Content-Encoding", "gzip")
 	resp, err := s.client.Do(req)
 	if err != nil {
-		return Partial{}, &Retry{Err: err}
+		return PartialSuccess{}, &RetryableError{Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }() // read as far as it matters
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case resp.StatusCode/100 == 2:
 		if err != nil {
-			return Partial{}, &Retry{Err: err}
+			return PartialSuccess{}, &RetryableError{Err: err}
 		}
 		return partial(answer), nil
 	case resp.StatusCode == 429, resp.StatusCode == 502, resp.StatusCode == 503, resp.StatusCode == 504:
-		return Partial{}, &Retry{After: retryAfter(resp.Header.Get("Retry-After"), now), Err: &Rejection{resp.StatusCode}}
+		return PartialSuccess{}, &RetryableError{After: retryAfter(resp.Header.Get("Retry-After"), now), Err: &RejectedError{resp.StatusCode}}
 	}
-	return Partial{}, &Rejection{resp.StatusCode}
+	return PartialSuccess{}, &RejectedError{resp.StatusCode}
 }
 
 // partial reads ExportTraceServiceResponse: what a collector says of what it took.
 // An answer that can't be read says nothing.
-func partial(answer []byte) (p Partial) {
+func partial(answer []byte) (p PartialSuccess) {
 	fields.Each(answer, func(n protowire.Number, _ uint64, b []byte) bool {
 		if n != 1 { // partial_success
 			return true
