--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -56,7 +56,7 @@
 
 type field struct{ element, length uint16 }
 
-func templateFields(source, destination, size uint16) []field {
+func fields(source, destination, size uint16) []field {
 	return []field{{flowStartMilliseconds, 8}, {flowEndMilliseconds, 8}, {source, size}, {destination, size},
 		{sourceTransportPort, 2}, {destinationTransportPort, 2}, {protocolIdentifier, 1}, {initiatorOctets, 8},
 		{responderOctets, 8}, {flowEndReason, 1}}
@@ -65,7 +65,7 @@
 var templates = []struct {
 	id     uint16
 	fields []field
-}{{templateIPv4, templateFields(sourceIPv4Address, destinationIPv4Address, 4)}, {templateIPv6, templateFields(sourceIPv6Address, destinationIPv6Address, 16)}}
+}{{templateIPv4, fields(sourceIPv4Address, destinationIPv4Address, 4)}, {templateIPv6, fields(sourceIPv6Address, destinationIPv6Address, 16)}}
 
 // Stream encodes the messages of one connection to a collector.
 type Stream struct {
