--- a/internal/otlp/exporter.go
+++ b/internal/otlp/exporter.go
@@ -50,7 +50,7 @@
 // ExportStats counts what an Exporter has done.
 type ExportStats struct {
 	AcceptedSpans   atomic.Int64 // taken by the collector
-	RejectedSpans   atomic.Int64 // spans that it refused for good
+	Rejected        atomic.Int64 // spans that it refused for good
 	SkippedMessages atomic.Int64 // messages not sent to it; they are on disk
 	WrittenMessages atomic.Int64 // messages on disk
 	Retries         atomic.Int64 // sends of the same message again
@@ -160,7 +160,7 @@
 		switch {
 		case err == nil:
 			e.stats.AcceptedSpans.Add(int64(spans(data)) - part.Rejected)
-			e.stats.RejectedSpans.Add(part.Rejected)
+			e.stats.Rejected.Add(part.Rejected)
 			if part.Rejected > 0 || part.Message != "" {
 				e.log.Warn().Int64("spans", part.Rejected).Str("words", part.Message[:min(len(part.Message), 200)]).
 					Msg("collector took traces in part")
@@ -171,7 +171,7 @@
 			}
 			return
 		case !errors.As(err, &retry):
-			e.stats.RejectedSpans.Add(int64(spans(data)))
+			e.stats.Rejected.Add(int64(spans(data)))
 			e.log.Warn().Err(err).Int("spans", spans(data)).Msg("collector refused traces")
 			return
 		}
--- a/internal/otlp/exporter_test.go
+++ b/internal/otlp/exporter_test.go
@@ -131,7 +131,7 @@
 				t.Errorf("%d messages taken of %d asked, want %d and %d; wrong: %v", took, asked, tt.taken, tt.asked, wrong)
 			}
 			st := e.Stats()
-			if n := st.RejectedSpans.Load(); n != tt.rejected || st.AcceptedSpans.Load() != 5-tt.rejected {
+			if n := st.Rejected.Load(); n != tt.rejected || st.AcceptedSpans.Load() != 5-tt.rejected {
 				t.Errorf("%d spans rejected and %d taken, want %d of 5 rejected", n, st.AcceptedSpans.Load(), tt.rejected)
 			}
 			if !strings.Contains(log.String(), tt.log) {
