--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -1,11 +1,11 @@
-// Package counts keeps what one mixer does, second by second, so that the cost of many
-// can be added up. It is pure: no I/O, no clock, no goroutine; it grows with nothing.
+// Package counts holds a mixer's counters, which are logged every second so that those of several
+// mixers can be summed. It does no I/O, reads no clock, starts no goroutine and uses constant memory.
 package counts
 
-// Kind is something that is counted, or a peak.
+// Kind identifies a counter or a peak value.
 type Kind uint8
 
-// What is counted. Kinds from OpenConnections on are peaks: the most that was seen.
+// The kinds. Those from OpenConnections on are peaks: the highest value seen.
 const (
 	Taken Kind = iota
 	Crowded
@@ -51,12 +51,13 @@
 	"connect_failed", "reset", "cancelled", "moot", "dialed", "dial_failed", "closed", "probes", "directory_calls", "directory_failed",
 	"list_bytes", "cpu_us", "open_links", "lag_us", "list_age_ms"}
 
+// String returns the name under which the kind is logged.
 func (k Kind) String() string { return names[k] }
 
-// IsPeak tells whether a kind is a peak: the most of several, in place of their sum.
+// IsPeak reports whether values of this kind are combined by their maximum instead of their sum.
 func (k Kind) IsPeak() bool { return k >= OpenConnections }
 
-// KindByName returns the kind of a name.
+// KindByName returns the kind with the given name, and whether there is one.
 func KindByName(name string) (Kind, bool) {
 	for k, n := range names {
 		if n == name {
@@ -66,10 +67,10 @@
 	return 0, false
 }
 
-// Set counts. A nil Set takes everything and keeps nothing.
+// Set holds a value for each kind. A nil Set can be added to and read, and stays empty.
 type Set struct{ n [kindCount]int64 }
 
-// Add adds to a kind, or lifts a peak.
+// Add adds n to a counter, or raises a peak to n if n is higher.
 func (s *Set) Add(k Kind, n int64) {
 	switch {
 	case s == nil:
@@ -80,7 +81,7 @@
 	}
 }
 
-// Get returns a kind's count.
+// Get returns the value of a kind; 0 for a nil Set.
 func (s *Set) Get(k Kind) int64 {
 	if s == nil {
 		return 0
@@ -88,14 +89,14 @@
 	return s.n[k]
 }
 
-// Merge adds another set, peaks by the greater.
+// Merge adds the values of another set: counters are summed, and of peaks the higher one is kept.
 func (s *Set) Merge(o *Set) {
 	for k, n := range o.n {
 		s.Add(Kind(k), n)
 	}
 }
 
-// Each calls f for every kind that is not 0, in order.
+// Each calls f for each kind whose value is not 0, in the order of kinds.
 func (s *Set) Each(f func(k Kind, n int64)) {
 	for k, n := range s.n {
 		if n != 0 {
@@ -104,5 +105,5 @@
 	}
 }
 
-// Clear starts again from nothing.
+// Clear sets all values to 0.
 func (s *Set) Clear() { s.n = [kindCount]int64{} }
--- a/internal/counts/recent.go
+++ b/internal/counts/recent.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// recentSize is how many events are kept: some ten seconds of a busy mixer, half a megabyte.
+// recentSize is the number of events kept: about ten seconds of a busy mixer, in half a megabyte.
 const recentSize = 4096
 
-// Event is something that happened to a request.
+// Event records something that happened to a request.
 type Event struct {
-	At      time.Duration // on the monotonic clock
-	Request string        // its id on the wire
-	Server  string        // that an attempt went to; "": it was none
-	Type    Kind          // with the reason in its name: how it was chosen, how it ended
+	At      time.Duration // by the monotonic clock of the core
+	Request string        // the request's ID on the wire
+	Server  string        // that the attempt was sent to; "" if the event is not about an attempt
+	Type    Kind          // its name gives the reason for the choice of server, or how the request ended
 }
 
-// RecentEvents keeps the latest events, so that what was done can be read when something has gone
-// wrong. A nil RecentEvents keeps nothing.
+// RecentEvents is a ring buffer of the latest events, which the log lines of guards quote when
+// something has gone wrong. A nil RecentEvents keeps nothing.
 type RecentEvents struct {
 	ring [recentSize]Event
 	next int
 }
 
-// Record keeps an event in place of the oldest.
+// Record stores an event, overwriting the oldest one once the buffer is full.
 func (r *RecentEvents) Record(e Event) {
 	if r != nil {
 		r.ring[r.next%recentSize] = e
@@ -32,7 +32,7 @@
 	}
 }
 
-// Describe returns what is known of a request, oldest first, in one line.
+// Describe returns the recorded events of a request in one line, oldest first.
 func (r *RecentEvents) Describe(request string) string {
 	if r == nil {
 		return ""
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -15,17 +15,16 @@
 	flushInterval  = time.Second
 	redialDelay    = 2 * time.Second
 	connectTimeout = time.Second
-	maxQueuedFlows = 4096 // flows that wait for the collector
+	maxQueuedFlows = 4096 // flows held while the collector is unavailable
 )
 
-// Core is what the exporter needs of the core.
+// Core runs functions on the core's goroutine after a delay.
 type Core interface {
 	After(d time.Duration, fn func())
 }
 
-// Exporter sends a record of each connection that has ended to a collector, over
-// TCP: on the platform UDP reaches only other mixers. All of it runs on the
-// core's goroutine.
+// Exporter sends a flow record of each connection that has ended to a collector. It uses TCP,
+// because on the platform UDP reaches only other mixers. Its methods run on the core's goroutine.
 type Exporter struct {
 	core       Core
 	net        transport.Dialer
@@ -35,18 +34,18 @@
 	conn       *transport.Conn
 	queue      []Flow
 	dropped    int
-	downLogged bool // logged
+	downLogged bool // the loss of the connection has been logged
 }
 
-// NewExporter returns an Exporter whose observation domain is made from the
-// mixer's name.
+// NewExporter returns an Exporter to the collector at addr. The observation domain ID is a hash of
+// the mixer's name.
 func NewExporter(core Core, net transport.Dialer, addr, name string, log zerolog.Logger) *Exporter {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name)) // never fails
 	return &Exporter{core: core, net: net, addr: addr, stream: Stream{Domain: h.Sum32()}, log: log}
 }
 
-// Start begins to send.
+// Start connects to the collector and sends queued records periodically from then on.
 func (e *Exporter) Start() {
 	e.dial()
 	e.flushPeriodically()
@@ -65,20 +64,21 @@
 		return
 	}
 	e.conn, e.downLogged = c, false
-	e.stream.sequence = 0 // each connection is a stream of its own
+	e.stream.sequence = 0 // each connection is a new stream, whose sequence numbers start at 0
 	c.Write(e.stream.Templates(time.Now()))
 	e.log.Info().Str("collector", e.addr).Msg("flow export is up")
 	e.Flush()
 }
 
-// Add takes the record of a connection that has ended.
+// Add queues a flow record of a connection that has ended. It drops the record if maxQueuedFlows
+// records are waiting.
 func (e *Exporter) Add(s transport.Stats) {
 	f := Flow{Source: addrPort(s.Remote), Destination: addrPort(s.Local), Start: s.Opened, End: s.Ended,
 		Sent: uint64(s.In), Received: uint64(s.Out), Reason: endReason(s.End)}
 	if s.Dialed {
 		f.Source, f.Destination, f.Sent, f.Received = f.Destination, f.Source, f.Received, f.Sent
 	}
-	// Guards memory against a collector that is away for long.
+	// Bounds memory while the collector is unavailable for a long time.
 	if len(e.queue) >= maxQueuedFlows {
 		e.dropped++
 		return
@@ -109,7 +109,7 @@
 	return EndOfFlow
 }
 
-// Flush sends what waits.
+// Flush sends the queued records if the collector is connected, and logs how many were dropped.
 func (e *Exporter) Flush() {
 	if e.dropped > 0 {
 		e.log.Warn().Int("records", e.dropped).Msg("flow records dropped: the collector is away")
@@ -124,7 +124,7 @@
 	e.queue = nil
 }
 
-// Data implements transport.Handler; a collector says nothing.
+// Data implements transport.Handler. A collector sends no data; any is ignored.
 func (e *Exporter) Data([]byte) {}
 
 // HalfClosed implements transport.Handler; connections we dialed end at once.
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -1,5 +1,6 @@
-// Package ipfix encodes flow records as RFC 7011 has them: templates, and a data
-// record for each connection that has ended. It is pure.
+// Package ipfix encodes flow records according to RFC 7011, templates and one data record for each
+// connection that has ended, and exports them to a collector. The encoder, Stream, does no I/O and
+// reads no clock.
 package ipfix
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Information elements, as IANA numbers them.
+// Information elements, by the numbers that IANA assigns.
 const (
 	protocolIdentifier       = 4
 	sourceTransportPort      = 7
@@ -32,13 +33,13 @@
 	templateIPv4    = 256
 	templateIPv6    = 257
 	protocolTCP     = 6
-	maxMessage      = 16 << 10 // far under the 65,535 bytes that a message may have
+	maxMessage      = 16 << 10 // bytes; well below the 65,535 that a message may have
 )
 
-// Reason is why a flow has ended, by the numbers of flowEndReason.
+// Reason is why a flow ended, as a value of the information element flowEndReason.
 type Reason uint8
 
-// The reasons.
+// The values of flowEndReason that this package uses.
 const (
 	IdleTimeout    Reason = 1
 	EndOfFlow      Reason = 3
@@ -46,11 +47,11 @@
 	LackOfResource Reason = 5
 )
 
-// Flow is a connection that has ended. Its source is who opened it.
+// Flow describes a connection that has ended. Its source is the side that opened the connection.
 type Flow struct {
 	Source, Destination netip.AddrPort
 	Start, End          time.Time
-	Sent, Received      uint64 // payload bytes from the source and to it
+	Sent, Received      uint64 // payload bytes sent by the source and received by it
 	Reason              Reason
 }
 
@@ -67,13 +68,13 @@
 	fields []field
 }{{templateIPv4, fields(sourceIPv4Address, destinationIPv4Address, 4)}, {templateIPv6, fields(sourceIPv6Address, destinationIPv6Address, 16)}}
 
-// Stream encodes the messages of one connection to a collector.
+// Stream encodes the messages of one connection to a collector. It is not safe for concurrent use.
 type Stream struct {
 	Domain   uint32 // the observation domain
-	sequence uint32 // data records sent before
+	sequence uint32 // number of data records in earlier messages
 }
 
-// Templates returns the message that opens a stream.
+// Templates returns the message with the template set, which must be the first of a stream.
 func (s *Stream) Templates(now time.Time) []byte {
 	b := s.newMessage(now)
 	at := len(b)
@@ -91,7 +92,7 @@
 	return setLength(b)
 }
 
-// Records returns messages with a data record for each flow.
+// Records returns messages that hold one data record for each flow, in the order of the flows.
 func (s *Stream) Records(now time.Time, flows []Flow) (messages [][]byte) {
 	for len(flows) > 0 {
 		b := s.newMessage(now)
