--- a/cmd/kiteloft/fleet_test.go
+++ b/cmd/kiteloft/fleet_test.go
@@ -157,7 +157,7 @@
 		return
 	}
 	if f.t.Failed() {
-		f.t.Logf("%v\n%s", f.Run().Moments, strings.Join(f.Lines(), "\n"))
+		f.t.Logf("%v\n%s", f.Run().Actions, strings.Join(f.Lines(), "\n"))
 	}
 	if dir := os.Getenv("KITELOFT_KEEP"); dir != "" { // for "loft faults report"
 		if err := f.Run().Write(filepath.Join(dir, f.t.Name()+".json")); err != nil {
--- a/cmd/loft/faults.go
+++ b/cmd/loft/faults.go
@@ -61,7 +61,7 @@
 	list = make([][]stateInterval, len(r.Mixers))
 	since := make([]time.Duration, len(r.Mixers))
 	isDown := make([]bool, len(r.Mixers))
-	for _, m := range r.Moments {
+	for _, m := range r.Actions {
 		if m.Mixer < 0 || m.Mixer >= len(list) {
 			continue // such an index occurs only in a record written by hand
 		}
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	for _, m := range r.Moments {
+	for _, m := range r.Actions {
 		if m.Do != faults.Links {
 			continue
 		}
@@ -162,7 +162,7 @@
 	if err := writeFileAtomically(c.Out, b.Bytes()); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s: %d mixers, %d faults, %d changes of views\n", c.Out, len(r.Mixers), len(r.Moments), len(r.Changes))
+	fmt.Fprintf(out, "%s: %d mixers, %d faults, %d changes of views\n", c.Out, len(r.Mixers), len(r.Actions), len(r.Changes))
 	return nil
 }
 
@@ -209,5 +209,5 @@
 Grey over a band: it stood still; black: it was not there. Dashed: links changed.</p>{{.Plot.SVG}}
 <table><tr><th>mixer</th><th>doubted others</th><th>held others as gone</th><th>felt cut off</th></tr>
 {{range .Views}}<tr><td>{{.By}}</td><td>{{.Doubted}}</td><td>{{.Gone}}</td><td>{{.CutOff}}</td></tr>{{end}}</table>
-<h2>What was done</h2><ol>{{range .Run.Moments}}<li>{{.}}</li>{{end}}</ol></body></html>
+<h2>What was done</h2><ol>{{range .Run.Actions}}<li>{{.}}</li>{{end}}</ol></body></html>
 `))
--- a/cmd/loft/faults_test.go
+++ b/cmd/loft/faults_test.go
@@ -17,7 +17,7 @@
 func threeMixerRun() faults.Run {
 	s := time.Second
 	return faults.Run{Mixers: []string{"n0", "n1", "n2"}, Length: 10 * s,
-		Moments: []faults.Moment{{Do: faults.Start}, {Do: faults.Start, Mixer: 1}, {At: 2 * s, Do: faults.Pause, Mixer: 1, For: s},
+		Actions: []faults.Action{{Do: faults.Start}, {Do: faults.Start, Mixer: 1}, {At: 2 * s, Do: faults.Pause, Mixer: 1, For: s},
 			{At: 4 * s, Do: faults.Kill, Mixer: 2}, {At: 5 * s, Do: faults.Links, From: []int{0}, Fault: faults.Fault{Drop: 0.3}}},
 		Changes: []faults.Change{{At: s, By: "n0", Member: "n2", From: "alive", To: "alive"}, {At: 6 * s, By: "n0", Member: "n2", From: "alive", To: "doubted"},
 			{At: 7 * s, By: "n0", Member: "n2", From: "doubted", To: "gone"}, {At: 8 * s, By: "n1", Member: "n1", From: "alive", To: "doubted"}}}
--- a/internal/standin/crew.go
+++ b/internal/standin/crew.go
@@ -51,7 +51,7 @@
 	alive  []bool
 	past   []string // lines of the mixers that have ended
 	told   []faults.Change
-	time   []faults.Moment
+	time   []faults.Action
 }
 
 const crewKey = "a key of the stand-ins' own"
@@ -93,7 +93,7 @@
 func (c *Crew) Name(i int) string { return fmt.Sprintf("n%d", i) }
 
 // note keeps what was done.
-func (c *Crew) note(m faults.Moment) {
+func (c *Crew) note(m faults.Action) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.At = time.Since(c.began)
@@ -108,12 +108,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.Moments, r.Changes = slices.Clone(c.time), slices.Clone(c.told)
+	r.Actions, r.Changes = slices.Clone(c.time), slices.Clone(c.told)
 	return r
 }
 
 // Play does again what was done in another run, each at its time from now on.
-func (c *Crew) Play(list []faults.Moment) error {
+func (c *Crew) Play(list []faults.Action) error {
 	begun := time.Now()
 	for _, m := range list {
 		time.Sleep(time.Until(begun.Add(m.At)))
@@ -242,7 +242,7 @@
 			}
 		}
 	}
-	c.note(faults.Moment{Do: faults.Start, Mixer: i})
+	c.note(faults.Action{Do: faults.Start, Mixer: i})
 	with := c.setup(i, c.dir(i))
 	with.Heard = func(line []byte) { c.heard(c.Name(i), line) }
 	m, err := Start(with)
@@ -320,7 +320,7 @@
 
 // Kill ends a mixer at once.
 func (c *Crew) Kill(i int) error {
-	c.note(faults.Moment{Do: faults.Kill, Mixer: i})
+	c.note(faults.Action{Do: faults.Kill, Mixer: i})
 	m := c.Mixer(i)
 	m.Kill()
 	err := <-m.Exit
@@ -330,13 +330,13 @@
 
 // End ends a mixer as a planned restart does.
 func (c *Crew) End(i int) error {
-	c.note(faults.Moment{Do: faults.End, Mixer: i})
+	c.note(faults.Action{Do: faults.End, Mixer: i})
 	return errors.Join(c.Mixer(i).Stop(), c.ended(i))
 }
 
 // Pause stops a mixer's process for a while.
 func (c *Crew) Pause(i int, d time.Duration) error {
-	c.note(faults.Moment{Do: faults.Pause, Mixer: i, For: d})
+	c.note(faults.Action{Do: faults.Pause, Mixer: i, For: d})
 	p := c.Mixer(i).Cmd.Process
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return fmt.Errorf("stand-in: %w", err)
@@ -350,7 +350,7 @@
 
 // Spoil spoils all links from some mixers to others; an empty list means all.
 func (c *Crew) Spoil(from, to []int, f faults.Fault) {
-	c.note(faults.Moment{Do: faults.Links, From: from, To: to, Fault: f})
+	c.note(faults.Action{Do: faults.Links, From: from, To: to, Fault: f})
 	for at, w := range c.wires {
 		if (len(from) == 0 || slices.Contains(from, at[0])) && (len(to) == 0 || slices.Contains(to, at[1])) {
 			w.Spoil(f)
--- a/internal/standin/faults/faults.go
+++ b/internal/standin/faults/faults.go
@@ -20,7 +20,7 @@
 	Oversized bool          `json:"oversized,omitempty"` // each datagram is followed by an oversized one
 }
 
-// Values of Moment.Do.
+// Values of Action.Do.
 const (
 	Start = "start"
 	Kill  = "kill"
@@ -29,8 +29,8 @@
 	Links = "links"
 )
 
-// Moment is one action on the mixers or their links.
-type Moment struct {
+// Action is one action on the mixers or their links.
+type Action struct {
 	At    time.Duration `json:"at"` // since the start of the run
 	Do    string        `json:"do"`
 	Mixer int           `json:"mixer,omitempty"`
@@ -40,15 +40,15 @@
 	Fault Fault         `json:"fault,omitzero"` // links: the zero value removes the fault
 }
 
-func (m Moment) String() string {
-	at := m.At.Round(time.Millisecond)
-	switch m.Do {
+func (a Action) String() string {
+	at := a.At.Round(time.Millisecond)
+	switch a.Do {
 	case Links:
-		return fmt.Sprintf("%v links from %v to %v: %+v", at, m.From, m.To, m.Fault)
+		return fmt.Sprintf("%v links from %v to %v: %+v", at, a.From, a.To, a.Fault)
 	case Pause:
-		return fmt.Sprintf("%v pause n%d for %v", at, m.Mixer, m.For)
+		return fmt.Sprintf("%v pause n%d for %v", at, a.Mixer, a.For)
 	}
-	return fmt.Sprintf("%v %s n%d", at, m.Do, m.Mixer)
+	return fmt.Sprintf("%v %s n%d", at, a.Do, a.Mixer)
 }
 
 // Change is a mixer's log line on a change of a member's state.
@@ -65,7 +65,7 @@
 type Run struct {
 	Mixers  []string      `json:"mixers"`
 	Length  time.Duration `json:"length"`
-	Moments []Moment      `json:"moments"`
+	Actions []Action      `json:"moments"`
 	Changes []Change      `json:"changes"`
 }
 
