--- a/internal/otlp/decode.go
+++ b/internal/otlp/decode.go
@@ -11,24 +11,25 @@
 	"kiteloft/internal/tracing"
 )
 
-// Trace is a query's trace as it was written by one mixer.
+// Trace is the trace of a query as one mixer recorded it.
 type Trace struct {
 	tracing.Query
 	Mixer  string
 	Class  string
-	Zones  []string  // of its attempts, by index
-	At     time.Time // when the query began; its other times count from there
-	Weight float64   // how many queries it stands for
+	Zones  []string  // names that the attempts' Zone fields index
+	At     time.Time // when the query began; the times in Query are relative to it
+	Weight float64   // the number of queries that this sampled trace represents
 }
 
-// LossReport is what a mixer said that it could not hold of a class.
+// LossReport is a mixer's report of the traces of one class that it could not store.
 type LossReport struct {
 	Mixer, Class string
 	At           time.Time
 	tracing.Loss
 }
 
-// attributes are those of a span or an event.
+// attributes is the attribute list of a resource, a span or an event. A missing attribute, or one of
+// another type, reads as the zero value.
 type attributes []*common.KeyValue
 
 func (a attributes) get(key string) *common.AnyValue {
@@ -48,8 +49,9 @@
 	return time.Duration(a.number(key) * float64(time.Millisecond))
 }
 
-// Decode reads the traces of a message back. Spans whose root is not among them, or
-// that kiteloft did not write, are counted as strays.
+// Decode returns the traces and loss reports in a message. Strays is the number of spans that were
+// ignored because their root span does not precede them or kiteloft did not write them. On an error,
+// the results hold what was decoded before it.
 func Decode(data *trace.TracesData) (list []*Trace, lost []LossReport, strays int, err error) {
 	for _, rs := range data.GetResourceSpans() {
 		mixer := attributes(rs.GetResource().GetAttributes()).text(keyInstance)
@@ -105,7 +107,7 @@
 		}
 	}
 	for _, t := range list {
-		for i := range t.Events { // written with places, which may come before their parts
+		for i := range t.Events { // events refer to parts by place, and are read before the parts
 			e := &t.Events[i]
 			if e.Part >= 0 {
 				e.Part = int32(slices.IndexFunc(t.Parts, func(p tracing.Part) bool { return p.Place == e.Part }))
@@ -175,7 +177,7 @@
 	t.Attempts = append(t.Attempts, a)
 }
 
-// Zone is the name of an attempt's zone; "" if it is not known.
+// Zone returns the name of an attempt's zone, or "" if it is not known.
 func (t *Trace) Zone(a *tracing.Attempt) string {
 	if a.Zone < 0 || int(a.Zone) >= len(t.Zones) {
 		return ""
--- a/internal/otlp/encode.go
+++ b/internal/otlp/encode.go
@@ -1,5 +1,5 @@
-// Package otlp turns traces into OpenTelemetry's messages and back, and sends them
-// to a collector over HTTP. Nothing here runs on the core's goroutine.
+// Package otlp encodes traces as OpenTelemetry protocol (OTLP) messages, decodes them, and exports
+// them to files and to a collector over HTTP. Encoding and export run outside the core's goroutine.
 package otlp
 
 import (
@@ -12,16 +12,16 @@
 	"kiteloft/internal/tracing"
 )
 
-// Encoder is what is the same for all traces of a mixer.
+// Encoder encodes the traces of one mixer. Its fields are common to all of them.
 type Encoder struct {
 	Mixer   string
 	Version string
-	Epoch   time.Time // of the core's clock
+	Epoch   time.Time // the time at which the core's clock is 0
 	Classes []string
 	Zones   []string
 }
 
-// Names of attributes. Those without kiteloft's prefix are OpenTelemetry's.
+// Attribute keys. Those without the prefix "kiteloft." are OpenTelemetry's semantic conventions.
 const (
 	keyService  = "service.name"
 	keyInstance = "service.instance.id"
@@ -62,7 +62,7 @@
 	keyLostAll  = "kiteloft.lost.unrecorded"
 )
 
-// Names of spans and of an attempt's moments.
+// Names of spans, and of the events of an attempt's span.
 const (
 	nameStep      = "step"
 	namePart      = "part"
@@ -75,7 +75,7 @@
 
 const scopeName = "kiteloft"
 
-// Words for the enumerations, by value.
+// Names of enumeration values, indexed by value.
 var (
 	hows     = words{"open", "served", "short", "refused", "failed", "expired", "deserted"}
 	reasons  = words{"first", "further", "copy"}
@@ -95,7 +95,7 @@
 	return "unknown"
 }
 
-// index is -1 for a word that is not among them.
+// index returns the index of s, or -1 if there is no such name.
 func (w words) index(s string) int {
 	for i, x := range w {
 		if x == s {
@@ -105,25 +105,25 @@
 	return -1
 }
 
-// HowName is the word for the way in which a query ended.
+// HowName returns the name of the way in which a query ended.
 func HowName(h tracing.Ending) string { return hows.name(int(h)) }
 
-// CauseName is the word for the module's cause of an end.
+// CauseName returns the name of the decision module's reason for ending a query.
 func CauseName(c uint8) string { return causes.name(int(c)) }
 
-// OutcomeName is the word for an attempt's outcome.
+// OutcomeName returns the name of an attempt's outcome.
 func OutcomeName(o tracing.Outcome) string { return outcomes.name(int(o)) }
 
-// ReasonName is the word for an attempt's reason.
+// ReasonName returns the name of the reason for which an attempt was made.
 func ReasonName(r tracing.Reason) string { return reasons.name(int(r)) }
 
-// ChoiceName is the word for the module's choice of a node.
+// ChoiceName returns the name of the decision module's reason for choosing a node.
 func ChoiceName(c uint8) string { return choices.name(int(c)) }
 
-// EventName is the word for an event.
+// EventName returns the name of a kind of event.
 func EventName(k tracing.EventKind) string { return events.name(int(k)) }
 
-// KeepNames are the words for the reasons for which a trace is kept.
+// KeepNames returns the names of the reasons for which a trace is kept.
 func KeepNames(k tracing.KeepReasons) (list []string) {
 	for i, name := range keeps {
 		if k&(1<<i) != 0 {
@@ -133,8 +133,8 @@
 	return list
 }
 
-// Encode turns traces, and what was lost since the last ones, into a message for a
-// collector.
+// Encode returns a message with the spans of the given traces and one span for each report of traces
+// that were lost since the previous message. Now is the time of the reports by the core's clock.
 func (s Encoder) Encode(list []*tracing.Query, lost []tracing.Loss, now time.Duration) *trace.TracesData {
 	spans := make([]*trace.Span, 0, 8*len(list))
 	for _, q := range list {
@@ -281,8 +281,8 @@
 	}
 }
 
-// loss is a span that says what was not held: the kept traces must not pass for all
-// there were.
+// loss returns a span that reports how many traces were lost, so that a reader does not take the
+// stored traces for all that there were.
 func (s Encoder) loss(l tracing.Loss, now time.Duration) *trace.Span {
 	id := tracing.KeyedTrace(s.Mixer+s.Epoch.String(), s.class(l.Class)+now.String())
 	return &trace.Span{TraceId: id[:], SpanId: append([]byte(nil), id[:8]...), Name: nameLoss, Kind: trace.Span_SPAN_KIND_INTERNAL,
--- a/internal/otlp/exporter.go
+++ b/internal/otlp/exporter.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	firstPause = 200 * time.Millisecond // before a message is sent again; it doubles
+	firstPause = 200 * time.Millisecond // before the first retry of a message; doubles with each further retry
 	mostPause  = 5 * time.Second
-	longPause  = 60 * time.Second // the longest that a collector may ask for
-	beside     = 64               // messages that wait for a collector where they are on disk already
+	longPause  = 60 * time.Second // upper bound of the delay that a collector may ask for
+	beside     = 64               // messages queued for the collector when they are also written to disk
 )
 
-// Batch is what is exported at once.
+// Batch is a set of traces and reports of lost traces that are exported in one message.
 type Batch struct {
 	Traces []*tracing.Query
 	Lost   []tracing.Loss
-	Now    time.Duration // the core's clock
+	Now    time.Duration // time of the loss reports, by the core's clock
 }
 
-// Exporter writes batches to segments, sends them to a collector, or both. It has
-// goroutines of its own; Offer never blocks. While it is busy, what is to come
-// waits with the recorder, which bounds it.
+// Exporter writes batches to segment files, sends them to a collector, or both. It does so on its
+// own goroutines, and Offer never blocks. While it is busy, further traces wait in the recorder,
+// which bounds their memory.
 type Exporter struct {
 	src   Encoder
 	disk  *segments.Writer // nil: none
@@ -43,20 +43,20 @@
 	done  chan struct{}
 	ctx   context.Context
 	stop  context.CancelFunc
-	down  bool // the collector's being away is logged
+	down  bool // the loss of the collector has been logged
 	stats ExportStats
 }
 
-// ExportStats counts what an Exporter has done.
+// ExportStats holds an Exporter's counters.
 type ExportStats struct {
-	AcceptedSpans   atomic.Int64 // taken by the collector
-	Rejected        atomic.Int64 // spans that it refused for good
-	SkippedMessages atomic.Int64 // messages not sent to it; they are on disk
-	WrittenMessages atomic.Int64 // messages on disk
-	Retries         atomic.Int64 // sends of the same message again
+	AcceptedSpans   atomic.Int64 // accepted by the collector
+	Rejected        atomic.Int64 // spans that the collector rejected permanently
+	SkippedMessages atomic.Int64 // messages written to disk and not sent to the collector, whose queue was full
+	WrittenMessages atomic.Int64 // messages written to disk
+	Retries         atomic.Int64 // repeated sends of the same message
 }
 
-// NewExporter returns an Exporter that runs. Either of disk and send may be nil.
+// NewExporter returns a running Exporter. Disk, send or both may be nil, which leaves that target out.
 func NewExporter(src Encoder, disk *segments.Writer, send *Sender, log zerolog.Logger) *Exporter {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Exporter{src: src, disk: disk, send: send, log: log, in: make(chan Batch, 1), next: make(chan *trace.TracesData, beside),
@@ -65,20 +65,20 @@
 	return e
 }
 
-// Ready reports whether a batch would be taken.
+// Ready reports whether the exporter can accept a batch.
 func (e *Exporter) Ready() bool { return !e.busy.Load() }
 
-// Offer hands over a batch; the caller must have seen that it is Ready.
+// Offer passes a batch to the exporter. The caller must have checked that it is Ready.
 func (e *Exporter) Offer(b Batch) {
 	e.busy.Store(true)
-	e.in <- b // has room: only one is under way
+	e.in <- b // does not block: there is at most one batch in the channel
 }
 
-// Stats counts what was done.
+// Stats returns the exporter's counters, which may be read from any goroutine.
 func (e *Exporter) Stats() *ExportStats { return &e.stats }
 
-// Shutdown has what was offered exported, and then calls done, at the latest when the
-// time is up. Nothing may be offered any more.
+// Shutdown exports the batches offered so far, and then calls done on another goroutine, at the latest
+// after the given time. Offer must not be called after it.
 func (e *Exporter) Shutdown(within time.Duration, done func()) {
 	close(e.in)
 	go func() {
@@ -94,8 +94,8 @@
 	}()
 }
 
-// run takes batches. With a disk, the collector is served beside it, so that its
-// being away does not keep traces from the disk.
+// run processes batches. Messages are sent to the collector on a second goroutine, so that an
+// unavailable collector does not delay writes to disk.
 func (e *Exporter) run() {
 	defer close(e.done)
 	sent := make(chan struct{})
@@ -118,11 +118,11 @@
 		case e.send == nil:
 			e.busy.Store(false)
 		case e.disk == nil:
-			e.next <- data // taken soon: it is the only one
+			e.next <- data // does not block: without a disk there is only one message at a time
 		default:
 			select {
 			case e.next <- data:
-			default: // guards memory against a collector that is away for long
+			default: // bounds memory while the collector is unavailable for a long time
 				e.stats.SkippedMessages.Add(1)
 			}
 		}
@@ -151,7 +151,8 @@
 	e.stats.WrittenMessages.Add(1)
 }
 
-// deliver sends a message until it is taken, refused for good, or all ends.
+// deliver sends a message until the collector accepts it or rejects it permanently, or until the
+// exporter shuts down.
 func (e *Exporter) deliver(data *trace.TracesData) {
 	pause := firstPause
 	for {
--- a/internal/otlp/sender.go
+++ b/internal/otlp/sender.go
@@ -19,32 +19,33 @@
 )
 
 const (
-	maxAnswer   = 64 << 10 // bytes of a collector's answer that are read
+	maxAnswer   = 64 << 10 // bytes of a collector's response that are read
 	sendTimeout = 10 * time.Second
 	contentType = "application/x-protobuf"
 )
 
-// Sender posts messages to a collector by OTLP over HTTP, in protobuf.
+// Sender posts messages to a collector by OTLP over HTTP, encoded in protobuf and compressed with gzip.
 type Sender struct {
 	url    string
 	client *http.Client
 }
 
-// NewSender returns a Sender to a collector's URL, path included.
+// NewSender returns a Sender to a collector's URL, which includes the path.
 func NewSender(url string) *Sender {
 	return &Sender{url: url, client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, DisableCompression: true},
-		// A collector answers; it does not send us elsewhere.
+		// OTLP has no redirects: one is handled as a rejection.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// PartialSuccess is what a collector that took a message did not take of it.
+// PartialSuccess reports what a collector that accepted a message rejected of it.
 type PartialSuccess struct {
 	Rejected int64 // spans
 	Message  string
 }
 
-// RejectedError is a collector's answer that sending the same again won't change.
+// RejectedError is a permanent failure: sending the same message again would not succeed. Status is
+// the HTTP status, or 0 if the message could not be built.
 type RejectedError struct{ Status int }
 
 func (r *RejectedError) Error() string {
@@ -53,27 +54,27 @@
 
 // RetryableError is a failure after which the same message may be sent again.
 type RetryableError struct {
-	After time.Duration // as the collector asked; 0: it did not
+	After time.Duration // delay that the collector asked for; 0 if none
 	Err   error
 }
 
 func (r *RetryableError) Error() string { return r.Err.Error() }
 
-// Unwrap is the failure itself.
+// Unwrap returns the underlying failure.
 func (r *RetryableError) Unwrap() error { return r.Err }
 
 // Send posts a message, once. Its error is a *Retry or a *Rejection; OTLP's
 // specification names the statuses that may be tried again.
 func (s *Sender) Send(ctx context.Context, data *trace.TracesData, now time.Time) (PartialSuccess, error) {
-	// A request of the service has the form of TracesData. Its own package is left
-	// out: it brings a gateway for servers along.
+	// ExportTraceServiceRequest has the same encoding as TracesData. The package that declares it is
+	// not used because it depends on a gateway for servers.
 	body, err := proto.Marshal(data)
 	if err != nil {
 		return PartialSuccess{}, &RejectedError{}
 	}
 	var zipped bytes.Buffer
 	z := gzip.NewWriter(&zipped)
-	_, err = z.Write(body) // into memory: never fails
+	_, err = z.Write(body) // a write to memory never fails
 	if err = errors.Join(err, z.Close()); err != nil {
 		return PartialSuccess{}, &RejectedError{}
 	}
@@ -89,7 +90,7 @@
 	if err != nil {
 		return PartialSuccess{}, &RetryableError{Err: err}
 	}
-	defer func() { _ = resp.Body.Close() }() // read as far as it matters
+	defer func() { _ = resp.Body.Close() }() // what matters of the body has been read
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case resp.StatusCode/100 == 2:
@@ -103,8 +104,8 @@
 	return PartialSuccess{}, &RejectedError{resp.StatusCode}
 }
 
-// partial reads ExportTraceServiceResponse: what a collector says of what it took.
-// An answer that can't be read says nothing.
+// partial decodes the partial success from an ExportTraceServiceResponse. An answer that can't be
+// decoded counts as full success.
 func partial(answer []byte) (p PartialSuccess) {
 	fields.Each(answer, func(n protowire.Number, _ uint64, b []byte) bool {
 		if n != 1 { // partial_success
@@ -124,7 +125,7 @@
 	return p
 }
 
-// retryAfter reads the header in both its forms.
+// retryAfter parses a Retry-After header, which holds seconds or an HTTP date; 0 if it is neither.
 func retryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil {
 		return time.Duration(max(0, n)) * time.Second
@@ -135,5 +136,5 @@
 	return 0
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (s *Sender) Close() { s.client.CloseIdleConnections() }
