--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -21,7 +21,7 @@
 
 // text is the settings object of a fleet like the operators': 12 cells, 24
 // slices, three classes.
-const text = `{"balancers":3,"tick":0.005,"zone":0,"discovery":"ask","failure_domains":["a","b","c"],
+const fleetSettings = `{"balancers":3,"tick":0.005,"zone":0,"discovery":"ask","failure_domains":["a","b","c"],
 "caps":{"cancel":true,"conn_idle":30,"connect_timeout":0.25,"max_attempts":4,"max_open":2000,"max_retry_after":2,
  "probes":true,"retry_after":true,"second_copies":true,"streams_per_conn":32},
 "classes":[{"name":"report","semantics":"repeatable","aim":2.5,"deadline":7.5,"worth":3,"late_value":0.1},
@@ -35,8 +35,8 @@
 	nodeCount = 12
 )
 
-// shapes are the queries that are measured.
-var shapes = []struct {
+// queryShapes are the queries that are measured.
+var queryShapes = []struct {
 	name  string
 	class int
 	parts int
@@ -44,7 +44,7 @@
 
 // world stands round a core: nodes that answer all they are sent by the next
 // turn, and a client that takes the answer.
-type world struct {
+type harness struct {
 	*broker.Core
 	now   time.Duration
 	calls []*broker.Attempt
@@ -52,13 +52,13 @@
 	wrong int
 }
 
-func newWorld(tb testing.TB) (*world, settings.Settings) {
+func newHarness(tb testing.TB) (*harness, settings.Settings) {
 	tb.Helper()
-	set, err := settings.Parse([]byte(text))
+	set, err := settings.Parse([]byte(fleetSettings))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	w := &world{now: 24 * time.Hour}
+	w := &harness{now: 24 * time.Hour}
 	w.Core = broker.New(set, decide.New(set.Module, 1), func() time.Duration { return w.now }, w)
 	w.Attach(w, w)
 	w.Post(func() {
@@ -73,7 +73,7 @@
 }
 
 // record has the core's traces recorded, and taken as an exporter takes them.
-func (w *world) record(set settings.Settings) {
+func (w *harness) recordTraces(set settings.Settings) {
 	cfg := tracing.Config{MemoryBytes: 4 << 20, Spans: 200, Seed: 1}
 	for _, c := range set.Module.Classes {
 		cfg.Classes = append(cfg.Classes, tracing.Class{Name: c.Name, LatencyTarget: c.LatencyTarget, Deadline: c.Deadline})
@@ -88,25 +88,25 @@
 	w.Post(take)
 }
 
-func (w *world) Send(_ broker.Node, call []*broker.Attempt)     { w.calls = append(w.calls, call...) }
-func (w *world) GiveUp(*broker.Attempt)                         {}
-func (w *world) Probe(_ broker.Node, done func(decide.Outcome)) { done(decide.OK) }
-func (w *world) CloseIdle(broker.Node)                          {}
-func (w *world) SetNodes([]broker.Node)                         {}
-func (w *world) Watch(bool)                                     {}
-func (w *world) Read()                                          {}
-func (w *world) Module(string)                                  {}
-func (w *world) Storm(_, _ string)                              { w.wrong++ }
-func (w *world) Guard(_, _, _, _ string)                        { w.wrong++ }
-func (w *world) Served(bool, []broker.Value)                    { w.done++ }
-func (w *world) Refused(time.Duration)                          { w.wrong++ }
-func (w *world) Failed(bool)                                    { w.wrong++ }
+func (w *harness) Send(_ broker.Node, call []*broker.Attempt)     { w.calls = append(w.calls, call...) }
+func (w *harness) GiveUp(*broker.Attempt)                         {}
+func (w *harness) Probe(_ broker.Node, done func(decide.Outcome)) { done(decide.OK) }
+func (w *harness) CloseIdle(broker.Node)                          {}
+func (w *harness) SetNodes([]broker.Node)                         {}
+func (w *harness) Watch(bool)                                     {}
+func (w *harness) Read()                                          {}
+func (w *harness) Module(string)                                  {}
+func (w *harness) Storm(_, _ string)                              { w.wrong++ }
+func (w *harness) Guard(_, _, _, _ string)                        { w.wrong++ }
+func (w *harness) Served(bool, []broker.Value)                    { w.done++ }
+func (w *harness) Refused(time.Duration)                          { w.wrong++ }
+func (w *harness) Failed(bool)                                    { w.wrong++ }
 
 var value = []byte("5be2a07c19f04d63")
 
 // turn moves the clock by a tick, lets the nodes answer, and gives the core a
 // turn.
-func (w *world) turn() {
+func (w *harness) step() {
 	w.now += tick
 	calls := w.calls
 	w.calls = w.calls[:0:0]
@@ -121,17 +121,17 @@
 }
 
 // until turns until n queries are served.
-func (w *world) until(tb testing.TB, n int) {
+func (w *harness) runUntilServed(tb testing.TB, n int) {
 	for range 100 {
 		if w.done >= n {
 			return
 		}
-		w.turn()
+		w.step()
 	}
 	tb.Fatalf("%d served, %d in another way; want %d served", w.done, w.wrong, n)
 }
 
-func parts(n int) (list []broker.QueryPart) {
+func makeParts(n int) (list []broker.QueryPart) {
 	for i := range n {
 		list = append(list, broker.QueryPart{Shard: i, Weight: 1 / float64(n), Work: 70 * time.Millisecond})
 	}
@@ -139,19 +139,19 @@
 }
 
 // BenchmarkCore is a query's way through core and module.
-func BenchmarkCore(b *testing.B) { core(b, false) }
+func BenchmarkCore(b *testing.B) { benchmarkCore(b, false) }
 
 // BenchmarkCoreTraced is the same while traces are recorded.
-func BenchmarkCoreTraced(b *testing.B) { core(b, true) }
+func BenchmarkCoreTraced(b *testing.B) { benchmarkCore(b, true) }
 
-func core(b *testing.B, traced bool) {
-	for _, s := range shapes {
+func benchmarkCore(b *testing.B, traced bool) {
+	for _, s := range queryShapes {
 		b.Run(s.name, func(b *testing.B) {
-			w, set := newWorld(b)
+			w, set := newHarness(b)
 			if traced {
-				w.record(set)
+				w.recordTraces(set)
 			}
-			list := parts(s.parts)
+			list := makeParts(s.parts)
 			n := 0
 			ask := func() {
 				n++
@@ -161,7 +161,7 @@
 						b.Fatalf("verdict %v", v)
 					}
 				})
-				w.until(b, n)
+				w.runUntilServed(b, n)
 			}
 			for range 500 {
 				ask()
@@ -175,11 +175,11 @@
 }
 
 // client is a connection of the platform's front, and counts responses.
-type client struct{ answers, other int }
+type client struct{ ok, other int }
 
 func (c *client) Write(b []byte) int64 {
 	if strings.HasPrefix(string(b), "HTTP/1.1 200") {
-		c.answers++
+		c.ok++
 	} else {
 		c.other++
 	}
@@ -193,32 +193,32 @@
 func (c *client) Finish(transport.End)      {}
 
 // space has room for all connections.
-type space struct{}
+type unlimitedConnections struct{}
 
-func (space) NearLimit() bool { return false }
-func (space) HalfUsed() bool  { return false }
+func (unlimitedConnections) NearLimit() bool { return false }
+func (unlimitedConnections) HalfUsed() bool  { return false }
 
 // BenchmarkFront is a query's way from the bytes of its request to those of its
 // response.
-func BenchmarkFront(b *testing.B) { fronts(b, false) }
+func BenchmarkFront(b *testing.B) { benchmarkFront(b, false) }
 
 // BenchmarkFrontTraced is the same while traces are recorded.
-func BenchmarkFrontTraced(b *testing.B) { fronts(b, true) }
+func BenchmarkFrontTraced(b *testing.B) { benchmarkFront(b, true) }
 
-func fronts(b *testing.B, traced bool) {
-	for _, s := range shapes {
+func benchmarkFront(b *testing.B, traced bool) {
+	for _, s := range queryShapes {
 		b.Run(s.name, func(b *testing.B) {
-			w, set := newWorld(b)
+			w, set := newHarness(b)
 			if traced {
-				w.record(set)
+				w.recordTraces(set)
 			}
-			f := platform.New(w.Core, set.Module.Classes, nil, space{}, zerolog.Nop())
+			f := platform.New(w.Core, set.Module.Classes, nil, unlimitedConnections{}, zerolog.Nop())
 			c := &client{}
 			h := f.Accept(c)
 			w.RunOnce()
 			class := set.Module.Classes[s.class]
 			var list []string
-			for _, p := range parts(s.parts) {
+			for _, p := range makeParts(s.parts) {
 				list = append(list, fmt.Sprintf(`{"slice":%d,"mass":%g,"micros":70000}`, p.Shard, p.Weight))
 			}
 			body := `{"slices":[` + strings.Join(list, ",") + `],"filter":"c41e77d0"}`
@@ -229,11 +229,11 @@
 					class.Name, n, class.Deadline.Milliseconds(), len(body), body)
 				w.Post(func() { h.Data([]byte(request)) })
 				for range 100 {
-					if w.turn(); c.answers >= n {
+					if w.step(); c.ok >= n {
 						return
 					}
 				}
-				b.Fatalf("%d answers, %d others", c.answers, c.other)
+				b.Fatalf("%d answers, %d others", c.ok, c.other)
 			}
 			for range 500 {
 				ask()
--- a/bench/outage_test.go
+++ b/bench/outage_test.go
@@ -16,14 +16,14 @@
 // Figures of TestOutage: three mixers, 12 machines of 2 cores, 12 cells; all machines
 // die at once, cold successors come up later, the list tells of them later still.
 const (
-	outageRate = 26.0 // first tries a second, some 40% of what the machines can do
-	outageTime = 56 * time.Second
-	dieAt      = 12 * time.Second
-	backAt     = 20 * time.Second
-	toldAt     = 23 * time.Second
+	outageRate           = 26.0 // first tries a second, some 40% of what the machines can do
+	outageDuration       = 56 * time.Second
+	nodesDieAt           = 12 * time.Second
+	replacementsStartAt  = 20 * time.Second
+	replacementsListedAt = 23 * time.Second
 )
 
-var power = standin.Power{Cores: 2, Part: 70 * time.Millisecond, Call: 48 * time.Millisecond, Queue: 60, ColdFrom: 0.32, Cold: 18 * time.Second,
+var nodePower = standin.Power{Cores: 2, Part: 70 * time.Millisecond, Call: 48 * time.Millisecond, Queue: 60, ColdFrom: 0.32, Cold: 18 * time.Second,
 	Fall: time.Second, Multiple: 3}
 
 const outageSettings = `{"balancers":3,"tick":0.005,"discovery":"ask","failure_domains":["a"],
@@ -45,7 +45,7 @@
 	}
 	program := os.Getenv("KITELOFT_PROGRAM") // another build, to compare
 	if program == "" {
-		program = build(t)
+		program = buildProgram(t)
 	}
 	dir := standin.NewDirectory()
 	defer dir.Close()
@@ -56,7 +56,7 @@
 	hosts := func(generation string, warm bool) (list []host, members []standin.Member) {
 		for i := range nodeCount {
 			h := host{Node: standin.NewNode(fmt.Sprintf("%s-%02d", generation, i), nil)}
-			h.Machine = standin.NewMachine(power, warm, h.Node.Close)
+			h.Machine = standin.NewMachine(nodePower, warm, h.Node.Close)
 			h.Forgets, h.Stops, h.Probed = true, h.Machine.Stop, func(int) bool { return true }
 			h.Answers(h.Do)
 			addr, err := h.ServeFrames()
@@ -91,18 +91,18 @@
 		})
 		addrs, mixers = append(addrs, m.Listen()), append(mixers, m)
 	}
-	crowd := standin.Crowd{Addrs: addrs, Rate: outageRate, Time: outageTime, Seed: seed, Tries: 3, Pause: 100 * time.Millisecond, Obeys: 0.5, Marks: true, Timeout: 0.7,
+	crowd := standin.Crowd{Addrs: addrs, Rate: outageRate, Time: outageDuration, Seed: seed, Tries: 3, Pause: 100 * time.Millisecond, Obeys: 0.5, Marks: true, Timeout: 0.7,
 		Aim:  map[string]time.Duration{"lookup": 1500 * time.Millisecond, "booking": 1500 * time.Millisecond},
-		Make: someQuery}
+		Make: randomQuery}
 	var next []host
-	time.AfterFunc(dieAt, func() {
+	time.AfterFunc(nodesDieAt, func() {
 		for _, h := range old {
 			h.Node.Close()
 		}
 	})
 	var came []standin.Member
-	time.AfterFunc(backAt, func() { next, came = hosts("b", false) })
-	time.AfterFunc(toldAt, func() {
+	time.AfterFunc(replacementsStartAt, func() { next, came = hosts("b", false) })
+	time.AfterFunc(replacementsListedAt, func() {
 		for i, m := range came {
 			dir.Join(m)
 			dir.Tell(i, "left")
@@ -118,10 +118,10 @@
 		return 100 * float64(in) / float64(max(1, asked))
 	}
 	ninety := time.Duration(-1)
-	for i, s := range seconds[:int(outageTime.Seconds())] {
+	for i, s := range seconds[:int(outageDuration.Seconds())] {
 		fmt.Fprintf(&line, "%d:%d/%d(r%d) ", i, s.InTime, s.Asked, s.Refused)
-		if at := time.Duration(i) * time.Second; ninety < 0 && at >= toldAt && at < outageTime-3*time.Second && share(at, at+3*time.Second) >= 90 {
-			ninety = at - toldAt
+		if at := time.Duration(i) * time.Second; ninety < 0 && at >= replacementsListedAt && at < outageDuration-3*time.Second && share(at, at+3*time.Second) >= 90 {
+			ninety = at - replacementsListedAt
 		}
 	}
 	for _, m := range mixers {
@@ -140,15 +140,15 @@
 	}
 	t.Logf("%s", line.String())
 	t.Logf("%s: before %.0f%%, 2 s from the telling %.0f%%, 14 s from it %.0f%%, then %.0f%%; 90%% over 3 s after %v; sent to a cold node at most %.2f of what it can do; %d toppled",
-		cmp.Or(os.Getenv("KITELOFT_LABEL"), "this"), share(2*time.Second, dieAt), share(toldAt, toldAt+2*time.Second), share(toldAt, toldAt+14*time.Second),
-		share(toldAt+15*time.Second, outageTime), ninety, worst, fell)
+		cmp.Or(os.Getenv("KITELOFT_LABEL"), "this"), share(2*time.Second, nodesDieAt), share(replacementsListedAt, replacementsListedAt+2*time.Second), share(replacementsListedAt, replacementsListedAt+14*time.Second),
+		share(replacementsListedAt+15*time.Second, outageDuration), ninety, worst, fell)
 	if fell > 0 {
 		t.Error("a cold node was pushed over")
 	}
 }
 
-// someQuery is a lookup of some of 24 shards in a row, or a booking of one.
-func someQuery(rng *rand.Rand, n int) standin.Query {
+// randomQuery is a lookup of some of 24 shards in a row, or a booking of one.
+func randomQuery(rng *rand.Rand, n int) standin.Query {
 	q := standin.Query{Class: "lookup", Deadline: 4 * time.Second, Filter: fmt.Sprintf("%08x", n)}
 	from, parts := rng.IntN(24), 3+rng.IntN(3)
 	if rng.IntN(4) == 0 {
--- a/bench/process_test.go
+++ b/bench/process_test.go
@@ -19,10 +19,10 @@
 
 // Figures of TestProcessCost: long, so it runs only by its make target.
 const (
-	costRate   = 150 // queries a second
-	costTime   = 8 * time.Second
-	costRounds = 5
-	costParts  = 5
+	costRate     = 150 // queries a second
+	costDuration = 8 * time.Second
+	costRounds   = 5
+	costParts    = 5
 )
 
 // TestProcessCost measures what a query costs the real program, with traces off and
@@ -31,11 +31,11 @@
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-traces")
 	}
-	program, members := build(t), costNodes(t)
-	compare(t, "traces", func(on bool) (cpu, memory float64) {
+	program, members := buildProgram(t), costNodes(t)
+	compareOffOn(t, "traces", func(on bool) (cpu, memory float64) {
 		dir := standin.NewDirectory(members...)
 		defer dir.Close()
-		s := standin.Setup{Program: program, Dir: t.TempDir(), Settings: text, Discovery: dir.Serve(), Known: members}
+		s := standin.Setup{Program: program, Dir: t.TempDir(), Settings: fleetSettings, Discovery: dir.Serve(), Known: members}
 		if on {
 			s.Broker = "[tracing]\ndirectory = \"" + filepath.Join(s.Dir, "traces") + "\"\n"
 		}
@@ -48,7 +48,7 @@
 				t.Error(err)
 			}
 		}()
-		return measure(t, m)
+		return measureCost(t, m)
 	})
 }
 
@@ -58,11 +58,11 @@
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-fleet")
 	}
-	program, members := build(t), costNodes(t)
+	program, members := buildProgram(t), costNodes(t)
 	dir := standin.NewDirectory(members...)
 	defer dir.Close()
 	start := func(mixers int) *standin.Crew {
-		s := standin.CrewSetup{Program: program, Dir: t.TempDir(), Mixers: mixers, Settings: text, Known: members, Period: 500 * time.Millisecond, Seed: 1,
+		s := standin.CrewSetup{Program: program, Dir: t.TempDir(), Mixers: mixers, Settings: fleetSettings, Known: members, Period: 500 * time.Millisecond, Seed: 1,
 			Alone: mixers == 1}
 		for range mixers {
 			s.Dirs = append(s.Dirs, dir.Serve())
@@ -82,26 +82,26 @@
 		for i, m := range both {
 			before[i] = cpuTime(t, m.Cmd.Process.Pid)
 		}
-		time.Sleep(costTime / 2)
+		time.Sleep(costDuration / 2)
 		for i, m := range both {
 			at[i] = cpuTime(t, m.Cmd.Process.Pid) - before[i]
 		}
-		rest = append(rest, (at[1]-at[0]).Seconds()*1000/(costTime/2).Seconds())
+		rest = append(rest, (at[1]-at[0]).Seconds()*1000/(costDuration/2).Seconds())
 		var cpu [2]float64
 		var all sync.WaitGroup
 		for i, m := range both {
-			all.Go(func() { cpu[i], _ = measure(t, m) })
+			all.Go(func() { cpu[i], _ = measureCost(t, m) })
 		}
 		all.Wait()
 		more = append(more, 100*(cpu[1]/cpu[0]-1))
 		t.Logf("alone %.0f us of CPU a query, one of nine %.0f us: %+.1f%%; at rest alone %.2f ms a second, one of nine %.2f", cpu[0], cpu[1], more[len(more)-1],
-			at[0].Seconds()*1000/(costTime/2).Seconds(), at[1].Seconds()*1000/(costTime/2).Seconds())
+			at[0].Seconds()*1000/(costDuration/2).Seconds(), at[1].Seconds()*1000/(costDuration/2).Seconds())
 	}
 	slices.Sort(more)
 	slices.Sort(rest)
 	t.Logf("median of %d rounds, %d queries a second of %d parts each: %+.1f%% of CPU a query (%+.1f to %+.1f), at rest %.2f ms of CPU a second more; %.1f MB more resident",
 		len(more), costRate, costParts, more[len(more)/2], more[0], more[len(more)-1], rest[len(rest)/2],
-		resident(t, both[1].Cmd.Process.Pid)-resident(t, both[0].Cmd.Process.Pid))
+		residentMB(t, both[1].Cmd.Process.Pid)-residentMB(t, both[0].Cmd.Process.Pid))
 }
 
 // costNodes are the stock nodes of a measurement.
@@ -124,8 +124,8 @@
 	return members
 }
 
-// compare measures without and with something in turn.
-func compare(t *testing.T, what string, measure func(on bool) (cpu, memory float64)) {
+// compareOffOn measures without and with something in turn.
+func compareOffOn(t *testing.T, what string, measure func(on bool) (cpu, memory float64)) {
 	t.Helper()
 	type cost struct{ cpu, memory float64 }
 	sums := map[bool][]cost{}
@@ -146,12 +146,12 @@
 	cpu, memory := func(c cost) float64 { return c.cpu }, func(c cost) float64 { return c.memory }
 	off, on := median(sums[false], cpu), median(sums[true], cpu)
 	t.Logf("median of %d rounds, %d queries a second of %d parts, %v: off %.0f us and %.1f MB, on %.0f us and %.1f MB: %+.1f%%, %+.1f MB", costRounds,
-		costRate, costParts, costTime, off, median(sums[false], memory), on, median(sums[true], memory), 100*(on/off-1),
+		costRate, costParts, costDuration, off, median(sums[false], memory), on, median(sums[true], memory), 100*(on/off-1),
 		median(sums[true], memory)-median(sums[false], memory))
 }
 
-// build builds the program and returns its path.
-func build(t *testing.T) string {
+// buildProgram builds the program and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "kiteloft")
 	if out, err := exec.Command("go", "build", "-o", program, "../cmd/kiteloft").CombinedOutput(); err != nil {
@@ -160,8 +160,8 @@
 	return program
 }
 
-// measure asks a mixer and returns what a query cost it.
-func measure(t *testing.T, m *standin.Mixer) (cpu, memory float64) {
+// measureCost asks a mixer and returns what a query cost it.
+func measureCost(t *testing.T, m *standin.Mixer) (cpu, memory float64) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	ask := func(n int) {
@@ -184,10 +184,10 @@
 	}
 	ask(2 * costRate) // connections are up, sketches are filled
 	before := cpuTime(t, m.Cmd.Process.Pid)
-	n := int(costRate * costTime.Seconds())
+	n := int(costRate * costDuration.Seconds())
 	ask(n)
 	cpu = float64((cpuTime(t, m.Cmd.Process.Pid) - before).Microseconds()) / float64(n)
-	memory = resident(t, m.Cmd.Process.Pid)
+	memory = residentMB(t, m.Cmd.Process.Pid)
 	client.CloseIdleConnections()
 	return cpu, memory
 }
@@ -211,8 +211,8 @@
 	return sum
 }
 
-// resident is the memory that a process holds, in MB.
-func resident(t *testing.T, pid int) float64 {
+// residentMB is the memory that a process holds, in MB.
+func residentMB(t *testing.T, pid int) float64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/bench/zones_test.go
+++ b/bench/zones_test.go
@@ -19,27 +19,27 @@
 // Figures of TestZones: six mixers and 12 machines of 2 cores in three zones; all that two
 // zones can carry is asked for. One zone fails for a while.
 const (
-	zonesRate = 52.0 // first tries a second
-	zonesTime = 66 * time.Second
-	failsAt   = 14 * time.Second
-	soundAt   = 24 * time.Second
-	listSays  = 2 * time.Second // later that it began anew
+	zonesRate      = 52.0 // first tries a second
+	zonesDuration  = 66 * time.Second
+	zoneFailsAt    = 14 * time.Second
+	zoneRecoversAt = 24 * time.Second
+	listDelay      = 2 * time.Second // later that it began anew
 )
 
-var zonesPower = standin.Power{Cores: 2, Part: 70 * time.Millisecond, Call: 48 * time.Millisecond, Queue: 60, ColdFrom: 0.32, Cold: 12 * time.Second,
+var zonesNodePower = standin.Power{Cores: 2, Part: 70 * time.Millisecond, Call: 48 * time.Millisecond, Queue: 60, ColdFrom: 0.32, Cold: 12 * time.Second,
 	Fall: time.Second, Multiple: 3}
 
 // zonesSettings has each shard held in two of three zones.
 var zonesSettings = strings.NewReplacer(`"balancers":3`, `"balancers":6`, `["a"]`, `["a","b","c"]`, `"cold":18`, `"cold":12`).Replace(outageSettings)
 
-// trouble is what happens to zone b.
-type trouble struct {
+// zoneFailure is what happens to zone b.
+type zoneFailure struct {
 	name       string
 	fails, end func(r *standin.Rooms)
 	cold       bool // it comes back cold
 }
 
-var troubles = []trouble{
+var zoneFailures = []zoneFailure{
 	{"dark and back cold", func(r *standin.Rooms) { r.Dark(1, true) }, func(r *standin.Rooms) { r.Dark(1, false) }, true},
 	{"slow", func(r *standin.Rooms) { r.Slow(1, 900*time.Millisecond) }, func(r *standin.Rooms) { r.Slow(1, 0) }, false},
 	{"cut from one zone", func(r *standin.Rooms) { r.Cut(0, 1, 1) }, func(r *standin.Rooms) { r.Cut(0, 1, 0) }, false},
@@ -55,8 +55,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := build(t)
-	for _, what := range troubles {
+	program := buildProgram(t)
+	for _, what := range zoneFailures {
 		if kind := os.Getenv("KITELOFT_KIND"); kind != "" && kind != what.name {
 			continue
 		}
@@ -66,25 +66,25 @@
 			var mu sync.Mutex
 			for _, how := range []string{"alone", "fleet", "oracle"} {
 				all.Go(func() {
-					seconds, worst, fell := playZones(t, program, what, how, seed)
+					seconds, worst, fell := runZoneFailure(t, program, what, how, seed)
 					mu.Lock()
 					defer mu.Unlock()
-					t.Logf("%s, seed %d, %-6s: %s; a cold node at most %.2f of what it can do, %d toppled", what.name, seed, how, worths(seconds), worst, fell)
+					t.Logf("%s, seed %d, %-6s: %s; a cold node at most %.2f of what it can do, %d toppled", what.name, seed, how, inTimeShares(seconds), worst, fell)
 					if fell > 0 && how == "fleet" {
 						t.Errorf("%s, seed %d: a cold node was pushed over", what.name, seed)
 					}
-					sums[how] = added(sums[how], seconds)
+					sums[how] = sumSeconds(sums[how], seconds)
 				})
 			}
 			all.Wait()
 		}
 		for _, how := range []string{"alone", "fleet", "oracle"} {
-			t.Logf("%s, %d seeds, %-6s: %s", what.name, seeds, how, worths(sums[how]))
+			t.Logf("%s, %d seeds, %-6s: %s", what.name, seeds, how, inTimeShares(sums[how]))
 		}
 	}
 }
 
-func added(a, b []standin.Second) []standin.Second {
+func sumSeconds(a, b []standin.Second) []standin.Second {
 	if a == nil {
 		return slices.Clone(b)
 	}
@@ -94,8 +94,8 @@
 	return a
 }
 
-// worths is the share answered in time in each stretch that matters.
-func worths(list []standin.Second) string {
+// inTimeShares is the share answered in time in each stretch that matters.
+func inTimeShares(list []standin.Second) string {
 	share := func(from, to time.Duration) float64 {
 		asked, in := 0, 0
 		for _, s := range list[int(from.Seconds()):int(to.Seconds())] {
@@ -103,13 +103,13 @@
 		}
 		return float64(in) / float64(max(1, asked))
 	}
-	back := soundAt + listSays
-	return fmt.Sprintf("before %.3f, 5 s from the failure %.3f, 10 s %.3f, 12 s from the return %.3f, then %.3f", share(4*time.Second, failsAt),
-		share(failsAt, failsAt+5*time.Second), share(failsAt, failsAt+10*time.Second), share(back, back+12*time.Second), share(back+16*time.Second, zonesTime-4*time.Second))
+	back := zoneRecoversAt + listDelay
+	return fmt.Sprintf("before %.3f, 5 s from the failure %.3f, 10 s %.3f, 12 s from the return %.3f, then %.3f", share(4*time.Second, zoneFailsAt),
+		share(zoneFailsAt, zoneFailsAt+5*time.Second), share(zoneFailsAt, zoneFailsAt+10*time.Second), share(back, back+12*time.Second), share(back+16*time.Second, zonesDuration-4*time.Second))
 }
 
-func playZones(t *testing.T, program string, what trouble, how string, seed uint64) ([]standin.Second, float64, int) {
-	rooms, err := standin.NewRooms(standin.RoomsSetup{Zones: 3, Each: 4, Cells: 12, Machine: zonesPower, Seed: seed})
+func runZoneFailure(t *testing.T, program string, what zoneFailure, how string, seed uint64) ([]standin.Second, float64, int) {
+	rooms, err := standin.NewRooms(standin.RoomsSetup{Zones: 3, Each: 4, Cells: 12, Machine: zonesNodePower, Seed: seed})
 	if err != nil {
 		rooms.Close()
 		t.Error(err)
@@ -139,9 +139,9 @@
 	}
 	defer crew.Close()
 	time.Sleep(6 * time.Second) // until all are ready
-	crowd := standin.Crowd{Rate: zonesRate, Time: zonesTime, Seed: seed, Tries: 3, Pause: 100 * time.Millisecond, Obeys: 0.5, Marks: true, Timeout: 0.7,
+	crowd := standin.Crowd{Rate: zonesRate, Time: zonesDuration, Seed: seed, Tries: 3, Pause: 100 * time.Millisecond, Obeys: 0.5, Marks: true, Timeout: 0.7,
 		Aim:  map[string]time.Duration{"lookup": 1500 * time.Millisecond, "booking": 1500 * time.Millisecond},
-		Make: someQuery}
+		Make: randomQuery}
 	for i := range s.Mixers {
 		crowd.Addrs = append(crowd.Addrs, crew.Mixer(i).Listen())
 	}
@@ -153,19 +153,19 @@
 			t.Errorf("the oracle's word: %v", err)
 		}
 	}
-	time.AfterFunc(failsAt, func() {
+	time.AfterFunc(zoneFailsAt, func() {
 		what.fails(rooms)
 		order("leave")
 	})
-	time.AfterFunc(soundAt, func() {
+	time.AfterFunc(zoneRecoversAt, func() {
 		if what.cold {
-			if err := rooms.Cold(1, "", listSays); err != nil {
+			if err := rooms.Cold(1, "", listDelay); err != nil {
 				t.Error(err)
 			}
 		}
 		what.end(rooms)
 	})
-	time.AfterFunc(soundAt+listSays, func() { order("return") })
+	time.AfterFunc(zoneRecoversAt+listDelay, func() { order("return") })
 	seconds := crowd.Run()
 	worst, fell := rooms.Worst()
 	if os.Getenv("KITELOFT_LINES") != "" {
