--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -1,6 +1,7 @@
-// Package bench measures what a query costs inside the mixer, without sockets:
-// allocations, bytes and time through module and core, and through the
-// platform's front with its parser besides.
+// Package bench measures the cost of queries. The benchmarks run inside one process without
+// sockets: allocations, bytes and time of a query in module and core, and also in the platform's
+// front with its parser. The tests, which only run with KITELOFT_MEASURE set, measure the real
+// program.
 package bench
 
 import (
@@ -19,8 +20,8 @@
 	"kiteloft/internal/transport"
 )
 
-// text is the settings object of a fleet like the operators': 12 cells, 24
-// slices, three classes.
+// fleetSettings is the settings object of a fleet like the operators': 12 cells, 24 slices and two
+// classes.
 const fleetSettings = `{"balancers":3,"tick":0.005,"zone":0,"discovery":"ask","failure_domains":["a","b","c"],
 "caps":{"cancel":true,"conn_idle":30,"connect_timeout":0.25,"max_attempts":4,"max_open":2000,"max_retry_after":2,
  "probes":true,"retry_after":true,"second_copies":true,"streams_per_conn":32},
@@ -35,15 +36,15 @@
 	nodeCount = 12
 )
 
-// queryShapes are the queries that are measured.
+// queryShapes are the measured queries, by class and number of parts.
 var queryShapes = []struct {
 	name  string
 	class int
 	parts int
 }{{"1-part", 1, 1}, {"4-part", 1, 4}, {"report", 0, 6}}
 
-// world stands round a core: nodes that answer all they are sent by the next
-// turn, and a client that takes the answer.
+// harness drives a core on a virtual clock. It stands in for the nodes, which answer each attempt
+// by the next step, and for the client, whose answers it counts.
 type harness struct {
 	*broker.Core
 	now   time.Duration
@@ -72,7 +73,7 @@
 	return w, set
 }
 
-// record has the core's traces recorded, and taken as an exporter takes them.
+// recordTraces makes the core record traces and takes them regularly, as an exporter does.
 func (w *harness) recordTraces(set settings.Settings) {
 	cfg := tracing.Config{MemoryBytes: 4 << 20, Spans: 200, Seed: 1}
 	for _, c := range set.Module.Classes {
@@ -104,8 +105,7 @@
 
 var value = []byte("5be2a07c19f04d63")
 
-// turn moves the clock by a tick, lets the nodes answer, and gives the core a
-// turn.
+// step advances the clock by a tick, answers the pending attempts and runs the core once.
 func (w *harness) step() {
 	w.now += tick
 	calls := w.calls
@@ -120,7 +120,7 @@
 	w.RunOnce()
 }
 
-// until turns until n queries are served.
+// runUntilServed steps until n queries are served in all, and fails after 100 steps.
 func (w *harness) runUntilServed(tb testing.TB, n int) {
 	for range 100 {
 		if w.done >= n {
@@ -128,7 +128,7 @@
 		}
 		w.step()
 	}
-	tb.Fatalf("%d served, %d in another way; want %d served", w.done, w.wrong, n)
+	tb.Fatalf("%d queries served, %d ended otherwise; want %d served", w.done, w.wrong, n)
 }
 
 func makeParts(n int) (list []broker.QueryPart) {
@@ -138,10 +138,10 @@
 	return list
 }
 
-// BenchmarkCore is a query's way through core and module.
+// BenchmarkCore measures a query's path through core and module.
 func BenchmarkCore(b *testing.B) { benchmarkCore(b, false) }
 
-// BenchmarkCoreTraced is the same while traces are recorded.
+// BenchmarkCoreTraced measures the same while traces are recorded.
 func BenchmarkCoreTraced(b *testing.B) { benchmarkCore(b, true) }
 
 func benchmarkCore(b *testing.B, traced bool) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// client is a connection of the platform's front, and counts responses.
+// client is a client connection of the platform's front that counts responses by status.
 type client struct{ ok, other int }
 
 func (c *client) Write(b []byte) int64 {
@@ -192,17 +192,16 @@
 func (c *client) Flushed() bool             { return true }
 func (c *client) Finish(transport.End)      {}
 
-// space has room for all connections.
+// unlimitedConnections is a connection limit that is never near.
 type unlimitedConnections struct{}
 
 func (unlimitedConnections) NearLimit() bool { return false }
 func (unlimitedConnections) HalfUsed() bool  { return false }
 
-// BenchmarkFront is a query's way from the bytes of its request to those of its
-// response.
+// BenchmarkFront measures a query's path from the bytes of its request to those of its response.
 func BenchmarkFront(b *testing.B) { benchmarkFront(b, false) }
 
-// BenchmarkFrontTraced is the same while traces are recorded.
+// BenchmarkFrontTraced measures the same while traces are recorded.
 func BenchmarkFrontTraced(b *testing.B) { benchmarkFront(b, true) }
 
 func benchmarkFront(b *testing.B, traced bool) {
@@ -233,7 +232,7 @@
 						return
 					}
 				}
-				b.Fatalf("%d answers, %d others", c.ok, c.other)
+				b.Fatalf("%d responses with status 200, %d others", c.ok, c.other)
 			}
 			for range 500 {
 				ask()
--- a/bench/outage_test.go
+++ b/bench/outage_test.go
@@ -13,10 +13,10 @@
 	"kiteloft/internal/standin"
 )
 
-// Figures of TestOutage: three mixers, 12 machines of 2 cores, 12 cells; all machines
-// die at once, cold successors come up later, the list tells of them later still.
+// Schedule of TestOutage: three mixers, 12 nodes of 2 cores, 12 cells. All nodes die at once, cold
+// replacements start later, and the node list shows them later still.
 const (
-	outageRate           = 26.0 // first tries a second, some 40% of what the machines can do
+	outageRate           = 26.0 // first tries a second, some 40% of the nodes' capacity
 	outageDuration       = 56 * time.Second
 	nodesDieAt           = 12 * time.Second
 	replacementsStartAt  = 20 * time.Second
@@ -34,7 +34,8 @@
 "family_info":{"per_call":8,"positions":12,"span":2,"ranges":24,"class_floor":[1,1],"need_by_class":[1,1],"short_worth":[0.9,0.9],"follow_up":[0,0]},
 "rules":{"ask_within":10,"cold":18,"cold_from":0.32,"drain_grace":2,"fall":1,"fall_multiple":3,"grace_to_answer":0.02}}`
 
-// TestOutage measures how worth comes back after an outage of all nodes.
+// TestOutage measures how fast the share of queries answered in time recovers after an outage of
+// all nodes. It fails if a cold node is overloaded until it topples.
 func TestOutage(t *testing.T) {
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-outage")
@@ -43,7 +44,7 @@
 	if n, err := strconv.ParseUint(os.Getenv("KITELOFT_SEED"), 10, 64); err == nil {
 		seed = n
 	}
-	program := os.Getenv("KITELOFT_PROGRAM") // another build, to compare
+	program := os.Getenv("KITELOFT_PROGRAM") // path of another build to compare with
 	if program == "" {
 		program = buildProgram(t)
 	}
@@ -139,15 +140,15 @@
 		}
 	}
 	t.Logf("%s", line.String())
-	t.Logf("%s: before %.0f%%, 2 s from the telling %.0f%%, 14 s from it %.0f%%, then %.0f%%; 90%% over 3 s after %v; sent to a cold node at most %.2f of what it can do; %d toppled",
+	t.Logf("%s: in time before the outage %.0f%%, in the 2 s after the list shows the replacements %.0f%%, in the 14 s after it %.0f%%, then %.0f%%; 90%% over 3 s after %v; load of a cold node at most %.2f of its capacity; %d toppled",
 		cmp.Or(os.Getenv("KITELOFT_LABEL"), "this"), share(2*time.Second, nodesDieAt), share(replacementsListedAt, replacementsListedAt+2*time.Second), share(replacementsListedAt, replacementsListedAt+14*time.Second),
 		share(replacementsListedAt+15*time.Second, outageDuration), ninety, worst, fell)
 	if fell > 0 {
-		t.Error("a cold node was pushed over")
+		t.Error("a cold node was overloaded until it toppled")
 	}
 }
 
-// randomQuery is a lookup of some of 24 shards in a row, or a booking of one.
+// randomQuery returns a lookup of 3 to 5 consecutive shards of 24, or, one time in four, a booking of one.
 func randomQuery(rng *rand.Rand, n int) standin.Query {
 	q := standin.Query{Class: "lookup", Deadline: 4 * time.Second, Filter: fmt.Sprintf("%08x", n)}
 	from, parts := rng.IntN(24), 3+rng.IntN(3)
--- a/bench/process_test.go
+++ b/bench/process_test.go
@@ -17,7 +17,7 @@
 	"kiteloft/internal/standin"
 )
 
-// Figures of TestProcessCost: long, so it runs only by its make target.
+// Load and length of TestProcessCost and TestFleetCost, which are long and run only by their make targets.
 const (
 	costRate     = 150 // queries a second
 	costDuration = 8 * time.Second
@@ -25,8 +25,8 @@
 	costParts    = 5
 )
 
-// TestProcessCost measures what a query costs the real program, with traces off and
-// on in turn: CPU by the kernel's count, and resident memory.
+// TestProcessCost measures what a query costs the real program with traces off and on,
+// alternately: CPU time as the kernel counts it, and resident memory.
 func TestProcessCost(t *testing.T) {
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-traces")
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestFleetCost measures the same for a mixer alone and for one of nine that talk, both at
-// once: what else the machine does then burdens both.
+// TestFleetCost measures the same for a single mixer and for a member of a fleet of nine. Both run
+// at once, so that other load of the machine affects both alike.
 func TestFleetCost(t *testing.T) {
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-fleet")
@@ -75,7 +75,7 @@
 		return c
 	}
 	both := [2]*standin.Mixer{start(1).Mixer(0), start(9).Mixer(0)}
-	time.Sleep(8 * time.Second) // until all are ready and all has been told
+	time.Sleep(8 * time.Second) // until all are ready and have exchanged their state
 	var more, rest []float64
 	for range 2 * costRounds {
 		var before, at [2]time.Duration
@@ -94,17 +94,17 @@
 		}
 		all.Wait()
 		more = append(more, 100*(cpu[1]/cpu[0]-1))
-		t.Logf("alone %.0f us of CPU a query, one of nine %.0f us: %+.1f%%; at rest alone %.2f ms a second, one of nine %.2f", cpu[0], cpu[1], more[len(more)-1],
+		t.Logf("alone %.0f us of CPU a query, one of nine %.0f us: %+.1f%%; idle: alone %.2f ms a second, one of nine %.2f", cpu[0], cpu[1], more[len(more)-1],
 			at[0].Seconds()*1000/(costDuration/2).Seconds(), at[1].Seconds()*1000/(costDuration/2).Seconds())
 	}
 	slices.Sort(more)
 	slices.Sort(rest)
-	t.Logf("median of %d rounds, %d queries a second of %d parts each: %+.1f%% of CPU a query (%+.1f to %+.1f), at rest %.2f ms of CPU a second more; %.1f MB more resident",
+	t.Logf("median of %d rounds, %d queries a second of %d parts each: %+.1f%% of CPU a query (%+.1f to %+.1f), idle %.2f ms of CPU a second more; %.1f MB more resident",
 		len(more), costRate, costParts, more[len(more)/2], more[0], more[len(more)-1], rest[len(rest)/2],
 		residentMB(t, both[1].Cmd.Process.Pid)-residentMB(t, both[0].Cmd.Process.Pid))
 }
 
-// costNodes are the stock nodes of a measurement.
+// costNodes starts the stock nodes of a measurement, which answer after 3 ms, and returns their list entries.
 func costNodes(t *testing.T) (members []standin.Member) {
 	t.Helper()
 	for i := range nodeCount {
@@ -124,7 +124,8 @@
 	return members
 }
 
-// compareOffOn measures without and with something in turn.
+// compareOffOn measures alternately with a feature off and on, costRounds times each, and logs the
+// medians and their difference.
 func compareOffOn(t *testing.T, what string, measure func(on bool) (cpu, memory float64)) {
 	t.Helper()
 	type cost struct{ cpu, memory float64 }
@@ -160,7 +161,8 @@
 	return program
 }
 
-// measureCost asks a mixer and returns what a query cost it.
+// measureCost sends queries to a mixer at costRate for costDuration. It returns the CPU time per
+// query in microseconds and the resident memory in MB.
 func measureCost(t *testing.T, m *standin.Mixer) (cpu, memory float64) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
@@ -182,7 +184,7 @@
 		}
 		wg.Wait()
 	}
-	ask(2 * costRate) // connections are up, sketches are filled
+	ask(2 * costRate) // warm-up: opens connections and fills the latency sketches
 	before := cpuTime(t, m.Cmd.Process.Pid)
 	n := int(costRate * costDuration.Seconds())
 	ask(n)
@@ -192,13 +194,13 @@
 	return cpu, memory
 }
 
-// cpuTime is the CPU that a process has used, by /proc/PID/schedstat: in ns, where
-// stat counts ticks of 10 ms. Each thread has its own.
+// cpuTime returns the CPU time that a process has used: the sum over its threads' schedstat files,
+// which count ns, where /proc/PID/stat counts ticks of 10 ms.
 func cpuTime(t *testing.T, pid int) (sum time.Duration) {
 	t.Helper()
 	list, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(list) == 0 {
-		t.Skip("no count of CPU here")
+		t.Skip("this system has no /proc/PID/task/*/schedstat")
 	}
 	for _, path := range list {
 		b, err := os.ReadFile(path)
@@ -211,12 +213,12 @@
 	return sum
 }
 
-// residentMB is the memory that a process holds, in MB.
+// residentMB returns the resident memory of a process in MB.
 func residentMB(t *testing.T, pid int) float64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		t.Skip("no count of memory here")
+		t.Skip("this system has no /proc/PID/status")
 	}
 	for line := range strings.Lines(string(b)) {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
--- a/bench/standing/main.go
+++ b/bench/standing/main.go
@@ -1,5 +1,6 @@
-// Command standing says in one line what a score of the standing test gained and lost
-// against the last one of its kind, by the journal.
+// Command standing prints one line that compares the latest score of the standing test in the
+// journal with the one before of the same kind. It exits with status 1 if a day of the latest is
+// broken or there is no score, and with 2 if the journal can't be read.
 package main
 
 import (
@@ -12,6 +13,7 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
+// entry holds the fields of a journal entry that are compared.
 type entry struct {
 	ID      string   `json:"id"`
 	Args    []string `json:"argv"`
@@ -27,7 +29,8 @@
 	} `json:"days"`
 }
 
-// kind tells scores that may be compared: by whether they are quick, and by their days.
+// kind returns a key that is equal for scores that may be compared: those that are alike quick or
+// full and have the same days. It is empty for entries that are no score.
 func (e entry) kind() string {
 	if e.Cmd != "real-score" {
 		return ""
@@ -40,7 +43,8 @@
 	return fmt.Sprint(slices.Contains(e.Args, "--quick"), days)
 }
 
-// compare says what the latest entry changed against the one of its kind before.
+// compare describes the change from the previous entry of the same kind to the latest one. It
+// reports false if there is no score or a day of the latest is broken.
 func compare(list []entry) (string, bool) {
 	if len(list) == 0 || list[len(list)-1].kind() == "" {
 		return "no score in the journal", false
--- a/bench/standing/main_test.go
+++ b/bench/standing/main_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestCompare checks that a quick score is compared with the last quick one, and that a day with a
+// fault or an empty journal is reported.
 func TestCompare(t *testing.T) {
 	var list []entry
 	for _, text := range []string{
@@ -27,6 +29,6 @@
 		t.Errorf("%s, %v", got, ok)
 	}
 	if _, ok := compare(nil); ok {
-		t.Error("nothing is well")
+		t.Error("an empty journal passed as sound")
 	}
 }
--- a/bench/zones_test.go
+++ b/bench/zones_test.go
@@ -16,27 +16,27 @@
 	"kiteloft/internal/standin"
 )
 
-// Figures of TestZones: six mixers and 12 machines of 2 cores in three zones; all that two
-// zones can carry is asked for. One zone fails for a while.
+// Schedule of TestZones: six mixers and 12 nodes of 2 cores in three zones, under a load that takes
+// the whole capacity of two zones. One zone fails for a while.
 const (
 	zonesRate      = 52.0 // first tries a second
 	zonesDuration  = 66 * time.Second
 	zoneFailsAt    = 14 * time.Second
 	zoneRecoversAt = 24 * time.Second
-	listDelay      = 2 * time.Second // later that it began anew
+	listDelay      = 2 * time.Second // from a node's restart until the node list shows it
 )
 
 var zonesNodePower = standin.Power{Cores: 2, Part: 70 * time.Millisecond, Call: 48 * time.Millisecond, Queue: 60, ColdFrom: 0.32, Cold: 12 * time.Second,
 	Fall: time.Second, Multiple: 3}
 
-// zonesSettings has each shard held in two of three zones.
+// zonesSettings places each shard in two of three zones.
 var zonesSettings = strings.NewReplacer(`"balancers":3`, `"balancers":6`, `["a"]`, `["a","b","c"]`, `"cold":18`, `"cold":12`).Replace(outageSettings)
 
-// zoneFailure is what happens to zone b.
+// zoneFailure is a way in which zone b fails and recovers.
 type zoneFailure struct {
 	name       string
 	fails, end func(r *standin.Rooms)
-	cold       bool // it comes back cold
+	cold       bool // its nodes restart cold
 }
 
 var zoneFailures = []zoneFailure{
@@ -45,8 +45,10 @@
 	{"cut from one zone", func(r *standin.Rooms) { r.Cut(0, 1, 1) }, func(r *standin.Rooms) { r.Cut(0, 1, 0) }, false},
 }
 
-// TestZones plays a zone's failure to mixers each on its own, to a fleet that leaves the zone,
-// and to one that is told the truth at once, side by side.
+// TestZones runs each zone failure against three groups of mixers side by side: "alone" without a
+// fleet's agreement, "fleet" which leaves the zone by its own judgement, and "oracle" which is
+// ordered to leave and return at once. It fails if a cold node of "fleet" is overloaded until it
+// topples.
 func TestZones(t *testing.T) {
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-zones")
@@ -69,9 +71,9 @@
 					seconds, worst, fell := runZoneFailure(t, program, what, how, seed)
 					mu.Lock()
 					defer mu.Unlock()
-					t.Logf("%s, seed %d, %-6s: %s; a cold node at most %.2f of what it can do, %d toppled", what.name, seed, how, inTimeShares(seconds), worst, fell)
+					t.Logf("%s, seed %d, %-6s: %s; load of a cold node at most %.2f of its capacity, %d toppled", what.name, seed, how, inTimeShares(seconds), worst, fell)
 					if fell > 0 && how == "fleet" {
-						t.Errorf("%s, seed %d: a cold node was pushed over", what.name, seed)
+						t.Errorf("%s, seed %d: a cold node was overloaded until it toppled", what.name, seed)
 					}
 					sums[how] = sumSeconds(sums[how], seconds)
 				})
@@ -84,6 +86,7 @@
 	}
 }
 
+// sumSeconds returns the sums of queries asked and answered in time for each second; a may be nil.
 func sumSeconds(a, b []standin.Second) []standin.Second {
 	if a == nil {
 		return slices.Clone(b)
@@ -94,7 +97,7 @@
 	return a
 }
 
-// inTimeShares is the share answered in time in each stretch that matters.
+// inTimeShares formats the share of queries answered in time in each phase of the schedule.
 func inTimeShares(list []standin.Second) string {
 	share := func(from, to time.Duration) float64 {
 		asked, in := 0, 0
@@ -108,6 +111,8 @@
 		share(zoneFailsAt, zoneFailsAt+5*time.Second), share(zoneFailsAt, zoneFailsAt+10*time.Second), share(back, back+12*time.Second), share(back+16*time.Second, zonesDuration-4*time.Second))
 }
 
+// runZoneFailure runs one failure against one group of mixers. It returns the results by second, the
+// highest load of a cold node as a share of its capacity, and the number of nodes that toppled.
 func runZoneFailure(t *testing.T, program string, what zoneFailure, how string, seed uint64) ([]standin.Second, float64, int) {
 	rooms, err := standin.NewRooms(standin.RoomsSetup{Zones: 3, Each: 4, Cells: 12, Machine: zonesNodePower, Seed: seed})
 	if err != nil {
@@ -146,11 +151,11 @@
 		crowd.Addrs = append(crowd.Addrs, crew.Mixer(i).Listen())
 	}
 	order := func(word string) {
-		if how != "oracle" || what.name == "cut from one zone" { // of that the truth is that nobody need leave
+		if how != "oracle" || what.name == "cut from one zone" { // no zone has to be left for that failure
 			return
 		}
 		if _, err := crew.Ask(0, accord.Request{Op: accord.OpZoneOrder, Name: "b", Order: word, Why: "the truth"}); err != nil {
-			t.Errorf("the oracle's word: %v", err)
+			t.Errorf("the oracle's order to the fleet: %v", err)
 		}
 	}
 	time.AfterFunc(zoneFailsAt, func() {
