--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -131,7 +131,8 @@
 	tb.Fatalf("%d queries served, %d ended otherwise; want %d served", w.done, w.wrong, n)
 }
 
-func makeParts(n int) (list []broker.QueryPart) {
+// parts returns n query parts of equal weight, one for each of the first n slices.
+func parts(n int) (list []broker.QueryPart) {
 	for i := range n {
 		list = append(list, broker.QueryPart{Shard: i, Weight: 1 / float64(n), Work: 70 * time.Millisecond})
 	}
@@ -151,7 +152,7 @@
 			if traced {
 				w.recordTraces(set)
 			}
-			list := makeParts(s.parts)
+			list := parts(s.parts)
 			n := 0
 			ask := func() {
 				n++
@@ -217,7 +218,7 @@
 			w.RunOnce()
 			class := set.Module.Classes[s.class]
 			var list []string
-			for _, p := range makeParts(s.parts) {
+			for _, p := range parts(s.parts) {
 				list = append(list, fmt.Sprintf(`{"slice":%d,"mass":%g,"micros":70000}`, p.Shard, p.Weight))
 			}
 			body := `{"slices":[` + strings.Join(list, ",") + `],"filter":"c41e77d0"}`
