--- a/bench/core_test.go
+++ b/bench/core_test.go
@@ -47,10 +47,10 @@
 // by the next step, and for the client, whose answers it counts.
 type harness struct {
 	*broker.Core
-	now   time.Duration
-	calls []*broker.Attempt
-	done  int
-	wrong int
+	now        time.Duration
+	pending    []*broker.Attempt
+	served     int
+	unexpected int // refusals, failures, retry storms and guard interventions
 }
 
 func newHarness(tb testing.TB) (*harness, settings.Settings) {
@@ -89,7 +89,7 @@
 	w.Post(take)
 }
 
-func (w *harness) Send(_ broker.Node, call []*broker.Attempt)     { w.calls = append(w.calls, call...) }
+func (w *harness) Send(_ broker.Node, call []*broker.Attempt)     { w.pending = append(w.pending, call...) }
 func (w *harness) GiveUp(*broker.Attempt)                         {}
 func (w *harness) Probe(_ broker.Node, done func(decide.Outcome)) { done(decide.OK) }
 func (w *harness) CloseIdle(broker.Node)                          {}
@@ -97,22 +97,22 @@
 func (w *harness) Watch(bool)                                     {}
 func (w *harness) Read()                                          {}
 func (w *harness) Module(string)                                  {}
-func (w *harness) Storm(_, _ string)                              { w.wrong++ }
-func (w *harness) Guard(_, _, _, _ string)                        { w.wrong++ }
-func (w *harness) Served(bool, []broker.Value)                    { w.done++ }
-func (w *harness) Refused(time.Duration)                          { w.wrong++ }
-func (w *harness) Failed(bool)                                    { w.wrong++ }
+func (w *harness) Storm(_, _ string)                              { w.unexpected++ }
+func (w *harness) Guard(_, _, _, _ string)                        { w.unexpected++ }
+func (w *harness) Served(bool, []broker.Value)                    { w.served++ }
+func (w *harness) Refused(time.Duration)                          { w.unexpected++ }
+func (w *harness) Failed(bool)                                    { w.unexpected++ }
 
 var value = []byte("5be2a07c19f04d63")
 
 // step advances the clock by a tick, answers the pending attempts and runs the core once.
 func (w *harness) step() {
 	w.now += tick
-	calls := w.calls
-	w.calls = w.calls[:0:0]
-	if len(calls) > 0 {
+	pending := w.pending
+	w.pending = w.pending[:0:0]
+	if len(pending) > 0 {
 		w.Post(func() {
-			for _, a := range calls {
+			for _, a := range pending {
 				w.Ended(a, decide.OK, int64(a.Shard), value)
 			}
 		})
@@ -123,12 +123,12 @@
 // runUntilServed steps until n queries are served in all, and fails after 100 steps.
 func (w *harness) runUntilServed(tb testing.TB, n int) {
 	for range 100 {
-		if w.done >= n {
+		if w.served >= n {
 			return
 		}
 		w.step()
 	}
-	tb.Fatalf("%d queries served, %d ended otherwise; want %d served", w.done, w.wrong, n)
+	tb.Fatalf("%d queries served, %d unexpected outcomes; want %d served", w.served, w.unexpected, n)
 }
 
 // parts returns n query parts of equal weight, one for each of the first n slices.
--- a/bench/outage_test.go
+++ b/bench/outage_test.go
@@ -50,6 +50,7 @@
 	}
 	dir := standin.NewDirectory()
 	defer dir.Close()
+	// host is a stand-in node with the machine that models its load.
 	type host struct {
 		*standin.Node
 		*standin.Machine
@@ -95,16 +96,16 @@
 	crowd := standin.Crowd{Addrs: addrs, Rate: outageRate, Time: outageDuration, Seed: seed, Tries: 3, Pause: 100 * time.Millisecond, Obeys: 0.5, Marks: true, Timeout: 0.7,
 		Aim:  map[string]time.Duration{"lookup": 1500 * time.Millisecond, "booking": 1500 * time.Millisecond},
 		Make: randomQuery}
-	var next []host
+	var replacements []host
 	time.AfterFunc(nodesDieAt, func() {
 		for _, h := range old {
 			h.Node.Close()
 		}
 	})
-	var came []standin.Member
-	time.AfterFunc(replacementsStartAt, func() { next, came = hosts("b", false) })
+	var replacementMembers []standin.Member
+	time.AfterFunc(replacementsStartAt, func() { replacements, replacementMembers = hosts("b", false) })
 	time.AfterFunc(replacementsListedAt, func() {
-		for i, m := range came {
+		for i, m := range replacementMembers {
 			dir.Join(m)
 			dir.Tell(i, "left")
 		}
@@ -118,11 +119,11 @@
 		}
 		return 100 * float64(in) / float64(max(1, asked))
 	}
-	ninety := time.Duration(-1)
+	recoveryTime := time.Duration(-1)
 	for i, s := range seconds[:int(outageDuration.Seconds())] {
 		fmt.Fprintf(&line, "%d:%d/%d(r%d) ", i, s.InTime, s.Asked, s.Refused)
-		if at := time.Duration(i) * time.Second; ninety < 0 && at >= replacementsListedAt && at < outageDuration-3*time.Second && share(at, at+3*time.Second) >= 90 {
-			ninety = at - replacementsListedAt
+		if at := time.Duration(i) * time.Second; recoveryTime < 0 && at >= replacementsListedAt && at < outageDuration-3*time.Second && share(at, at+3*time.Second) >= 90 {
+			recoveryTime = at - replacementsListedAt
 		}
 	}
 	for _, m := range mixers {
@@ -133,7 +134,7 @@
 		}
 	}
 	worst, fell := 0.0, 0
-	for _, h := range next {
+	for _, h := range replacements {
 		w, toppled := h.Worst()
 		if worst = max(worst, w); toppled {
 			fell++
@@ -142,7 +143,7 @@
 	t.Logf("%s", line.String())
 	t.Logf("%s: in time before the outage %.0f%%, in the 2 s after the list shows the replacements %.0f%%, in the 14 s after it %.0f%%, then %.0f%%; 90%% over 3 s after %v; load of a cold node at most %.2f of its capacity; %d toppled",
 		cmp.Or(os.Getenv("KITELOFT_LABEL"), "this"), share(2*time.Second, nodesDieAt), share(replacementsListedAt, replacementsListedAt+2*time.Second), share(replacementsListedAt, replacementsListedAt+14*time.Second),
-		share(replacementsListedAt+15*time.Second, outageDuration), ninety, worst, fell)
+		share(replacementsListedAt+15*time.Second, outageDuration), recoveryTime, worst, fell)
 	if fell > 0 {
 		t.Error("a cold node was overloaded until it toppled")
 	}
--- a/internal/standin/queue/queue.go
+++ b/internal/standin/queue/queue.go
@@ -9,21 +9,21 @@
 
 // Queue holds the pending events. The zero Queue is empty. It is not safe for concurrent use.
 type Queue struct {
-	list events
-	n    uint64
+	list     events
+	sequence uint64
 }
 
 type event struct {
-	at time.Duration
-	n  uint64
-	do func()
+	at       time.Duration
+	sequence uint64
+	do       func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -35,8 +35,8 @@
 
 // Add schedules do at the given time of the virtual clock.
 func (q *Queue) Add(at time.Duration, do func()) {
-	q.n++
-	heap.Push(&q.list, event{at, q.n, do})
+	q.sequence++
+	heap.Push(&q.list, event{at, q.sequence, do})
 }
 
 // Next removes and returns the earliest event, if it is due by end (inclusive).
