--- a/internal/otlp/decode.go
+++ b/internal/otlp/decode.go
@@ -76,8 +76,8 @@
 			return list, lost, strays, fmt.Errorf("span %q has no sound id", name)
 		case name == nameLoss:
 			lost = append(lost, LossReport{Mixer: mixer, Class: at.text(keyClass), At: time.Unix(0, int64(sp.GetStartTimeUnixNano())),
-				Loss: tracing.Loss{Always: int(at.integer(keyLostFor)), Chance: int(at.integer(keyLostBy)),
-					Unrecorded: int(at.integer(keyLostAll))}})
+				Loss: tracing.Loss{Always: int(at.integer(keyLostAlways)), Chance: int(at.integer(keyLostChance)),
+					Unrecorded: int(at.integer(keyLostUnrecorded))}})
 		case sp.GetKind() == trace.Span_SPAN_KIND_SERVER:
 			cur, parts = decodeRoot(mixer, sp), map[int64]int32{}
 			list = append(list, cur)
@@ -89,7 +89,7 @@
 			}
 		case name == namePart:
 			p := tracing.Part{Place: int32(at.integer(keyPart)), Step: uint8(at.integer(keyStep)), Shard: int32(at.integer(keyShard)),
-				Weight: float32(at.number(keyMass)), Answered: at.boolean(keyIn), Begin: cur.since(sp.GetStartTimeUnixNano())}
+				Weight: float32(at.number(keyWeightShare)), Answered: at.boolean(keyIn), Begin: cur.since(sp.GetStartTimeUnixNano())}
 			if p.Answered {
 				p.End = cur.since(sp.GetEndTimeUnixNano())
 			}
@@ -126,16 +126,16 @@
 	copy(q.Trace[:], sp.GetTraceId())
 	copy(q.Root[:], sp.GetSpanId())
 	copy(q.Parent[:], sp.GetParentSpanId())
-	q.Front, q.WireID, q.Version = at.text(keyFront), at.text(keyQuery), uint64(at.integer(keyAgreed))
+	q.Front, q.WireID, q.Version = at.text(keyFront), at.text(keyQuery), uint64(at.integer(keySettingsVersion))
 	q.TargetTime, q.Deadline, q.End = at.duration(keyWanted), at.duration(keyDeadline), t.since(sp.GetEndTimeUnixNano())
-	q.Ending = tracing.Ending(max(0, hows.index(at.text(keyHow))))
-	q.EndReason = uint8(max(0, causes.index(at.text(keyWhy))))
-	for _, v := range at.get(keyKeep).GetArrayValue().GetValues() {
+	q.Ending = tracing.Ending(max(0, endNames.index(at.text(keyEnded))))
+	q.EndReason = uint8(max(0, causes.index(at.text(keyCause))))
+	for _, v := range at.get(keyKeptFor).GetArrayValue().GetValues() {
 		if i := keeps.index(v.GetStringValue()); i >= 0 {
 			q.KeepReasons |= 1 << i
 		}
 	}
-	q.Dropped = tracing.Dropped{Parts: int(at.integer(keyDropP)), Attempts: int(at.integer(keyDropA)), Events: int(at.integer(keyDropE))}
+	q.Dropped = tracing.Dropped{Parts: int(at.integer(keyDroppedParts)), Attempts: int(at.integer(keyDroppedAttempts)), Events: int(at.integer(keyDroppedEvents))}
 	for _, ev := range sp.GetEvents() {
 		ea := attributes(ev.GetAttributes())
 		e := tracing.Event{At: t.since(ev.GetTimeUnixNano()), Part: -1, Kind: tracing.EventKind(max(0, events.index(ev.GetName()))), Text: ea.text(keyText)}
@@ -148,9 +148,9 @@
 }
 
 func (t *Trace) addAttempt(sp *trace.Span, at attributes, part int32) {
-	a := tracing.Attempt{Place: int32(at.integer("kiteloft.place")), Part: part, Number: uint8(at.integer(keyN)),
+	a := tracing.Attempt{Place: int32(at.integer("kiteloft.place")), Part: part, Number: uint8(at.integer(keyAttemptNumber)),
 		Reason: tracing.Reason(max(0, reasons.index(at.text(keyReason)))), NodeChoice: uint8(max(0, choices.index(at.text(keyChoice)))),
-		Won: at.boolean(keyWon), MayHaveRun: at.boolean(keyMayRun), Cell: int32(at.integer(keyCell)), Node: at.text(keyNode),
+		Won: at.boolean(keyWon), MayHaveRun: at.boolean(keyMayHaveRun), Cell: int32(at.integer(keyCell)), Node: at.text(keyNode),
 		Address: at.text(keyAddress), Zone: -1, Begin: t.since(sp.GetStartTimeUnixNano())}
 	if a.Over = !at.boolean(keyOpen); a.Over {
 		a.End = t.since(sp.GetEndTimeUnixNano())
--- a/internal/otlp/encode.go
+++ b/internal/otlp/encode.go
@@ -23,43 +23,43 @@
 
 // Attribute keys. Those without the prefix "kiteloft." are OpenTelemetry's semantic conventions.
 const (
-	keyService  = "service.name"
-	keyInstance = "service.instance.id"
-	keyVersion  = "service.version"
-	keyZone     = "cloud.availability_zone"
-	keyAddress  = "server.address"
-	keyError    = "error.type"
-	keyFront    = "kiteloft.front"
-	keyAgreed   = "kiteloft.settings_version"
-	keyClass    = "kiteloft.class"
-	keyQuery    = "kiteloft.query.id"
-	keyWanted   = "kiteloft.wanted_ms"
-	keyDeadline = "kiteloft.deadline_ms"
-	keyHow      = "kiteloft.ended"
-	keyWhy      = "kiteloft.cause"
-	keyKeep     = "kiteloft.kept_for"
-	keyWeight   = "kiteloft.weight"
-	keyDropP    = "kiteloft.dropped.parts"
-	keyDropA    = "kiteloft.dropped.attempts"
-	keyDropE    = "kiteloft.dropped.events"
-	keyStep     = "kiteloft.step"
-	keyShard    = "kiteloft.slice"
-	keyMass     = "kiteloft.weight_share"
-	keyIn       = "kiteloft.in"
-	keyNode     = "kiteloft.node"
-	keyCell     = "kiteloft.cell"
-	keyN        = "kiteloft.attempt"
-	keyReason   = "kiteloft.reason"
-	keyChoice   = "kiteloft.choice"
-	keyOutcome  = "kiteloft.outcome"
-	keyMayRun   = "kiteloft.may_have_run"
-	keyWon      = "kiteloft.won"
-	keyOpen     = "kiteloft.open"
-	keyPart     = "kiteloft.part"
-	keyText     = "kiteloft.text"
-	keyLostFor  = "kiteloft.lost.always"
-	keyLostBy   = "kiteloft.lost.chance"
-	keyLostAll  = "kiteloft.lost.unrecorded"
+	keyService         = "service.name"
+	keyInstance        = "service.instance.id"
+	keyVersion         = "service.version"
+	keyZone            = "cloud.availability_zone"
+	keyAddress         = "server.address"
+	keyError           = "error.type"
+	keyFront           = "kiteloft.front"
+	keySettingsVersion = "kiteloft.settings_version"
+	keyClass           = "kiteloft.class"
+	keyQuery           = "kiteloft.query.id"
+	keyWanted          = "kiteloft.wanted_ms"
+	keyDeadline        = "kiteloft.deadline_ms"
+	keyEnded           = "kiteloft.ended"
+	keyCause           = "kiteloft.cause"
+	keyKeptFor         = "kiteloft.kept_for"
+	keyWeight          = "kiteloft.weight"
+	keyDroppedParts    = "kiteloft.dropped.parts"
+	keyDroppedAttempts = "kiteloft.dropped.attempts"
+	keyDroppedEvents   = "kiteloft.dropped.events"
+	keyStep            = "kiteloft.step"
+	keyShard           = "kiteloft.slice"
+	keyWeightShare     = "kiteloft.weight_share"
+	keyIn              = "kiteloft.in"
+	keyNode            = "kiteloft.node"
+	keyCell            = "kiteloft.cell"
+	keyAttemptNumber   = "kiteloft.attempt"
+	keyReason          = "kiteloft.reason"
+	keyChoice          = "kiteloft.choice"
+	keyOutcome         = "kiteloft.outcome"
+	keyMayHaveRun      = "kiteloft.may_have_run"
+	keyWon             = "kiteloft.won"
+	keyOpen            = "kiteloft.open"
+	keyPart            = "kiteloft.part"
+	keyText            = "kiteloft.text"
+	keyLostAlways      = "kiteloft.lost.always"
+	keyLostChance      = "kiteloft.lost.chance"
+	keyLostUnrecorded  = "kiteloft.lost.unrecorded"
 )
 
 // Names of spans, and of the events of an attempt's span.
@@ -77,7 +77,7 @@
 
 // Names of enumeration values, indexed by value.
 var (
-	hows     = words{"open", "served", "short", "refused", "failed", "expired", "deserted"}
+	endNames = words{"open", "served", "short", "refused", "failed", "expired", "deserted"}
 	reasons  = words{"first", "further", "copy"}
 	outcomes = words{"failed", "ok", "full", "timed-out", "connect-failed", "reset", "cancelled", "moot"}
 	choices  = words{"by-offset", "left-slow", "next-best", "late-copy", "stranded"}
@@ -106,7 +106,7 @@
 }
 
 // HowName returns the name of the way in which a query ended.
-func HowName(h tracing.Ending) string { return hows.name(int(h)) }
+func HowName(h tracing.Ending) string { return endNames.name(int(h)) }
 
 // CauseName returns the name of the decision module's reason for ending a query.
 func CauseName(c uint8) string { return causes.name(int(c)) }
@@ -190,7 +190,7 @@
 		}
 		sp := span(q.PartSpan(i), q.StepSpan(int(p.Step)), namePart, trace.Span_SPAN_KIND_INTERNAL, p.Begin, end)
 		sp.Attributes = []*common.KeyValue{integer(keyPart, int64(p.Place)), integer(keyStep, int64(p.Step)), integer(keyShard, int64(p.Shard)),
-			number(keyMass, float64(p.Weight)), boolean(keyIn, p.Answered)}
+			number(keyWeightShare, float64(p.Weight)), boolean(keyIn, p.Answered)}
 	}
 	for i := range q.Attempts {
 		s.attempt(span, q, i)
@@ -198,7 +198,7 @@
 	return spans
 }
 
-type adder func(id, parent tracing.SpanID, name string, kind trace.Span_SpanKind, from, to time.Duration) *trace.Span
+type addSpanFunc func(id, parent tracing.SpanID, name string, kind trace.Span_SpanKind, from, to time.Duration) *trace.Span
 
 func (s Encoder) root(sp *trace.Span, q *tracing.Query) {
 	sp.TraceState = q.State
@@ -211,20 +211,20 @@
 	}
 	sp.Attributes = []*common.KeyValue{text(keyFront, q.Front), text(keyClass, s.class(q.Class)), text(keyQuery, q.WireID),
 		number(keyWanted, milliseconds(q.TargetTime-q.Begin)), number(keyDeadline, milliseconds(q.Deadline-q.Begin)),
-		text(keyHow, hows.name(int(q.Ending))), number(keyWeight, q.Weight())}
+		text(keyEnded, endNames.name(int(q.Ending))), number(keyWeight, q.Weight())}
 	if q.Version != 0 {
-		sp.Attributes = append(sp.Attributes, integer(keyAgreed, int64(q.Version)))
+		sp.Attributes = append(sp.Attributes, integer(keySettingsVersion, int64(q.Version)))
 	}
 	if q.EndReason != 0 {
-		sp.Attributes = append(sp.Attributes, text(keyWhy, causes.name(int(q.EndReason))))
+		sp.Attributes = append(sp.Attributes, text(keyCause, causes.name(int(q.EndReason))))
 	}
 	if names := KeepNames(q.KeepReasons); len(names) > 0 {
-		sp.Attributes = append(sp.Attributes, list(keyKeep, names))
+		sp.Attributes = append(sp.Attributes, list(keyKeptFor, names))
 	}
 	for _, d := range []struct {
 		key string
 		n   int
-	}{{keyDropP, q.Dropped.Parts}, {keyDropA, q.Dropped.Attempts}, {keyDropE, q.Dropped.Events}} {
+	}{{keyDroppedParts, q.Dropped.Parts}, {keyDroppedAttempts, q.Dropped.Attempts}, {keyDroppedEvents, q.Dropped.Events}} {
 		if d.n > 0 {
 			sp.Attributes = append(sp.Attributes, integer(d.key, int64(d.n)))
 		}
@@ -232,8 +232,8 @@
 	switch q.Ending {
 	case tracing.Served, tracing.Short, tracing.Deserted:
 	default:
-		sp.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: hows.name(int(q.Ending))}
-		sp.Attributes = append(sp.Attributes, text(keyError, hows.name(int(q.Ending))))
+		sp.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: endNames.name(int(q.Ending))}
+		sp.Attributes = append(sp.Attributes, text(keyError, endNames.name(int(q.Ending))))
 	}
 	for _, e := range q.Events {
 		ev := &trace.Span_Event{TimeUnixNano: s.time(e.At), Name: events.name(int(e.Kind))}
@@ -247,7 +247,7 @@
 	}
 }
 
-func (s Encoder) attempt(span adder, q *tracing.Query, i int) {
+func (s Encoder) attempt(span addSpanFunc, q *tracing.Query, i int) {
 	a := &q.Attempts[i]
 	end := a.End
 	if !a.Over {
@@ -259,8 +259,8 @@
 		zone = s.Zones[a.Zone]
 	}
 	sp.Attributes = []*common.KeyValue{text(keyNode, a.Node), text(keyAddress, a.Address), text(keyZone, zone),
-		integer(keyCell, int64(a.Cell)), integer(keyN, int64(a.Number)), text(keyReason, reasons.name(int(a.Reason))),
-		text(keyChoice, choices.name(int(a.NodeChoice))), boolean(keyMayRun, a.MayHaveRun), boolean(keyWon, a.Won),
+		integer(keyCell, int64(a.Cell)), integer(keyAttemptNumber, int64(a.Number)), text(keyReason, reasons.name(int(a.Reason))),
+		text(keyChoice, choices.name(int(a.NodeChoice))), boolean(keyMayHaveRun, a.MayHaveRun), boolean(keyWon, a.Won),
 		integer(keyPart, int64(q.Parts[a.Part].Place)), integer("kiteloft.place", int64(a.Place))}
 	if a.Over {
 		sp.Attributes = append(sp.Attributes, text(keyOutcome, outcomes.name(int(a.Outcome))))
@@ -287,8 +287,8 @@
 	id := tracing.KeyedTrace(s.Mixer+s.Epoch.String(), s.class(l.Class)+now.String())
 	return &trace.Span{TraceId: id[:], SpanId: append([]byte(nil), id[:8]...), Name: nameLoss, Kind: trace.Span_SPAN_KIND_INTERNAL,
 		StartTimeUnixNano: s.time(now), EndTimeUnixNano: s.time(now),
-		Attributes: []*common.KeyValue{text(keyClass, s.class(l.Class)), integer(keyLostFor, int64(l.Always)),
-			integer(keyLostBy, int64(l.Chance)), integer(keyLostAll, int64(l.Unrecorded))}}
+		Attributes: []*common.KeyValue{text(keyClass, s.class(l.Class)), integer(keyLostAlways, int64(l.Always)),
+			integer(keyLostChance, int64(l.Chance)), integer(keyLostUnrecorded, int64(l.Unrecorded))}}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/otlp/exporter.go
+++ b/internal/otlp/exporter.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	firstPause = 200 * time.Millisecond // before the first retry of a message; doubles with each further retry
-	mostPause  = 5 * time.Second
-	longPause  = 60 * time.Second // upper bound of the delay that a collector may ask for
-	beside     = 64               // messages queued for the collector when they are also written to disk
+	initialBackoff    = 200 * time.Millisecond // before the first retry of a message; doubles with each further retry
+	maxBackoff        = 5 * time.Second
+	maxRetryAfter     = 60 * time.Second // upper bound of the delay that a collector may ask for
+	maxQueuedMessages = 64               // messages queued for the collector when they are also written to disk
 )
 
 // Batch is a set of traces and reports of lost traces that are exported in one message.
@@ -33,18 +33,18 @@
 // own goroutines, and Offer never blocks. While it is busy, further traces wait in the recorder,
 // which bounds their memory.
 type Exporter struct {
-	src   Encoder
-	disk  *segments.Writer // nil: none
-	send  *Sender          // nil: none
-	log   zerolog.Logger
-	in    chan Batch
-	next  chan *trace.TracesData
-	busy  atomic.Bool
-	done  chan struct{}
-	ctx   context.Context
-	stop  context.CancelFunc
-	down  bool // the loss of the collector has been logged
-	stats ExportStats
+	src        Encoder
+	disk       *segments.Writer // nil: none
+	send       *Sender          // nil: none
+	log        zerolog.Logger
+	in         chan Batch
+	next       chan *trace.TracesData
+	busy       atomic.Bool
+	done       chan struct{}
+	ctx        context.Context
+	stop       context.CancelFunc
+	downLogged bool // the loss of the collector has been logged
+	stats      ExportStats
 }
 
 // ExportStats holds an Exporter's counters.
@@ -59,7 +59,7 @@
 // NewExporter returns a running Exporter. Disk, send or both may be nil, which leaves that target out.
 func NewExporter(src Encoder, disk *segments.Writer, send *Sender, log zerolog.Logger) *Exporter {
 	ctx, stop := context.WithCancel(context.Background())
-	e := &Exporter{src: src, disk: disk, send: send, log: log, in: make(chan Batch, 1), next: make(chan *trace.TracesData, beside),
+	e := &Exporter{src: src, disk: disk, send: send, log: log, in: make(chan Batch, 1), next: make(chan *trace.TracesData, maxQueuedMessages),
 		done: make(chan struct{}), ctx: ctx, stop: stop}
 	go e.run()
 	return e
@@ -145,7 +145,7 @@
 		err = e.disk.Append(b)
 	}
 	if err != nil {
-		e.log.Warn().Err(err).Int("spans", spans(data)).Msg("traces can't be written")
+		e.log.Warn().Err(err).Int("spans", countSpans(data)).Msg("traces can't be written")
 		return
 	}
 	e.stats.WrittenMessages.Add(1)
@@ -154,36 +154,36 @@
 // deliver sends a message until the collector accepts it or rejects it permanently, or until the
 // exporter shuts down.
 func (e *Exporter) deliver(data *trace.TracesData) {
-	pause := firstPause
+	pause := initialBackoff
 	for {
 		part, err := e.send.Send(e.ctx, data, time.Now())
 		var retry *RetryableError
 		switch {
 		case err == nil:
-			e.stats.AcceptedSpans.Add(int64(spans(data)) - part.Rejected)
+			e.stats.AcceptedSpans.Add(int64(countSpans(data)) - part.Rejected)
 			e.stats.Rejected.Add(part.Rejected)
 			if part.Rejected > 0 || part.Message != "" {
 				e.log.Warn().Int64("spans", part.Rejected).Str("words", part.Message[:min(len(part.Message), 200)]).
 					Msg("collector took traces in part")
 			}
-			if e.down {
-				e.down = false
+			if e.downLogged {
+				e.downLogged = false
 				e.log.Info().Msg("trace export is up again")
 			}
 			return
 		case !errors.As(err, &retry):
-			e.stats.Rejected.Add(int64(spans(data)))
-			e.log.Warn().Err(err).Int("spans", spans(data)).Msg("collector refused traces")
+			e.stats.Rejected.Add(int64(countSpans(data)))
+			e.log.Warn().Err(err).Int("spans", countSpans(data)).Msg("collector refused traces")
 			return
 		}
-		if !e.down {
-			e.down = true
+		if !e.downLogged {
+			e.downLogged = true
 			e.log.Warn().Err(err).Msg("trace export is down")
 		}
 		e.stats.Retries.Add(1)
 		wait := time.Duration((0.5 + rand.Float64()) * float64(pause))
-		if pause = min(2*pause, mostPause); retry.After > 0 {
-			wait = min(retry.After, longPause)
+		if pause = min(2*pause, maxBackoff); retry.After > 0 {
+			wait = min(retry.After, maxRetryAfter)
 		}
 		t := time.NewTimer(wait)
 		select {
@@ -195,7 +195,7 @@
 	}
 }
 
-func spans(data *trace.TracesData) (n int) {
+func countSpans(data *trace.TracesData) (n int) {
 	for _, rs := range data.GetResourceSpans() {
 		for _, ss := range rs.GetScopeSpans() {
 			n += len(ss.GetSpans())
--- a/internal/otlp/sender.go
+++ b/internal/otlp/sender.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxAnswer   = 64 << 10 // bytes of a collector's response that are read
-	sendTimeout = 10 * time.Second
-	contentType = "application/x-protobuf"
+	maxResponseSize = 64 << 10 // bytes of a collector's response that are read
+	sendTimeout     = 10 * time.Second
+	contentType     = "application/x-protobuf"
 )
 
 // Sender posts messages to a collector by OTLP over HTTP, encoded in protobuf and compressed with gzip.
@@ -44,8 +44,9 @@
 	Message  string
 }
 
-// RejectedError is a permanent failure: sending the same message again would not succeed. Status is
-// the HTTP status, or 0 if the message could not be built.
+// RejectedError is an answer of the collector other than success. Unless a RetryableError wraps it,
+// sending the same message again would not succeed. Status is the HTTP status, or 0 if the request
+// could not be built.
 type RejectedError struct{ Status int }
 
 func (r *RejectedError) Error() string {
@@ -91,22 +92,22 @@
 		return PartialSuccess{}, &RetryableError{Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }() // what matters of the body has been read
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	switch {
 	case resp.StatusCode/100 == 2:
 		if err != nil {
 			return PartialSuccess{}, &RetryableError{Err: err}
 		}
-		return partial(answer), nil
+		return parsePartialSuccess(answer), nil
 	case resp.StatusCode == 429, resp.StatusCode == 502, resp.StatusCode == 503, resp.StatusCode == 504:
-		return PartialSuccess{}, &RetryableError{After: retryAfter(resp.Header.Get("Retry-After"), now), Err: &RejectedError{resp.StatusCode}}
+		return PartialSuccess{}, &RetryableError{After: parseRetryAfter(resp.Header.Get("Retry-After"), now), Err: &RejectedError{resp.StatusCode}}
 	}
 	return PartialSuccess{}, &RejectedError{resp.StatusCode}
 }
 
-// partial decodes the partial success from an ExportTraceServiceResponse. An answer that can't be
+// parsePartialSuccess decodes the parsePartialSuccess success from an ExportTraceServiceResponse. An answer that can't be
 // decoded counts as full success.
-func partial(answer []byte) (p PartialSuccess) {
+func parsePartialSuccess(answer []byte) (p PartialSuccess) {
 	fields.Each(answer, func(n protowire.Number, _ uint64, b []byte) bool {
 		if n != 1 { // partial_success
 			return true
@@ -125,8 +126,8 @@
 	return p
 }
 
-// retryAfter parses a Retry-After header, which holds seconds or an HTTP date; 0 if it is neither.
-func retryAfter(s string, now time.Time) time.Duration {
+// parseRetryAfter parses a Retry-After header, which holds seconds or an HTTP date; 0 if it is neither.
+func parseRetryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil {
 		return time.Duration(max(0, n)) * time.Second
 	}
