--- a/internal/counts/counts_test.go
+++ b/internal/counts/counts_test.go
@@ -33,7 +33,7 @@
 	a.Clear()
 	a.Each(func(k Kind, n int64) { t.Errorf("%v is %d after Clear", k, n) })
 	var none *Set
-	none.Add(Taken, 1) // nobody counts
+	none.Add(Taken, 1) // adding to a nil set must not panic
 	if none.Get(Taken) != 0 {
 		t.Error("a nil set keeps something")
 	}
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -127,10 +127,11 @@
 // Data implements transport.Handler. A collector sends no data; any is ignored.
 func (e *Exporter) Data([]byte) {}
 
-// HalfClosed implements transport.Handler; connections we dialed end at once.
+// HalfClosed implements transport.Handler. It does nothing: a dialed connection ends at once.
 func (e *Exporter) HalfClosed() {}
 
-// Ended implements transport.Handler.
+// Ended implements transport.Handler. It logs the first loss of the connection and dials again after
+// redialDelay.
 func (e *Exporter) Ended(end transport.End) {
 	e.conn = nil
 	if !e.downLogged {
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -124,7 +124,7 @@
 	return templateIPv6
 }
 
-// newMessage writes a message's header; its length is put in by end.
+// newMessage returns a message header, whose length is filled in by end.
 func (s *Stream) newMessage(now time.Time) []byte {
 	b := binary.BigEndian.AppendUint16(nil, protocolVersion)
 	b = binary.BigEndian.AppendUint16(b, 0)
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -25,7 +25,7 @@
 	return string(b)
 }
 
-// TestMessagesMatchRFC7011Encoding compares with messages put together by hand from RFC 7011.
+// TestMessagesMatchRFC7011Encoding compares messages with ones encoded by hand according to RFC 7011.
 func TestMessagesMatchRFC7011Encoding(t *testing.T) {
 	s := Stream{Domain: 5}
 	now := time.Unix(0x11223344, 0)
--- a/internal/otlp/exporter_test.go
+++ b/internal/otlp/exporter_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// offer hands over a batch once there is room.
+// offer passes a batch to the exporter once it is ready.
 func offer(t *testing.T, e *otlp.Exporter, b otlp.Batch) {
 	t.Helper()
 	wait(t, "the exporter is ready", e.Ready)
@@ -54,7 +54,7 @@
 	}
 }
 
-// ids are the queries in messages, in order.
+// ids returns the wire IDs of the queries in messages, in order.
 func ids(list []*trace.TracesData) (out []string) {
 	for _, data := range list {
 		traces, _, _, _ := otlp.Decode(data)
@@ -65,7 +65,7 @@
 	return out
 }
 
-// logLines keeps the log for a test to look at.
+// logLines is a log writer whose text a test can read while it is written to.
 type logLines struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -83,8 +83,8 @@
 	return l.text.String()
 }
 
-// TestCollectorsOfAllManners goes through what OTLP lets a collector do.
-func TestCollectorsOfAllManners(t *testing.T) {
+// TestExporterHandlesCollectorResponses covers the ways in which OTLP lets a collector answer.
+func TestExporterHandlesCollectorResponses(t *testing.T) {
 	first := func(m standin.Manner, times int) func(int) standin.Manner {
 		return func(n int) standin.Manner {
 			if n < times {
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestACollectorThatIsAway comes back at the same address: what was under way, and
-// what the recorder held meanwhile, arrives once and in order.
-func TestACollectorThatIsAway(t *testing.T) {
+// TestExporterResumesAfterCollectorRestart restarts the collector at the same address: the message in
+// flight and the one that waited for it must arrive once and in order.
+func TestExporterResumesAfterCollectorRestart(t *testing.T) {
 	c, err := standin.NewCollector(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestAnEndThatCannotWait ends while the collector stalls.
-func TestAnEndThatCannotWait(t *testing.T) {
+// TestShutdownIsBoundedWhileCollectorStalls shuts the exporter down while the collector does not answer.
+func TestShutdownIsBoundedWhileCollectorStalls(t *testing.T) {
 	c, err := standin.NewCollector(func(int) standin.Manner { return standin.Manner{Stall: time.Minute} })
 	if err != nil {
 		t.Fatal(err)
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestTheDiskDoesNotWaitForTheCollector has both, and the collector away.
-func TestTheDiskDoesNotWaitForTheCollector(t *testing.T) {
+// TestDiskWritesDoNotWaitForCollector exports to disk and to a collector that answers 503 throughout.
+func TestDiskWritesDoNotWaitForCollector(t *testing.T) {
 	c, err := standin.NewCollector(func(int) standin.Manner { return standin.Manner{Status: 503} })
 	if err != nil {
 		t.Fatal(err)
@@ -229,10 +229,10 @@
 	}
 }
 
-// TestAMinuteOfOutage has a recorder hold what every query of an outage leaves while
-// the collector is away: a minute of 500 queries a second in a memory of 1 MB. What
-// arrives in the end, and what was lost, add up, and no trace pretends to be whole.
-func TestAMinuteOfOutage(t *testing.T) {
+// TestTracesAreAccountedForAfterOutage records the traces of refused queries while the collector is
+// unavailable: a minute of 500 queries a second in 1 MB of memory. The traces that arrive afterwards
+// and those reported lost must add up, and each trace must say what was dropped from it.
+func TestTracesAreAccountedForAfterOutage(t *testing.T) {
 	c, err := standin.NewCollector(func(int) standin.Manner { return standin.Manner{Status: 503} })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/otlp/fuzz_test.go
+++ b/internal/otlp/fuzz_test.go
@@ -18,8 +18,8 @@
 	return b
 }
 
-// decoded reads a message that nobody wrote; a tool that crashes on a spoilt file is
-// no tool. It tells whether the message was one.
+// decoded decodes b and checks the critical path of each trace: corrupt input must not crash a tool
+// that reads it. It reports whether b could be decoded.
 func decoded(t *testing.T, b []byte) bool {
 	var data trace.TracesData
 	if proto.Unmarshal(b, &data) != nil {
@@ -45,14 +45,14 @@
 	return true
 }
 
-// FuzzDecode reads messages that nobody wrote.
+// FuzzDecode decodes arbitrary input.
 func FuzzDecode(f *testing.F) {
 	f.Add(seed(f))
 	f.Fuzz(func(t *testing.T, b []byte) { decoded(t, b) })
 }
 
-// TestSpoiltMessages changes some bytes of a message, 5,000 times.
-func TestSpoiltMessages(t *testing.T) {
+// TestDecodeCorruptMessages changes one to four bytes of a valid message, 5,000 times.
+func TestDecodeCorruptMessages(t *testing.T) {
 	whole, rng, read := seed(t), rand.New(rand.NewPCG(1, 1)), 0
 	for range 5000 {
 		b := append([]byte(nil), whole...)
--- a/internal/otlp/otlp_test.go
+++ b/internal/otlp/otlp_test.go
@@ -17,7 +17,7 @@
 
 var source = Encoder{Mixer: "n0", Version: "v", Epoch: time.Unix(1_700_000_000, 0), Classes: []string{"lookup", "report"}, Zones: []string{"a", "b"}}
 
-// sample is a query with all that a trace can hold.
+// sample returns a query that uses every kind of record that a trace can hold.
 func sample() *tracing.Query {
 	return &tracing.Query{Trace: tracing.KeyedTrace("x", "y"), Root: tracing.SpanID{1}, Parent: tracing.SpanID{2}, Front: "platform", Class: 1,
 		WireID: "9b1f", Begin: time.Hour, TargetTime: time.Hour + 50*ms, Deadline: time.Hour + 500*ms, End: time.Hour + 90*ms, Ending: tracing.Short,
@@ -33,8 +33,8 @@
 		Dropped: tracing.Dropped{Parts: 1, Attempts: 2}}
 }
 
-// TestTracesSurviveTheirEncoding reads back what was written.
-func TestTracesSurviveTheirEncoding(t *testing.T) {
+// TestEncodeDecodeRoundTrip decodes an encoded query and compares.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	q := sample()
 	data := source.Encode([]*tracing.Query{q}, []tracing.Loss{{Class: 0, Always: 3, Chance: 2, Unrecorded: 1}}, 2*time.Hour)
 	b, err := proto.Marshal(data)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestEverySpanHasItsParent looks at the tree as a collector sees it.
-func TestEverySpanHasItsParent(t *testing.T) {
+// TestSpansFollowTheirParents checks span IDs, their order and the trace state as a collector sees them.
+func TestSpansFollowTheirParents(t *testing.T) {
 	q := sample()
 	q.KeepReasons, q.SamplingShift = 0, 4
 	spans := source.Encode([]*tracing.Query{q}, nil, 0).ResourceSpans[0].ScopeSpans[0].Spans
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestOddMessagesAreNoCrash reads spans that kiteloft did not write.
-func TestOddMessagesAreNoCrash(t *testing.T) {
+// TestDecodeForeignSpans decodes spans that kiteloft did not write, and empty containers.
+func TestDecodeForeignSpans(t *testing.T) {
 	odd := &trace.TracesData{ResourceSpans: []*trace.ResourceSpans{nil, {}, {ScopeSpans: []*trace.ScopeSpans{nil, {Spans: []*trace.Span{
 		{TraceId: make([]byte, 16), SpanId: make([]byte, 8), Name: "other"},
 		{TraceId: make([]byte, 16), SpanId: make([]byte, 8), Name: nameAttempt},
--- a/internal/otlp/read.go
+++ b/internal/otlp/read.go
@@ -9,9 +9,9 @@
 	"kiteloft/internal/segments"
 )
 
-// ReadSegment hands what a segment file holds to take, message by message. It returns
-// a *segments.DamageError where the rest can't be read; what came before has been handed
-// over.
+// ReadSegment calls take with the contents of each message in a segment file. It returns a
+// *segments.DamageError if the rest of the file can't be read; take has then been called for the
+// messages before the damage.
 func ReadSegment(path string, take func(list []*Trace, lost []LossReport, strays int)) error {
 	return segments.Read(path, func(b []byte) error {
 		var data trace.TracesData
