--- a/bench/zones_test.go
+++ b/bench/zones_test.go
@@ -47,8 +47,8 @@
 
 // TestZones runs each zone failure against three groups of mixers side by side: "alone" without a
 // fleet's agreement, "fleet" which leaves the zone by its own judgement, and "oracle" which is
-// ordered to leave and return at once. It fails if a cold node of "fleet" is overloaded until it
-// topples.
+// ordered to leave the zone as it fails and to return as the node list shows its restart. It fails
+// if a cold node of "fleet" is overloaded until it topples.
 func TestZones(t *testing.T) {
 	if os.Getenv("KITELOFT_MEASURE") == "" {
 		t.Skip("a measurement: make measure-zones")
